--- a/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
-import org.gatereel.core.forward.EndVerdict;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.ResponseEnd;
+import org.gatereel.core.forward.ResponseEndVerdict;
+import org.gatereel.core.forward.Rejection;
 import org.junit.jupiter.api.Test;
 
 /** Holds the walk from a request's id to its cause to the names that the code writes. */
@@ -33,10 +33,10 @@
     Set<String> known =
         Stream.of(
                 names(EventCode.values()),
-                names(Refusal.values()),
+                names(Rejection.values()),
                 names(TargetFailure.values()),
-                names(AnswerEnd.values()),
-                names(EndVerdict.values()))
+                names(ResponseEnd.values()),
+                names(ResponseEndVerdict.values()))
             .flatMap(all -> all)
             .collect(Collectors.toCollection(TreeSet::new));
     known.addAll(OTHER_NAMES);
@@ -54,7 +54,7 @@
   @Test
   void everyRefusalThatInvitesARetryIsExplained() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
-    for (Refusal refusal : Refusal.values()) {
+    for (Rejection refusal : Rejection.values()) {
       assertTrue(!refusal.invitesRetry() || page.contains(refusal.name()), refusal.name());
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -7,7 +7,7 @@
 import org.gatereel.core.overload.Verdict;
 
 /** One request's way through the {@link OverloadControl}, before anything of it is sent. */
-final class Turn {
+final class AdmissionWait {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final ExchangeLog log;
@@ -15,7 +15,7 @@
   private TimerQueue.Timer timer;
   private boolean waiting;
 
-  Turn(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
+  AdmissionWait(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.log = log;
@@ -43,7 +43,7 @@
     }
     end();
     if (verdict instanceof Verdict.Refuse refuse) {
-      exchange.refuse(Refusal.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
+      exchange.refuse(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
     } else {
       exchange.admitted();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
@@ -19,7 +19,7 @@
  * <p>A request names the target that is meant, and another one says so; so every other answer is
  * the target's word, also an error, a refusal, or one that is not passed on.
  */
-final class StatementIntake {
+final class AnnouncementReceiver {
   /** A target whose words cannot be read fills no log. */
   private static final long LOG_MILLIS = 1_000;
 
@@ -31,7 +31,7 @@
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
-  StatementIntake(CoreContext context, TargetFacts facts, LimitBook limits, Rests rests) {
+  AnnouncementReceiver(CoreContext context, TargetFacts facts, LimitBook limits, Rests rests) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
@@ -41,8 +41,8 @@
 
   /** The head of an attempt's answer is here. */
   void heard(Attempt from) {
-    AnswerHead head = from.head();
-    if (head.status() != AnswerHead.MISDIRECTED) {
+    ResponseHead head = from.head();
+    if (head.status() != ResponseHead.MISDIRECTED) {
       TargetDescription target = from.target().description();
       heard(target, head.statements(), from.startedAt());
       heardNothing(target.id(), head, from.startedAt());
@@ -70,7 +70,7 @@
   }
 
   /** What a target said before and does not say any more; only an answer of its own shows that. */
-  private void heardNothing(TargetId target, AnswerHead head, long sentAt) {
+  private void heardNothing(TargetId target, ResponseHead head, long sentAt) {
     if (!head.isAuthentic()) {
       return;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -16,9 +16,9 @@
   private final EventStreamReader events = new EventStreamReader();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private TargetPort.Call call;
-  private AnswerHead head;
+  private ResponseHead head;
   private OptionalLong headAt = OptionalLong.empty();
-  private AnswerEnd end;
+  private ResponseEnd end;
   private long endedAt;
   private boolean probed;
   private boolean sent;
@@ -63,7 +63,7 @@
     return closed;
   }
 
-  AnswerHead head() {
+  ResponseHead head() {
     return head;
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Notes that the answer is at its end. */
-  void noteEnd(AnswerEnd how, long now) {
+  void noteEnd(ResponseEnd how, long now) {
     end = how;
     endedAt = now;
   }
@@ -93,7 +93,7 @@
   }
 
   /** Returns how the transport knew that the answer was at its end. */
-  AnswerEnd end() {
+  ResponseEnd end() {
     return end;
   }
 
@@ -110,10 +110,10 @@
   }
 
   /** Hands over the head, and what has come of the body since the last call. */
-  Answer takeAnswer() {
+  TargetResponse takeAnswer() {
     byte[] taken = body.toByteArray();
     body.reset();
-    return new Answer(head, taken);
+    return new TargetResponse(head, taken);
   }
 
   /** Returns whether the target's answer is a stream of events. */
@@ -221,7 +221,7 @@
   }
 
   @Override
-  public void answered(AnswerHead answer) {
+  public void answered(ResponseHead answer) {
     if (isHeard()) {
       head = answer;
       exchange.answered(this);
@@ -236,7 +236,7 @@
   }
 
   @Override
-  public void ended(AnswerEnd how) {
+  public void ended(ResponseEnd how) {
     if (isHeard()) {
       exchange.ended(this, how);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TryCount.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AttemptCounter.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.forward;
 
 /** Counts the tries of one request, and ends them somewhere. */
-final class TryCount {
+final class AttemptCounter {
   /** Tries that certainly did not run are no attempts of the route's, but cost others time. */
   private static final int MOST_REACHED = 8;
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
@@ -3,7 +3,7 @@
 /** The way back to the caller of one request. Each request ends with exactly one final call. */
 public interface CallerPort {
   /** Sends the head of a target's answer. */
-  void begin(AnswerHead head);
+  void begin(ResponseHead head);
 
   /** Sends bytes of the body. */
   void write(byte[] bytes);
@@ -17,5 +17,5 @@
   /**
    * Sends an answer of this host's own; {@code retryAfterMillis} only counts where invited. Final.
    */
-  void refuse(Refusal refusal, long retryAfterMillis);
+  void refuse(Rejection refusal, long retryAfterMillis);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Reply.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerResponse.java
@@ -8,13 +8,13 @@
  * <p>Its head is that of the first target that had something to say. Once it has begun, no head and
  * no error of another target may follow: the caller could not tell them from the answer itself.
  */
-final class Reply {
+final class CallerResponse {
   private final CallerPort caller;
-  private Answer keptBack;
+  private TargetResponse keptBack;
   private boolean begun;
   private boolean committed;
 
-  Reply(CallerPort caller) {
+  CallerResponse(CallerPort caller) {
     this.caller = caller;
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Sends a head, unless one was sent. */
-  void begin(AnswerHead head) {
+  void begin(ResponseHead head) {
     if (!begun) {
       begun = true;
       caller.begin(head);
@@ -52,23 +52,23 @@
   }
 
   /** Sends part of a body that is too long to be held until it is whole. */
-  void commit(Answer part) {
+  void commit(TargetResponse part) {
     committed = true;
     begin(part.head());
     caller.write(part.body());
   }
 
   /** Holds an error of a target, for the case that no other target does better. */
-  void keepBack(Answer error) {
+  void keepBack(TargetResponse error) {
     keptBack = error;
   }
 
-  Optional<Answer> keptBack() {
+  Optional<TargetResponse> keptBack() {
     return Optional.ofNullable(keptBack);
   }
 
   /** Sends what is left of an answer and ends it as complete. */
-  void finish(Answer rest) {
+  void finish(TargetResponse rest) {
     begin(rest.head());
     caller.write(rest.body());
     caller.finish();
@@ -79,7 +79,7 @@
     caller.abort();
   }
 
-  void refuse(Refusal refusal, long retryAfterMillis) {
+  void refuse(Rejection refusal, long retryAfterMillis) {
     caller.refuse(refusal, retryAfterMillis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
@@ -14,11 +14,11 @@
       Comparator.comparingInt((Route route) -> route.pathPrefix().length()).reversed();
 
   private final long version;
-  private final Limits limits;
+  private final InboundLimits limits;
   private final boolean keysNeeded;
   private final Map<String, List<Route>> routesByHostName;
-  private final Map<ServiceName, ServicePlan> services;
-  private final Map<String, AccountPlan> accountsByKey;
+  private final Map<ServiceName, ServiceConfiguration> services;
+  private final Map<String, AccountConfiguration> accountsByKey;
 
   private Configuration(Builder builder) {
     version = builder.version;
@@ -31,7 +31,7 @@
     routesByHostName.values().forEach(routes -> routes.sort(LONGEST_PREFIX_FIRST));
     services = Map.copyOf(builder.services);
     accountsByKey = new HashMap<>();
-    for (AccountPlan account : builder.accounts) {
+    for (AccountConfiguration account : builder.accounts) {
       account.keys().forEach(key -> accountsByKey.put(key, account));
     }
   }
@@ -45,7 +45,7 @@
     return version;
   }
 
-  public Limits limits() {
+  public InboundLimits limits() {
     return limits;
   }
 
@@ -62,28 +62,28 @@
   }
 
   /** Returns the account that holds a key. */
-  public Optional<AccountPlan> account(String key) {
+  public Optional<AccountConfiguration> account(String key) {
     return Optional.ofNullable(accountsByKey.get(key));
   }
 
-  public Optional<ServicePlan> service(ServiceName name) {
+  public Optional<ServiceConfiguration> service(ServiceName name) {
     return Optional.ofNullable(services.get(name));
   }
 
   /** Collects the parts of a configuration. */
   public static final class Builder {
     private final long version;
-    private Limits limits = Limits.STANDARD;
+    private InboundLimits limits = InboundLimits.STANDARD;
     private boolean keysNeeded;
     private final List<Route> routes = new ArrayList<>();
-    private final Map<ServiceName, ServicePlan> services = new HashMap<>();
-    private final List<AccountPlan> accounts = new ArrayList<>();
+    private final Map<ServiceName, ServiceConfiguration> services = new HashMap<>();
+    private final List<AccountConfiguration> accounts = new ArrayList<>();
 
     private Builder(long version) {
       this.version = version;
     }
 
-    public Builder limits(Limits value) {
+    public Builder limits(InboundLimits value) {
       limits = value;
       return this;
     }
@@ -93,13 +93,13 @@
       return this;
     }
 
-    public Builder add(ServicePlan service) {
+    public Builder add(ServiceConfiguration service) {
       services.put(service.name(), service);
       return this;
     }
 
     /** Adds an account; from then on routes that are not open need a key. */
-    public Builder add(AccountPlan account) {
+    public Builder add(AccountConfiguration account) {
       accounts.add(account);
       return needKeys();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
@@ -13,7 +13,7 @@
  * clock: what was acknowledged before then is known here. A configuration never goes back to an
  * earlier version within a process.
  */
-public final class ConfigurationKeeper {
+public final class ConfigurationHolder {
   /** Covers rounding, and the time between the check and the request's way to a target. */
   private static final long REVOCATION_MARGIN_MILLIS = 150;
 
@@ -39,10 +39,10 @@
         implements Lookup {}
 
     /** The request is to be refused. */
-    record Denied(Refusal refusal) implements Lookup {}
+    record Denied(Rejection refusal) implements Lookup {}
   }
 
-  public ConfigurationKeeper(CoreContext context, Bounds bounds) {
+  public ConfigurationHolder(CoreContext context, Bounds bounds) {
     this.context = context;
     this.bounds = bounds;
   }
@@ -110,32 +110,32 @@
   /** Looks a request up that has just arrived. */
   public Lookup find(String hostName, String path, Optional<String> key) {
     if (current.isEmpty()) {
-      return new Lookup.Denied(Refusal.NO_CONFIGURATION);
+      return new Lookup.Denied(Rejection.NO_CONFIGURATION);
     }
     Configuration configuration = current.get();
     Optional<Route> route = configuration.route(hostName, path);
     if (route.isEmpty()) {
-      return unknown(Refusal.NO_ROUTE);
+      return unknown(Rejection.NO_ROUTE);
     }
     if (route.get().open() || !configuration.keysNeeded()) {
       return new Lookup.Allowed(configuration, route.get(), Optional.empty());
     }
     if (key.isEmpty()) {
-      return new Lookup.Denied(Refusal.UNKNOWN_KEY);
+      return new Lookup.Denied(Rejection.UNKNOWN_KEY);
     }
     if (!takesKeys()) {
       reportStale();
-      return new Lookup.Denied(Refusal.STALE_CONFIGURATION);
+      return new Lookup.Denied(Rejection.STALE_CONFIGURATION);
     }
-    Optional<AccountPlan> account = configuration.account(key.get());
+    Optional<AccountConfiguration> account = configuration.account(key.get());
     if (account.isEmpty()) {
-      return unknown(Refusal.UNKNOWN_KEY);
+      return unknown(Rejection.UNKNOWN_KEY);
     }
     return new Lookup.Allowed(configuration, route.get(), Optional.of(account.get().id()));
   }
 
-  private Lookup unknown(Refusal refusal) {
-    return new Lookup.Denied(isFresh() ? refusal : Refusal.STALE_CONFIGURATION);
+  private Lookup unknown(Rejection refusal) {
+    return new Lookup.Denied(isFresh() ? refusal : Rejection.STALE_CONFIGURATION);
   }
 
   private void reportStale() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyPlan.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
@@ -13,7 +13,7 @@
  * known by its address: if it restarts meanwhile, its next run holds nothing of before, and has a
  * copy only if the runner went on making events.
  */
-final class CopyPlan {
+final class CopyTracker {
   private final Forwarder forwarder;
   private final ForwardRequest request;
   private final ServiceName service;
@@ -21,7 +21,7 @@
   private Optional<Address> left = Optional.empty();
   private long leftAt;
 
-  CopyPlan(Forwarder forwarder, ForwardRequest request, ServiceName service) {
+  CopyTracker(Forwarder forwarder, ForwardRequest request, ServiceName service) {
     this.forwarder = forwarder;
     this.request = request;
     this.service = service;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
@@ -9,7 +9,7 @@
   private final Map<DocumentKind, SharedDocument> documents = new EnumMap<>(DocumentKind.class);
 
   /** What became of a reading. */
-  public enum Taken {
+  public enum UpdateResult {
     /** Its content differs from what was known. */
     CHANGED,
     /** Its content was known already; only its proof may be newer. */
@@ -19,19 +19,19 @@
   }
 
   /** Takes a reading in. */
-  public Taken take(SharedDocument reading) {
+  public UpdateResult take(SharedDocument reading) {
     SharedDocument known = documents.get(reading.kind());
     if (known != null && known.digest().equals(reading.digest())) {
       long version = Math.max(known.version(), reading.version());
       long provenAt = Math.max(known.provenAt(), reading.provenAt());
       documents.put(reading.kind(), known.proved(version, provenAt));
-      return Taken.CONFIRMED;
+      return UpdateResult.CONFIRMED;
     }
     if (known != null && reading.version() < known.version()) {
-      return Taken.OUTDATED;
+      return UpdateResult.OUTDATED;
     }
     documents.put(reading.kind(), reading);
-    return Taken.CHANGED;
+    return UpdateResult.CHANGED;
   }
 
   public Optional<SharedDocument> find(DocumentKind kind) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -50,7 +50,7 @@
   private final HostDirectory directory;
   private final DocumentCache cache;
   private final DocumentSources sources;
-  private final BiConsumer<SharedDocument, DocumentCache.Taken> taken;
+  private final BiConsumer<SharedDocument, DocumentCache.UpdateResult> taken;
   private final long freshMillis;
   private final long readerMillis;
   private final long askerMillis;
@@ -66,14 +66,14 @@
   /** One attempt to learn everything anew. */
   private final class Round {
     private final long askedAt;
-    private final Poller.Reply reply;
+    private final Poller.Completion reply;
     private final Set<DocumentKind> open = EnumSet.noneOf(DocumentKind.class);
     private Optional<Address> reader = Optional.empty();
     private boolean readerAnswered;
     private final Set<DocumentKind> asked = EnumSet.noneOf(DocumentKind.class);
     private String problem = "";
 
-    private Round(long askedAt, Poller.Reply reply) {
+    private Round(long askedAt, Poller.Completion reply) {
       this.askedAt = askedAt;
       this.reply = reply;
     }
@@ -88,7 +88,7 @@
       sources.askPeer(reader.get(), cache, this::readerAnswered);
     }
 
-    private void readerAnswered(Optional<List<DocumentSources.PeerReading>> answer) {
+    private void readerAnswered(Optional<List<DocumentSources.PeerDocument>> answer) {
       intervalMillis = askerMillis;
       readerAnswered = answer.isPresent();
       takeAll(answer, askedAt);
@@ -145,11 +145,11 @@
           });
     }
 
-    private void storeAnswered(DocumentKind kind, DocumentSources.StoreAnswer answer) {
+    private void storeAnswered(DocumentKind kind, DocumentSources.StoreResponse answer) {
       open.remove(kind);
-      if (answer instanceof DocumentSources.StoreAnswer.Read read) {
+      if (answer instanceof DocumentSources.StoreResponse.Read read) {
         DocumentRefresher.this.take(kind, read, askedAt);
-      } else if (answer instanceof DocumentSources.StoreAnswer.Failed failed && kind.isUrgent()) {
+      } else if (answer instanceof DocumentSources.StoreResponse.Failed failed && kind.isUrgent()) {
         problem = kind + ": " + failed.problem();
       }
       askForNeeded();
@@ -202,7 +202,7 @@
           });
     }
 
-    private void takeAll(Optional<List<DocumentSources.PeerReading>> answer, long sentAt) {
+    private void takeAll(Optional<List<DocumentSources.PeerDocument>> answer, long sentAt) {
       answer.orElse(List.of()).forEach(reading -> takeFromPeer(reading, sentAt));
     }
   }
@@ -219,7 +219,7 @@
       DocumentCache cache,
       DocumentSources sources,
       long boundMillis,
-      BiConsumer<SharedDocument, DocumentCache.Taken> taken) {
+      BiConsumer<SharedDocument, DocumentCache.UpdateResult> taken) {
     this.context = context;
     this.directory = directory;
     this.cache = cache;
@@ -240,7 +240,7 @@
   }
 
   /** Learns everything anew; to be called by a {@link Poller}. */
-  public void refresh(long askedAt, Poller.Reply reply) {
+  public void refresh(long askedAt, Poller.Completion reply) {
     new Round(askedAt, reply).start();
   }
 
@@ -249,7 +249,7 @@
     return intervalMillis;
   }
 
-  private void takeFromPeer(DocumentSources.PeerReading reading, long sentAt) {
+  private void takeFromPeer(DocumentSources.PeerDocument reading, long sentAt) {
     Optional<SharedDocument> known = cache.find(reading.kind());
     Optional<String> content =
         reading
@@ -271,13 +271,13 @@
   }
 
   /** Takes in what the store said to a question beside the usual ones. */
-  public void take(DocumentKind kind, DocumentSources.StoreAnswer.Read read, long askedAt) {
+  public void take(DocumentKind kind, DocumentSources.StoreResponse.Read read, long askedAt) {
     take(new SharedDocument(kind, read.content(), read.digest(), read.version(), askedAt));
   }
 
   private void take(SharedDocument document) {
-    DocumentCache.Taken outcome = cache.take(document);
-    if (outcome != DocumentCache.Taken.OUTDATED) {
+    DocumentCache.UpdateResult outcome = cache.take(document);
+    if (outcome != DocumentCache.UpdateResult.OUTDATED) {
       taken.accept(document, outcome);
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentSources.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentSources.java
@@ -8,22 +8,22 @@
 /** How documents are asked for; each answer is given exactly once, later, on the control thread. */
 public interface DocumentSources {
   /** Reads a document from the store. */
-  void askStore(DocumentKind kind, Consumer<StoreAnswer> answer);
+  void askStore(DocumentKind kind, Consumer<StoreResponse> answer);
 
   /**
    * Asks another host for all documents that it has; the answer is empty if there is none.
    *
    * @param known what is known here, so that equal contents need not travel
    */
-  void askPeer(Address peer, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer);
+  void askPeer(Address peer, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer);
 
   /** What the store said. */
-  sealed interface StoreAnswer {
+  sealed interface StoreResponse {
     /** It has this document. */
-    record Read(String content, String digest, long version) implements StoreAnswer {}
+    record Read(String content, String digest, long version) implements StoreResponse {}
 
     /** Nothing can be made of what came, if anything did. */
-    record Failed(String problem) implements StoreAnswer {}
+    record Failed(String problem) implements StoreResponse {}
   }
 
   /**
@@ -32,6 +32,6 @@
    * @param content empty if the content is the one known here
    * @param ageMillis how long before its answer the other host's proof began
    */
-  record PeerReading(
+  record PeerDocument(
       DocumentKind kind, Optional<String> content, String digest, long version, long ageMillis) {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -23,7 +23,7 @@
   private final Forwarder forwarder;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final Reply reply;
+  private final CallerResponse reply;
   private final Route route;
   private final ServiceName service;
   private final Optional<AccountId> account;
@@ -31,16 +31,16 @@
   private final long deadline;
   private final TimerQueue.Timer deadlineTimer;
   private final TargetSearch search;
-  private final SilenceWatch silence;
-  private final Turn turn;
+  private final StallDetector silence;
+  private final AdmissionWait turn;
   private final Placement placement;
   private final ExchangeLog log;
-  private final EndCheck ends;
+  private final ResponseEndCheck ends;
   private final StreamRelay relay;
-  private final VersionWitness witness;
-  private final Retries retries;
-  private final TryCount tries;
-  private final PoisonWatch poison;
+  private final VersionObserver witness;
+  private final RetryController retries;
+  private final AttemptCounter tries;
+  private final PoisonDetector poison;
   private Attempt attempt;
   private boolean mayHaveRun;
   private boolean over;
@@ -49,15 +49,15 @@
       Forwarder forwarder,
       ForwardRequest request,
       CallerPort caller,
-      ConfigurationKeeper.Lookup.Allowed allowed) {
+      ConfigurationHolder.Lookup.Allowed allowed) {
     this.forwarder = forwarder;
     this.context = forwarder.context();
     this.request = request;
-    this.reply = new Reply(caller);
+    this.reply = new CallerResponse(caller);
     this.route = allowed.route();
     this.account = allowed.account();
     this.poison =
-        new PoisonWatch(forwarder, () -> Fingerprint.of(account, request.contentDigest()));
+        new PoisonDetector(forwarder, () -> Fingerprint.of(account, request.contentDigest()));
     this.service = route.chooseService(context.random().nextDouble());
     this.search =
         new TargetSearch(
@@ -65,22 +65,22 @@
             request,
             route,
             service,
-            allowed.configuration().service(service).flatMap(ServicePlan::engine));
+            allowed.configuration().service(service).flatMap(ServiceConfiguration::engine));
     this.startedAt = context.now();
     this.deadline =
         startedAt
             + Math.min(route.timeoutMillis(), request.remainingMillis().orElse(Long.MAX_VALUE));
     this.relay = new StreamRelay(this, context, request, reply, route);
-    this.witness = new VersionWitness(forwarder.rollouts(), service, route);
+    this.witness = new VersionObserver(forwarder.rollouts(), service, route);
     this.log = new ExchangeLog(forwarder, this, request);
-    this.retries = new Retries(forwarder, this, log, route, service, reply, relay, deadline);
+    this.retries = new RetryController(forwarder, this, log, route, service, reply, relay, deadline);
     this.tries = retries.tries();
-    this.ends = new EndCheck(forwarder, this, relay, log);
+    this.ends = new ResponseEndCheck(forwarder, this, relay, log);
     this.placement = new Placement(forwarder, this, search, retries, route, log, deadline);
     this.deadlineTimer = context.timers().add(deadline, this::deadlinePassed);
-    this.silence = new SilenceWatch(forwarder, this, route);
+    this.silence = new StallDetector(forwarder, this, route);
     this.turn =
-        new Turn(
+        new AdmissionWait(
             forwarder,
             this,
             log,
@@ -90,7 +90,7 @@
   /** Begins to look for a target. */
   void start() {
     if (poison.isHeld()) {
-      refuse(Refusal.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
+      refuse(Rejection.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
       return;
     }
     forwarder.budgets().earn(service);
@@ -118,9 +118,9 @@
       return;
     }
     if (reply.hasBegun()) {
-      abort(Refusal.STOPPING.name());
+      abort(Rejection.STOPPING.name());
     } else {
-      giveUp(mayHaveRun || isRunning() ? Refusal.TARGET_FAILED : Refusal.STOPPING);
+      giveUp(mayHaveRun || isRunning() ? Rejection.TARGET_FAILED : Rejection.STOPPING);
     }
   }
 
@@ -138,8 +138,8 @@
   }
 
   /** Returns the refusal that is true of a request that no target can be tried for any more. */
-  Refusal unserved(Refusal ifNotRun) {
-    return mayHaveRun ? Refusal.TARGET_FAILED : ifNotRun;
+  Rejection unserved(Rejection ifNotRun) {
+    return mayHaveRun ? Rejection.TARGET_FAILED : ifNotRun;
   }
 
   Attempt attempt() {
@@ -147,7 +147,7 @@
   }
 
   /** Returns what watches whether targets end under this request. */
-  PoisonWatch poison() {
+  PoisonDetector poison() {
     return poison;
   }
 
@@ -168,17 +168,17 @@
   void held() {
     boolean runs = attempt != null && !attempt.isClosed() && attempt.hasEvents();
     if (!over && !runs) {
-      giveUp(mayHaveRun || isRunning() ? Refusal.TARGET_FAILED : Refusal.HELD_BACK);
+      giveUp(mayHaveRun || isRunning() ? Rejection.TARGET_FAILED : Rejection.HELD_BACK);
     }
   }
 
   void tryNext() {
     if (poison.isHeld()) {
-      giveUp(unserved(Refusal.HELD_BACK));
+      giveUp(unserved(Rejection.HELD_BACK));
       return;
     }
     if (tries.isUsedUp()) {
-      giveUp(unserved(Refusal.OVERLOADED));
+      giveUp(unserved(Rejection.OVERLOADED));
       return;
     }
     placement.next();
@@ -226,7 +226,7 @@
   }
 
   void answered(Attempt from) {
-    AnswerHead head = from.head();
+    ResponseHead head = from.head();
     from.noteHead(context.now());
     from.noteSign(context.now());
     forwarder.statements().heard(from);
@@ -268,7 +268,7 @@
     log.note(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
   }
 
-  void ended(Attempt from, AnswerEnd end) {
+  void ended(Attempt from, ResponseEnd end) {
     ends.ended(from, end);
   }
 
@@ -279,7 +279,7 @@
     if (route.kind() != RouteKind.STREAM) {
       forwarder.overload().learn(service, from.endedAt() - from.startedAt());
     }
-    Answer answer = from.takeAnswer();
+    TargetResponse answer = from.takeAnswer();
     search.answered(from, answer);
     witness.whole(from, answer);
     poison.ranWell();
@@ -294,7 +294,7 @@
     answer(answer);
   }
 
-  private void answer(Answer answer) {
+  private void answer(TargetResponse answer) {
     reply.finish(answer);
     log.note(EventCode.REQUEST_ANSWERED, "status=" + answer.head().status());
     forwarder.answered(route, context.now() - startedAt);
@@ -327,15 +327,15 @@
       return;
     }
     boolean ran = mayHaveRun || isRunning();
-    giveUp(ran ? Refusal.TIMED_OUT : Refusal.NOT_STARTED_IN_TIME);
+    giveUp(ran ? Rejection.TIMED_OUT : Rejection.NOT_STARTED_IN_TIME);
   }
 
   /** Ends the request by what the caller has so far, by an error kept back, or by a refusal. */
-  void giveUp(Refusal refusal) {
+  void giveUp(Rejection refusal) {
     giveUp(refusal, forwarder.policy().retryAfterMillis(), "");
   }
 
-  void giveUp(Refusal refusal, long retryAfterMillis, String inputs) {
+  void giveUp(Rejection refusal, long retryAfterMillis, String inputs) {
     closeAttempt();
     if (reply.hasBegun()) {
       abort(refusal.name());
@@ -346,7 +346,7 @@
     }
   }
 
-  void refuse(Refusal refusal, long retryAfterMillis, String inputs) {
+  void refuse(Rejection refusal, long retryAfterMillis, String inputs) {
     reply.refuse(refusal, refusal.retryAfterMillis(retryAfterMillis));
     String separator = inputs.isEmpty() ? "" : " ";
     log.note(EventCode.REQUEST_REFUSED, "reason=" + refusal + separator + inputs);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -37,7 +37,7 @@
   }
 
   void forwarded(Route route, Dispatch dispatch, TargetChoice choice, int tries) {
-    ConfigurationKeeper configuration = forwarder.configuration();
+    ConfigurationHolder configuration = forwarder.configuration();
     String inputs =
         "route="
             + route.name()
@@ -71,7 +71,7 @@
     note(EventCode.PROMPT_LOCATED, inputs);
   }
 
-  void ended(Attempt attempt, EndVerdict verdict) {
+  void ended(Attempt attempt, ResponseEndVerdict verdict) {
     String inputs =
         "target="
             + attempt.target().description().id()
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ForwardObserver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ForwardObserver.java
@@ -6,7 +6,7 @@
   void answered(Route route, long millis);
 
   /** A caller got an answer of this host's own. */
-  void refused(Refusal refusal);
+  void refused(Rejection refusal);
 
   /** An answer was broken off after it had begun. */
   void interrupted(Route route);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -33,7 +33,7 @@
 public final class Forwarder implements Lender {
   private final CoreContext context;
   private final TargetRegistry targets;
-  private final ConfigurationKeeper configuration;
+  private final ConfigurationHolder configuration;
   private final ForwardPolicy policy;
   private final TargetPort port;
   private final ForwardObserver observer;
@@ -42,13 +42,13 @@
   private final TargetSelector selector;
   private final OverloadControl overload;
   private final RetryBudgets budgets;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy stopPlan;
   private final PromptLocator prompts;
   private final PoisonControl poison;
-  private final TargetEnds targetEnds;
+  private final TargetExitDetector targetEnds;
   private final TargetLimits limits;
   private final Rests rests;
-  private final StatementIntake statements;
+  private final AnnouncementReceiver statements;
   private final Set<Exchange> open = new LinkedHashSet<>();
   private final Set<TargetId> probing = new HashSet<>();
 
@@ -64,7 +64,7 @@
   public Forwarder(
       CoreContext context,
       TargetRegistry targets,
-      ConfigurationKeeper configuration,
+      ConfigurationHolder configuration,
       ForwardPolicy policy,
       TargetPort port,
       ForwardObserver observer,
@@ -83,14 +83,14 @@
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
     this.limits = new TargetLimits(context, facts, directory, loans);
     this.rests = new Rests(context, facts);
-    this.statements = new StatementIntake(context, facts, limits.book(), rests);
-    this.port = new ListeningPort(context, port, statements);
+    this.statements = new AnnouncementReceiver(context, facts, limits.book(), rests);
+    this.port = new ObservingTargetPort(context, port, statements);
     this.selector = new TargetSelector(context, targets, loads, directory, rests::restsElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
-    this.stopPlan = new StopPlan(context);
+    this.stopPlan = new ShutdownPolicy(context);
     this.prompts = new PromptLocator(context, targets, this.port, rests::isResting);
     this.poison = poison;
-    this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
+    this.targetEnds = new TargetExitDetector(context, this.port, poison, policy.unreachableMillis());
     this.overload =
         new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
     loads.exchangeTargetFacts(facts);
@@ -108,11 +108,11 @@
 
   /** Takes a whole request in; it is answered through {@code caller}, perhaps at once. */
   public Optional<Exchange> accept(ForwardRequest request, CallerPort caller) {
-    ConfigurationKeeper.Lookup found =
+    ConfigurationHolder.Lookup found =
         configuration.find(request.hostName(), request.path(), request.key());
-    if (found instanceof ConfigurationKeeper.Lookup.Allowed allowed) {
+    if (found instanceof ConfigurationHolder.Lookup.Allowed allowed) {
       if (!stopPlan.takes(allowed.route().kind())) {
-        refuse(request, caller, Refusal.STOPPING);
+        refuse(request, caller, Rejection.STOPPING);
         return Optional.empty();
       }
       Exchange exchange = new Exchange(this, request, caller, allowed);
@@ -120,12 +120,12 @@
       exchange.start();
       return Optional.of(exchange);
     }
-    refuse(request, caller, ((ConfigurationKeeper.Lookup.Denied) found).refusal());
+    refuse(request, caller, ((ConfigurationHolder.Lookup.Denied) found).refusal());
     return Optional.empty();
   }
 
   /** Refuses a request that this host has not taken up. */
-  private void refuse(ForwardRequest request, CallerPort caller, Refusal refusal) {
+  private void refuse(ForwardRequest request, CallerPort caller, Rejection refusal) {
     caller.refuse(refusal, policy.retryAfterMillis());
     context.note(
         EventCode.REQUEST_REFUSED,
@@ -193,7 +193,7 @@
       boolean concerned =
           exchange.mayMove()
               && exchange.currentTarget().isPresent()
-              && SilenceWatch.isSilent(exchange.attempt(), target, askedAt);
+              && StallDetector.isSilent(exchange.attempt(), target, askedAt);
       if (concerned) {
         exchange.targetLost(TargetFailure.TIMEOUT);
       }
@@ -231,7 +231,7 @@
     observer.answered(route, millis);
   }
 
-  void refused(Refusal refusal) {
+  void refused(Rejection refusal) {
     observer.refused(refusal);
   }
 
@@ -247,7 +247,7 @@
     return targets;
   }
 
-  ConfigurationKeeper configuration() {
+  ConfigurationHolder configuration() {
     return configuration;
   }
 
@@ -279,7 +279,7 @@
     return poison;
   }
 
-  TargetEnds targetEnds() {
+  TargetExitDetector targetEnds() {
     return targetEnds;
   }
 
@@ -294,7 +294,7 @@
   }
 
   /** Returns what takes in what targets say of themselves. */
-  StatementIntake statements() {
+  AnnouncementReceiver statements() {
     return statements;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Limits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/InboundLimits.java
@@ -8,7 +8,7 @@
  * @param headMillis the longest time from the first byte of a head to its last
  * @param idleMillis how long a connection may rest between requests
  */
-public record Limits(int headBytes, int bodyBytes, long headMillis, long idleMillis) {
+public record InboundLimits(int headBytes, int bodyBytes, long headMillis, long idleMillis) {
   /** In force as long as no configuration is known. */
-  public static final Limits STANDARD = new Limits(16_384, 4 << 20, 3_000, 15_000);
+  public static final InboundLimits STANDARD = new InboundLimits(16_384, 4 << 20, 3_000, 15_000);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ListeningPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
@@ -8,12 +8,12 @@
 import org.gatereel.core.statement.Statements;
 
 /** The way to targets, on which what they say in answers to probes is listened to. */
-final class ListeningPort implements TargetPort {
+final class ObservingTargetPort implements TargetPort {
   private final CoreContext context;
   private final TargetPort port;
-  private final StatementIntake statements;
+  private final AnnouncementReceiver statements;
 
-  ListeningPort(CoreContext context, TargetPort port, StatementIntake statements) {
+  ObservingTargetPort(CoreContext context, TargetPort port, AnnouncementReceiver statements) {
     this.context = context;
     this.port = port;
     this.statements = statements;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -38,7 +38,7 @@
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final TargetSearch search;
-  private final Retries retries;
+  private final RetryController retries;
   private final Route route;
   private final ExchangeLog log;
   private final long deadline;
@@ -58,7 +58,7 @@
       Forwarder forwarder,
       Exchange exchange,
       TargetSearch search,
-      Retries retries,
+      RetryController retries,
       Route route,
       ExchangeLog log,
       long deadline) {
@@ -162,7 +162,7 @@
       long again = forwarder.overload().returnMillisAfter(first.getAsLong());
       refuse(again, "restMillis=" + first.getAsLong());
     } else {
-      exchange.giveUp(exchange.unserved(Refusal.NO_TARGET));
+      exchange.giveUp(exchange.unserved(Rejection.NO_TARGET));
     }
   }
 
@@ -180,7 +180,7 @@
 
   /** No target takes the request for now. */
   private void refuse(long againMillis, String inputs) {
-    exchange.giveUp(exchange.unserved(Refusal.OVERLOADED), againMillis, inputs);
+    exchange.giveUp(exchange.unserved(Rejection.OVERLOADED), againMillis, inputs);
   }
 
   private void chooseIfOpen() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonWatch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
@@ -14,7 +14,7 @@
  * target; one that lasted has not. That other requests were at the same target is for {@link
  * PoisonControl} to weigh.
  */
-final class PoisonWatch {
+final class PoisonDetector {
   /**
    * A run that broke by then had just begun: four times the longest that a target was seen to live
    * on, 120 ms. Ordinary runs broke 0.43 s or more after their beginning (30 of 30 on a day on
@@ -35,7 +35,7 @@
    *
    * @param fingerprint makes the request's fingerprint, once at the most
    */
-  PoisonWatch(Forwarder forwarder, Supplier<Fingerprint> fingerprint) {
+  PoisonDetector(Forwarder forwarder, Supplier<Fingerprint> fingerprint) {
     this.forwarder = forwarder;
     this.poison = forwarder.poison();
     this.fingerprint = Suppliers.memoize(fingerprint);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -21,7 +21,7 @@
   private final CoreContext context;
   private final String dependency;
   private final LongSupplier intervalMillis;
-  private final Question question;
+  private final Query question;
   private long retryMillis = FIRST_RETRY_MILLIS;
   private long asked;
   private long settled;
@@ -29,16 +29,16 @@
   private boolean stopped;
 
   /** Puts the question. */
-  public interface Question {
+  public interface Query {
     /**
      * Asks; {@code askedAt} is the present time, by which the answer's age will be taken. The reply
      * is called exactly once, later.
      */
-    void ask(long askedAt, Reply reply);
+    void ask(long askedAt, Completion reply);
   }
 
   /** Takes what came of a question. */
-  public interface Reply {
+  public interface Completion {
     /** Takes the problem that made the answer useless, or nothing if it was taken in. */
     void settled(Optional<String> problem);
   }
@@ -49,7 +49,7 @@
    * @param intervalMillis tells how long after a question the next one is due
    */
   public Poller(
-      CoreContext context, String dependency, LongSupplier intervalMillis, Question question) {
+      CoreContext context, String dependency, LongSupplier intervalMillis, Query question) {
     this.context = context;
     this.dependency = dependency;
     this.intervalMillis = intervalMillis;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Refusal.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Rejection.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.forward;
 
 /** The final answers that a host gives on its own account. */
-public enum Refusal {
+public enum Rejection {
   /** The request breaks the protocol. */
   MALFORMED(400),
   /** The key is missing, or no account holds it. */
@@ -43,7 +43,7 @@
 
   private final int status;
 
-  Refusal(int status) {
+  Rejection(int status) {
     this.status = status;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnswerEnd.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEnd.java
@@ -7,7 +7,7 @@
  * connection says so only where the target is known to have meant it: the connection of a process
  * that ends looks the same.
  */
-public enum AnswerEnd {
+public enum ResponseEnd {
   /** As many bytes came as the head announced, or the status has no body. */
   LENGTH_REACHED(true),
   /** The last chunk came. */
@@ -17,7 +17,7 @@
 
   private final boolean targetsWord;
 
-  AnswerEnd(boolean targetsWord) {
+  ResponseEnd(boolean targetsWord) {
     this.targetsWord = targetsWord;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/EndCheck.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
@@ -9,7 +9,7 @@
  * the time before, so that each end is given one of its own. A stream's run without events has
  * nothing but the target's word: that its process lives does not show that it ran.
  */
-final class EndCheck {
+final class ResponseEndCheck {
   private static final int FIRST_PROBE = 1;
 
   /** Two probes take three times a probe's time, which a stream may pause without being late. */
@@ -23,7 +23,7 @@
   private final StreamRelay relay;
   private final ExchangeLog log;
 
-  EndCheck(Forwarder forwarder, Exchange exchange, StreamRelay relay, ExchangeLog log) {
+  ResponseEndCheck(Forwarder forwarder, Exchange exchange, StreamRelay relay, ExchangeLog log) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.relay = relay;
@@ -31,28 +31,28 @@
   }
 
   /** An attempt's answer is at its end; the exchange is told what that is taken for. */
-  void ended(Attempt from, AnswerEnd end) {
+  void ended(Attempt from, ResponseEnd end) {
     from.noteEnd(end, forwarder.context().now());
-    EndVerdict verdict = verdict(from);
+    ResponseEndVerdict verdict = verdict(from);
     decide(from, verdict);
-    if (verdict == EndVerdict.IN_DOUBT) {
+    if (verdict == ResponseEndVerdict.IN_DOUBT) {
       probe(from, FIRST_PROBE);
     }
   }
 
-  private EndVerdict verdict(Attempt from) {
+  private ResponseEndVerdict verdict(Attempt from) {
     if (from.answersWithStream()) {
       if (from.events().isWithinEvent()) {
-        return EndVerdict.WITHIN_EVENT;
+        return ResponseEndVerdict.WITHIN_EVENT;
       }
       if (relay.isCallerAheadOf(from)) {
-        return EndVerdict.BEHIND_CALLER;
+        return ResponseEndVerdict.BEHIND_CALLER;
       }
       if (!from.end().isTargetsWord() && !from.hasCome()) {
-        return EndVerdict.WITHOUT_EVENT;
+        return ResponseEndVerdict.WITHOUT_EVENT;
       }
     }
-    return from.end().isTargetsWord() ? EndVerdict.TARGETS_WORD : EndVerdict.IN_DOUBT;
+    return from.end().isTargetsWord() ? ResponseEndVerdict.TARGETS_WORD : ResponseEndVerdict.IN_DOUBT;
   }
 
   /** Meanwhile the caller may have left, or the attempt may have been given up. */
@@ -80,10 +80,10 @@
       return;
     }
     switch (result) {
-      case ALIVE -> decide(from, EndVerdict.TARGET_ALIVE);
+      case ALIVE -> decide(from, ResponseEndVerdict.TARGET_ALIVE);
       case GONE -> {
         exchange.poison().targetGone(from);
-        decide(from, EndVerdict.TARGET_GONE);
+        decide(from, ResponseEndVerdict.TARGET_GONE);
       }
       case ANSWERED, UNKNOWN -> unanswered(from, number, nextAt);
     }
@@ -95,20 +95,20 @@
    */
   private void unanswered(Attempt from, int number, long nextAt) {
     if (exchange.mayMove() && number >= MOST_PROBES_OF_THE_MOVABLE) {
-      decide(from, EndVerdict.TARGET_SILENT);
+      decide(from, ResponseEndVerdict.TARGET_SILENT);
       return;
     }
     long wait = Math.max(0, nextAt - forwarder.context().now());
     forwarder.context().after(wait, () -> probe(from, number + 1));
   }
 
-  private void decide(Attempt from, EndVerdict verdict) {
+  private void decide(Attempt from, ResponseEndVerdict verdict) {
     if (from.answersWithStream() || !from.end().isTargetsWord()) {
       log.ended(from, verdict);
     }
     if (verdict.failure().isPresent()) {
       exchange.failed(from, verdict.failure().get());
-    } else if (verdict != EndVerdict.IN_DOUBT) {
+    } else if (verdict != ResponseEndVerdict.IN_DOUBT) {
       exchange.whole(from);
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/EndVerdict.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndVerdict.java
@@ -4,7 +4,7 @@
 import org.gatereel.core.event.TargetFailure;
 
 /** What the end of a target's answer is taken for. */
-public enum EndVerdict {
+public enum ResponseEndVerdict {
   /** The target has said that nothing is missing. */
   TARGETS_WORD(Optional.empty()),
   /** The target closed the connection and lives, so that its end did not close it. */
@@ -24,7 +24,7 @@
 
   private final Optional<TargetFailure> failure;
 
-  EndVerdict(Optional<TargetFailure> failure) {
+  ResponseEndVerdict(Optional<TargetFailure> failure) {
     this.failure = failure;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnswerHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
@@ -4,7 +4,7 @@
 import org.gatereel.core.statement.Statements;
 
 /** The head of a target's answer; its headers are the transport's. */
-public interface AnswerHead {
+public interface ResponseHead {
   /** The status by which a target says that it is not the one that was meant. */
   int MISDIRECTED = 421;
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Retries.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryController.java
@@ -4,16 +4,16 @@
 import org.gatereel.core.model.ServiceName;
 
 /** Decides whether one request may be tried again, by its route, its answer and the budget. */
-final class Retries {
+final class RetryController {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final ExchangeLog log;
   private final Route route;
   private final ServiceName service;
-  private final Reply reply;
+  private final CallerResponse reply;
   private final StreamRelay relay;
   private final long deadline;
-  private final TryCount tries = new TryCount();
+  private final AttemptCounter tries = new AttemptCounter();
 
   /**
    * Makes the rule for a request.
@@ -21,13 +21,13 @@
    * @param service the service that has it, whose budget bears its repeats
    * @param deadline when its time is up, in milliseconds
    */
-  Retries(
+  RetryController(
       Forwarder forwarder,
       Exchange exchange,
       ExchangeLog log,
       Route route,
       ServiceName service,
-      Reply reply,
+      CallerResponse reply,
       StreamRelay relay,
       long deadline) {
     this.forwarder = forwarder;
@@ -40,7 +40,7 @@
     this.deadline = deadline;
   }
 
-  TryCount tries() {
+  AttemptCounter tries() {
     return tries;
   }
 
@@ -64,7 +64,7 @@
     if (reply.hasBegun() && !isResumableStream()) {
       exchange.abort("ANSWER_BROKEN");
     } else if (ran && !mayRunAgain()) {
-      exchange.giveUp(Refusal.TARGET_FAILED);
+      exchange.giveUp(Rejection.TARGET_FAILED);
     } else if (failed.mayHaveRun()) {
       repeat();
     } else {
@@ -86,6 +86,6 @@
       return;
     }
     log.note(EventCode.RETRY_BUDGET_SPENT, "service=" + service);
-    exchange.giveUp(exchange.unserved(Refusal.OVERLOADED));
+    exchange.giveUp(exchange.unserved(Rejection.OVERLOADED));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ServicePlan.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ServiceConfiguration.java
@@ -9,14 +9,14 @@
  * @param connectionLimit how many connections one target takes from all hosts together
  * @param engine what is known of its targets' memory if they are model engines
  */
-public record ServicePlan(ServiceName name, int connectionLimit, Optional<EnginePlan> engine) {
+public record ServiceConfiguration(ServiceName name, int connectionLimit, Optional<EngineConfiguration> engine) {
   /**
    * The memory of a model engine.
    *
    * @param cacheTokens how many tokens an engine holds, running and cached
    * @param copiesRuns whether an engine copies a run's memory to another one as it grows
    */
-  public record EnginePlan(long cacheTokens, boolean copiesRuns) {
+  public record EngineConfiguration(long cacheTokens, boolean copiesRuns) {
     /** What a run makes beside its prompt, as a part of it: some 1,000 tokens after 5,000. */
     private static final double OUTPUT_PART = 0.2;
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StopPlan.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ShutdownPolicy.java
@@ -11,7 +11,7 @@
  * is taken only if what its kind usually lasts fits into the time that is left; the others are
  * refused at once, so that they begin elsewhere instead of being cut off.
  */
-final class StopPlan {
+final class ShutdownPolicy {
   private static final double GAIN = 1.0 / 8;
   private static final double SAFETY = 1.5;
 
@@ -26,7 +26,7 @@
   private long takesUntil = Long.MAX_VALUE;
   private long endsAt = Long.MAX_VALUE;
 
-  StopPlan(CoreContext context) {
+  ShutdownPolicy(CoreContext context) {
     this.context = context;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/SilenceWatch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
@@ -10,13 +10,13 @@
  * <p>Silence alone proves little: a long prompt of somebody else holds an engine's tokens up. So a
  * silent target is probed, and only one that does not answer is given up.
  */
-final class SilenceWatch {
+final class StallDetector {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final Route route;
   private TimerQueue.Timer timer;
 
-  SilenceWatch(Forwarder forwarder, Exchange exchange, Route route) {
+  StallDetector(Forwarder forwarder, Exchange exchange, Route route) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.route = route;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -18,7 +18,7 @@
   private final Exchange exchange;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final Reply reply;
+  private final CallerResponse reply;
   private final Route route;
   private OptionalLong lastEventId;
   private boolean hasPassed;
@@ -26,7 +26,7 @@
   private long passedAt;
 
   StreamRelay(
-      Exchange exchange, CoreContext context, ForwardRequest request, Reply reply, Route route) {
+      Exchange exchange, CoreContext context, ForwardRequest request, CallerResponse reply, Route route) {
     this.exchange = exchange;
     this.context = context;
     this.request = request;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetEnds.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
@@ -19,7 +19,7 @@
  * a request. So the target is probed: one that answers lives, one at whose address nobody or
  * another run answers has ended. One that is silent may be cut off, and is asked again for a while.
  */
-final class TargetEnds {
+final class TargetExitDetector {
   /** A target that ended silently is back after some seconds, and then known to be another run. */
   private static final int MOST_PROBES = 6;
 
@@ -77,7 +77,7 @@
    *
    * @param patienceMillis how long a probe may go unanswered
    */
-  TargetEnds(CoreContext context, TargetPort port, PoisonControl poison, long patienceMillis) {
+  TargetExitDetector(CoreContext context, TargetPort port, PoisonControl poison, long patienceMillis) {
     this.context = context;
     this.port = port;
     this.poison = poison;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
@@ -9,7 +9,7 @@
  * <p>While the store is away, entries of targets lapse that live on; they are back about two
  * seconds after it returns. Until then a missing entry does not mean that its target is gone.
  */
-public final class TargetListKeeper {
+public final class TargetListUpdater {
   /** Entries lapse after some silence; a list that is younger has not missed any. */
   private static final long LEAST_AWAY_MILLIS = 2_500;
 
@@ -27,7 +27,7 @@
    * @param boundMillis within which a change is known while all goes well; lists come no further
    *     apart, so that a longer silence means that the store was away
    */
-  public TargetListKeeper(TargetRegistry targets, long boundMillis) {
+  public TargetListUpdater(TargetRegistry targets, long boundMillis) {
     this.targets = targets;
     this.awayMillis = Math.max(LEAST_AWAY_MILLIS, boundMillis);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
@@ -44,13 +44,13 @@
     void sent();
 
     /** The head of the answer is here. */
-    void answered(AnswerHead head);
+    void answered(ResponseHead head);
 
     /** Bytes of the answer's body are here. */
     void received(byte[] bytes);
 
     /** The answer is at its end; {@code end} tells how the transport knew. */
-    void ended(AnswerEnd end);
+    void ended(ResponseEnd end);
 
     /** There will be no whole answer. */
     void failed(TargetFailure failure);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -23,7 +23,7 @@
   private final Route route;
   private final ServiceName service;
   private final boolean copiesRuns;
-  private final CopyPlan copies;
+  private final CopyTracker copies;
   private final Set<TargetId> tried = new HashSet<>();
   private TargetQuery query;
   private boolean passesOverLimited;
@@ -35,15 +35,15 @@
       ForwardRequest request,
       Route route,
       ServiceName service,
-      Optional<ServicePlan.EnginePlan> engine) {
+      Optional<ServiceConfiguration.EngineConfiguration> engine) {
     this.forwarder = forwarder;
     this.request = request;
     this.route = route;
     this.service = service;
-    this.copies = new CopyPlan(forwarder, request, service);
+    this.copies = new CopyTracker(forwarder, request, service);
     this.copiesRuns =
         route.kind() == RouteKind.STREAM
-            && engine.map(ServicePlan.EnginePlan::copiesRuns).orElse(false);
+            && engine.map(ServiceConfiguration.EngineConfiguration::copiesRuns).orElse(false);
     int fitting =
         engine.map(plan -> plan.fitting(request.promptTokens())).orElse(Integer.MAX_VALUE);
     this.query = new TargetQuery(service, Optional.empty(), fitting);
@@ -55,7 +55,7 @@
   }
 
   /** Returns what becomes of the copies of this request's runs. */
-  CopyPlan copies() {
+  CopyTracker copies() {
     return copies;
   }
 
@@ -187,7 +187,7 @@
   }
 
   /** Notes what a target's whole answer says of it. */
-  void answered(Attempt from, Answer answer) {
+  void answered(Attempt from, TargetResponse answer) {
     if (answer.isError()) {
       forwarder.targets().answeredWithError(from.target());
     } else {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/VersionWitness.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/VersionObserver.java
@@ -11,7 +11,7 @@
  * <p>A connection that breaks or does not come about is evidence against the target, which may have
  * crashed or been cut off, and not against its version.
  */
-final class VersionWitness {
+final class VersionObserver {
   /** The pace of a stream is known after so many events, some 0.8 s; not only at its end. */
   private static final int PACE_EVENTS = 16;
 
@@ -19,7 +19,7 @@
   private final ServiceName service;
   private final Route route;
 
-  VersionWitness(RolloutControl rollouts, ServiceName service, Route route) {
+  VersionObserver(RolloutControl rollouts, ServiceName service, Route route) {
     this.rollouts = rollouts;
     this.service = service;
     this.route = route;
@@ -52,7 +52,7 @@
   }
 
   /** A whole answer is here, which may be an error. */
-  void whole(Attempt attempt, Answer answer) {
+  void whole(Attempt attempt, TargetResponse answer) {
     if (!isStream()) {
       answered(
           attempt,
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationKeeperTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class ConfigurationKeeperTest {
+class ConfigurationHolderTest {
   private final ForwardWorld world = new ForwardWorld();
-  private final ConfigurationKeeper keeper = world.keeper;
+  private final ConfigurationHolder keeper = world.keeper;
 
   private Object refusal(String path, Optional<String> key) {
-    return keeper.find("example", path, key) instanceof ConfigurationKeeper.Lookup.Denied denied
+    return keeper.find("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
         ? denied.refusal()
         : "allowed";
   }
@@ -22,7 +22,7 @@
     assertEquals("allowed", refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
 
     world.pass(1);
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   /** Its steady clock stood still, so that by it alone removed keys would still be taken. */
@@ -30,7 +30,7 @@
   void refusesKeysAfterASuspensionUntilTheConfigurationIsProvedAnew() {
     world.pass(100);
     world.context.noteLost(4_800);
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
 
     keeper.confirm(1, world.context.knowledgeTime());
 
@@ -44,15 +44,15 @@
     keeper.confirm(1, askedAt);
 
     assertEquals(6_000, keeper.ageMillis());
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
   void callsNoKeyUnknownAfterASuspension() {
     world.context.noteLost(3_000);
 
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
@@ -82,13 +82,13 @@
 
   @Test
   void callsAKeyUnknownOnlyWhileTheConfigurationIsFresh() {
-    assertEquals(Refusal.UNKNOWN_KEY, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Refusal.NO_ROUTE, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.UNKNOWN_KEY, refusal("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.NO_ROUTE, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
 
     world.pass(2_000);
 
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Refusal.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
@@ -100,9 +100,9 @@
             .build();
     keeper.learn(configuration, world.context.now());
 
-    ConfigurationKeeper.Lookup.Allowed found =
+    ConfigurationHolder.Lookup.Allowed found =
         assertInstanceOf(
-            ConfigurationKeeper.Lookup.Allowed.class,
+            ConfigurationHolder.Lookup.Allowed.class,
             keeper.find("example", "/a/b/c", Optional.empty()));
 
     assertEquals("/a/b/", found.route().pathPrefix());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.gatereel.core.forward.DocumentSources.PeerReading;
-import org.gatereel.core.forward.DocumentSources.StoreAnswer;
+import org.gatereel.core.forward.DocumentSources.PeerDocument;
+import org.gatereel.core.forward.DocumentSources.StoreResponse;
 import org.gatereel.core.forward.HostDirectory.Entry;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.Address;
@@ -46,25 +46,25 @@
 
   /** Keeps questions until the test answers them. */
   private static final class Sources implements DocumentSources {
-    private final Map<DocumentKind, Consumer<StoreAnswer>> store =
+    private final Map<DocumentKind, Consumer<StoreResponse>> store =
         new EnumMap<>(DocumentKind.class);
     private final List<Address> peers = new ArrayList<>();
-    private Consumer<Optional<List<PeerReading>>> peer;
+    private Consumer<Optional<List<PeerDocument>>> peer;
 
     @Override
-    public void askStore(DocumentKind kind, Consumer<StoreAnswer> answer) {
+    public void askStore(DocumentKind kind, Consumer<StoreResponse> answer) {
       store.put(kind, answer);
     }
 
     @Override
     public void askPeer(
-        Address address, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
+        Address address, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
       peers.add(address);
       peer = answer;
     }
 
-    void answerStore(StoreAnswer answer) {
-      Map<DocumentKind, Consumer<StoreAnswer>> asked = new EnumMap<>(store);
+    void answerStore(StoreResponse answer) {
+      Map<DocumentKind, Consumer<StoreResponse>> asked = new EnumMap<>(store);
       store.clear();
       asked.values().forEach(listener -> listener.accept(answer));
     }
@@ -86,15 +86,15 @@
     }
   }
 
-  private static PeerReading reading(DocumentKind kind, long version, long ageMillis) {
-    return new PeerReading(kind, Optional.of("text"), "digest" + version, version, ageMillis);
+  private static PeerDocument reading(DocumentKind kind, long version, long ageMillis) {
+    return new PeerDocument(kind, Optional.of("text"), "digest" + version, version, ageMillis);
   }
 
   @Test
   void aHostWithoutAReaderReadsTheStoreItself() {
     refresh(100);
     context.moveTo(150);
-    sources.answerStore(new StoreAnswer.Read("text", "digest", 7));
+    sources.answerStore(new StoreResponse.Read("text", "digest", 7));
     assertEquals(Optional.empty(), settled);
     assertEquals(3, taken.size());
     assertTrue(taken.stream().allMatch(document -> document.provenAt() == 100));
@@ -123,7 +123,7 @@
     knowReader(NORTH);
     refresh(1_000);
     sources.peer.accept(Optional.empty());
-    sources.answerStore(new StoreAnswer.Read("text", "digest", 7));
+    sources.answerStore(new StoreResponse.Read("text", "digest", 7));
     assertEquals(Optional.empty(), settled);
     refresh(1_600);
     assertEquals(1, sources.peers.size());
@@ -144,7 +144,7 @@
   void aHostThatTheStoreTurnsAwayLearnsFromAnyOtherHost() {
     knowFarHostThatDoesNotRead();
     refresh(1_000);
-    sources.answerStore(new StoreAnswer.Failed("status 503"));
+    sources.answerStore(new StoreResponse.Failed("status 503"));
     assertEquals(List.of(PEER), sources.peers);
     context.moveTo(1_200);
     sources.peer.accept(Optional.of(List.of(reading(DocumentKind.CONFIGURATION, 7, 100))));
@@ -155,10 +155,10 @@
   @Test
   void equalContentsAreOnlyConfirmedAndOlderOnesIgnored() {
     refresh(100);
-    sources.answerStore(new StoreAnswer.Read("text", "digest9", 9));
+    sources.answerStore(new StoreResponse.Read("text", "digest9", 9));
     knowReader(NORTH);
     refresh(1_000);
-    PeerReading same = new PeerReading(DocumentKind.TARGETS, Optional.empty(), "digest9", 9, 20);
+    PeerDocument same = new PeerDocument(DocumentKind.TARGETS, Optional.empty(), "digest9", 9, 20);
     sources.peer.accept(Optional.of(List.of(same, reading(DocumentKind.CONFIGURATION, 8, 10))));
     assertEquals(980, cache.find(DocumentKind.TARGETS).orElseThrow().provenAt());
     assertEquals(100, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
@@ -184,7 +184,7 @@
                   reading(DocumentKind.TARGETS, 7, age))));
     }
     assertTrue(asked - provenAt <= 0.75 * BOUND_MILLIS, "the store was asked after " + asked);
-    sources.answerStore(new StoreAnswer.Read("text", "digest8", 8));
+    sources.answerStore(new StoreResponse.Read("text", "digest8", 8));
     assertEquals(asked, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
   }
 
@@ -205,7 +205,7 @@
     for (long now = 1_000; now < 9_000; now += 500) {
       readerIsBehind(now);
       askedTheStore += sources.store.isEmpty() ? 0 : 1;
-      sources.answerStore(new StoreAnswer.Failed("status 503"));
+      sources.answerStore(new StoreResponse.Failed("status 503"));
       sources.peer.accept(Optional.empty());
       assertTrue(settled.isPresent());
       assertEquals(Optional.of(PEER), directory.reader(now));
@@ -218,7 +218,7 @@
   void aReaderThatIsBehindThoughTheStoreAnswersIsPassedOver() {
     knowReader(NORTH);
     readerIsBehind(1_000);
-    sources.answerStore(new StoreAnswer.Read("text", "digest", 8));
+    sources.answerStore(new StoreResponse.Read("text", "digest", 8));
     assertEquals(Optional.empty(), settled);
     assertEquals(Optional.empty(), directory.reader(1_000));
   }
@@ -227,10 +227,10 @@
   void afterAnAnswerOfTheStoreItIsAskedAtOnceAgain() {
     knowReader(NORTH);
     readerIsBehind(1_000);
-    sources.answerStore(new StoreAnswer.Failed("status 503"));
+    sources.answerStore(new StoreResponse.Failed("status 503"));
     sources.peer.accept(Optional.empty());
     readerIsBehind(2_000);
-    sources.answerStore(new StoreAnswer.Read("text", "digest", 8));
+    sources.answerStore(new StoreResponse.Read("text", "digest", 8));
     directory.avoid(PEER, 2_000);
 
     readerIsBehind(4_500);
@@ -251,7 +251,7 @@
     for (long now = 0; now <= 20_000; now += 500) {
       refresh(now);
       boolean asked = sources.store.containsKey(DocumentKind.HOSTS);
-      sources.answerStore(new StoreAnswer.Read("text", "digest", now));
+      sources.answerStore(new StoreResponse.Read("text", "digest", now));
       assertEquals(now % 1_500 == 0 && now <= 4_500 || now == 12_500, asked, "at " + now);
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -46,7 +46,7 @@
   final HostDirectory directory;
   final List<IntConsumer> borrowing = new ArrayList<>();
   final List<TokenQuestion> tokenQuestions = new ArrayList<>();
-  final ConfigurationKeeper keeper;
+  final ConfigurationHolder keeper;
   final TargetRegistry targets;
   final List<SentCall> sent = new ArrayList<>();
   final List<SentProbe> probes = new ArrayList<>();
@@ -107,7 +107,7 @@
       accepted();
       head(status, false);
       listener.received(body.getBytes(StandardCharsets.UTF_8));
-      listener.ended(AnswerEnd.LAST_CHUNK);
+      listener.ended(ResponseEnd.LAST_CHUNK);
       return this;
     }
   }
@@ -129,7 +129,7 @@
       boolean isAuthentic,
       boolean isEventStream,
       Statements statements)
-      implements AnswerHead {
+      implements ResponseHead {
     Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
       this(status, declaresNotRun, isAuthentic, isEventStream, Statements.NONE);
     }
@@ -159,7 +159,7 @@
     boolean hasStream;
     boolean finished;
     boolean aborted;
-    Refusal refusal;
+    Rejection refusal;
     long retryAfterMillis;
 
     boolean isOver() {
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void begin(AnswerHead head) {
+    public void begin(ResponseHead head) {
       checkOpen();
       if (status != -1) {
         throw new AssertionError("a second head");
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public void refuse(Refusal reason, long retryAfterMillis) {
+    public void refuse(Rejection reason, long retryAfterMillis) {
       checkOpen();
       refusal = reason;
       this.retryAfterMillis = retryAfterMillis;
@@ -216,7 +216,7 @@
     context =
         new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(seed));
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
-    keeper = new ConfigurationKeeper(context, new ConfigurationKeeper.Bounds(true, 5_000, 2_000));
+    keeper = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
     context.moveTo(START);
     TargetPort port =
@@ -284,7 +284,7 @@
     public void answered(Route route, long millis) {}
 
     @Override
-    public void refused(Refusal refusal) {}
+    public void refused(Rejection refusal) {}
 
     @Override
     public void interrupted(Route route) {}
@@ -295,8 +295,8 @@
         .add(route("/stream/", RouteKind.STREAM, ENGINES, 5))
         .add(route("/safe/", RouteKind.REPEATABLE, COUNTERS, 2))
         .add(route("/once/", RouteKind.ONCE, COUNTERS, 3))
-        .add(new ServicePlan(ENGINES, 100, Optional.of(new ServicePlan.EnginePlan(88_000, true))))
-        .add(new AccountPlan(new AccountId("a1"), Set.of(KEY), 1));
+        .add(new ServiceConfiguration(ENGINES, 100, Optional.of(new ServiceConfiguration.EngineConfiguration(88_000, true))))
+        .add(new AccountConfiguration(new AccountId("a1"), Set.of(KEY), 1));
   }
 
   static Route route(String prefix, RouteKind kind, ServiceName service, int attempts) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
@@ -153,18 +153,18 @@
       case START_ANEW -> call.ifPresent(open -> eventAgain(open, 1));
       case EVENT_WITHOUT_ID -> call.ifPresent(this::eventWithoutId);
       case COMMENT -> call.ifPresent(this::comment);
-      case HALF_EVENT_THEN_END -> call.ifPresent(open -> halfEvent(open, AnswerEnd.LAST_CHUNK));
+      case HALF_EVENT_THEN_END -> call.ifPresent(open -> halfEvent(open, ResponseEnd.LAST_CHUNK));
       case HALF_EVENT_THEN_RESET -> call.ifPresent(this::halfEventThenReset);
       case HALF_EVENT_THEN_CLOSE ->
-          call.ifPresent(open -> halfEvent(open, AnswerEnd.CONNECTION_CLOSED));
-      case END -> call.ifPresent(open -> end(open, AnswerEnd.LAST_CHUNK));
-      case END_BY_CLOSE -> call.ifPresent(open -> end(open, AnswerEnd.CONNECTION_CLOSED));
+          call.ifPresent(open -> halfEvent(open, ResponseEnd.CONNECTION_CLOSED));
+      case END -> call.ifPresent(open -> end(open, ResponseEnd.LAST_CHUNK));
+      case END_BY_CLOSE -> call.ifPresent(open -> end(open, ResponseEnd.CONNECTION_CLOSED));
       case DIE_BY_CLOSE -> call.ifPresent(this::dieByClose);
-      case ERROR -> call.ifPresent(open -> answer(open, ERROR_HEAD, AnswerEnd.LAST_CHUNK));
+      case ERROR -> call.ifPresent(open -> answer(open, ERROR_HEAD, ResponseEnd.LAST_CHUNK));
       case ERROR_BY_CLOSE ->
-          call.ifPresent(open -> answer(open, ERROR_HEAD, AnswerEnd.CONNECTION_CLOSED));
-      case OTHER_TYPE -> call.ifPresent(open -> answer(open, PLAIN_HEAD, AnswerEnd.LAST_CHUNK));
-      case UNSIGNED -> call.ifPresent(open -> answer(open, UNSIGNED_HEAD, AnswerEnd.LAST_CHUNK));
+          call.ifPresent(open -> answer(open, ERROR_HEAD, ResponseEnd.CONNECTION_CLOSED));
+      case OTHER_TYPE -> call.ifPresent(open -> answer(open, PLAIN_HEAD, ResponseEnd.LAST_CHUNK));
+      case UNSIGNED -> call.ifPresent(open -> answer(open, UNSIGNED_HEAD, ResponseEnd.LAST_CHUNK));
       case LATE_CALLBACKS -> lateCallbacks();
       case RESET -> call.ifPresent(open -> fail(open, TargetFailure.RESET));
       case NOT_CONNECTED -> call.ifPresent(this::notConnected);
@@ -312,7 +312,7 @@
     }
   }
 
-  private void halfEvent(ForwardWorld.SentCall call, AnswerEnd end) {
+  private void halfEvent(ForwardWorld.SentCall call, ResponseEnd end) {
     if (isStreaming(call)) {
       works.get(call).over = true;
       call.text("id: 9");
@@ -327,7 +327,7 @@
     }
   }
 
-  private void end(ForwardWorld.SentCall call, AnswerEnd end) {
+  private void end(ForwardWorld.SentCall call, ResponseEnd end) {
     if (!isStream(call)) {
       answer(call, PLAIN_HEAD, end);
       return;
@@ -355,11 +355,11 @@
       call.listener.answered(PLAIN_HEAD);
       call.text(WHOLE_BODY.substring(1));
     }
-    call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /** Answers without a stream; a target that has begun one can't any more. */
-  private void answer(ForwardWorld.SentCall call, ForwardWorld.Head head, AnswerEnd end) {
+  private void answer(ForwardWorld.SentCall call, ForwardWorld.Head head, ResponseEnd end) {
     if (isStreaming(call)) {
       return;
     }
@@ -382,8 +382,8 @@
         call.event(works.get(call).lastEvent + 1);
         call.head(500, false);
         call.text(WHOLE_BODY);
-        call.listener.ended(AnswerEnd.LAST_CHUNK);
-        call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+        call.listener.ended(ResponseEnd.LAST_CHUNK);
+        call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
         call.listener.failed(TargetFailure.RESET);
       }
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
@@ -37,9 +37,9 @@
           call -> call.event(2),
           call -> call.text("data: without id\n\n"),
           call -> call.text("id: 2\ndata: half"),
-          call -> call.listener.ended(AnswerEnd.LAST_CHUNK),
-          call -> call.listener.ended(AnswerEnd.LENGTH_REACHED),
-          call -> call.listener.ended(AnswerEnd.CONNECTION_CLOSED),
+          call -> call.listener.ended(ResponseEnd.LAST_CHUNK),
+          call -> call.listener.ended(ResponseEnd.LENGTH_REACHED),
+          call -> call.listener.ended(ResponseEnd.CONNECTION_CLOSED),
           call -> call.listener.failed(TargetFailure.RESET),
           call -> call.listener.failed(TargetFailure.NOT_CONNECTED),
           call -> call.listener.failed(TargetFailure.FULL));
@@ -50,7 +50,7 @@
           (exchange, call) -> exchange.targetLost(TargetFailure.TIMEOUT),
           (exchange, call) -> call.listener.failed(TargetFailure.RESET),
           (exchange, call) -> call.event(7),
-          (exchange, call) -> call.text("id: 2\ndata: ha").listener.ended(AnswerEnd.LAST_CHUNK));
+          (exchange, call) -> call.text("id: 2\ndata: ha").listener.ended(ResponseEnd.LAST_CHUNK));
 
   /** How far the next attempt has come when something is heard of the last one. */
   private static final List<Consumer<SentCall>> NEXT =
@@ -83,7 +83,7 @@
         if (next == NEXT.get(0) || next == NEXT.get(1)) {
           second.accepted().head(200, true);
         }
-        second.event(2).listener.ended(AnswerEnd.LAST_CHUNK);
+        second.event(2).listener.ended(ResponseEnd.LAST_CHUNK);
         assertTrue(asking.finished);
         assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), asking.body.toString());
       }
@@ -128,7 +128,7 @@
   void nothingIsHeardOfAnAttemptWhoseEndIsInDoubt() {
     world.ask("/stream/x", caller);
     SentCall call = world.last().accepted().head(200, true).event(1);
-    call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
 
     LATE.forEach(late -> late.accept(call));
 
@@ -145,7 +145,7 @@
   void aSecondAnswerOfAProbeChangesNothing() {
     world.ask("/stream/x", caller);
     SentCall first = world.last().accepted().head(200, true).event(1);
-    first.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    first.listener.ended(ResponseEnd.CONNECTION_CLOSED);
     ForwardWorld.SentProbe probe = world.lastProbe();
 
     probe.listener().probed(ProbeResult.GONE);
@@ -176,7 +176,7 @@
         waiting = asking;
         return exchange;
       }
-      world.last().accepted().head(200, true).listener.ended(AnswerEnd.LAST_CHUNK);
+      world.last().accepted().head(200, true).listener.ended(ResponseEnd.LAST_CHUNK);
       assertTrue(world.sent.size() < 100, "the own part never ends");
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -98,7 +98,7 @@
     call.listener.answered(
         new ForwardWorld.Head(
             200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
-    call.listener.ended(AnswerEnd.LAST_CHUNK);
+    call.listener.ended(ResponseEnd.LAST_CHUNK);
     assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
@@ -167,7 +167,7 @@
 
     world.pass(101);
 
-    assertEquals(Refusal.OVERLOADED, caller.refusal);
+    assertEquals(Rejection.OVERLOADED, caller.refusal);
     assertTrue(world.sent.isEmpty());
   }
 
@@ -225,7 +225,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.NOT_STARTED_IN_TIME, caller.refusal);
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
     answer(ONE);
     assertTrue(world.sent.isEmpty());
   }
@@ -237,7 +237,7 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
     answer(ONE);
     assertTrue(world.sent.isEmpty());
   }
@@ -359,6 +359,6 @@
 
     assertEquals(3, world.sent.size());
     world.pass(101);
-    assertEquals(Refusal.OVERLOADED, callers.get(3).refusal);
+    assertEquals(Rejection.OVERLOADED, callers.get(3).refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
@@ -32,7 +32,7 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -41,7 +41,7 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
   }
 
   @Test
@@ -52,7 +52,7 @@
     world.pass(2_600);
 
     assertEquals(Optional.empty(), world.ask("/safe/x", caller));
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
   }
 
   @Test
@@ -60,7 +60,7 @@
     world.forwarder.beginStop(world.context.now() + 2_600, world.context.now() + 7_100);
 
     world.ask("/stream/x", caller);
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
     assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
   }
 
@@ -72,13 +72,13 @@
       stream.event(id);
       world.pass(100);
     }
-    stream.listener.ended(AnswerEnd.LAST_CHUNK);
+    stream.listener.ended(ResponseEnd.LAST_CHUNK);
     world.keeper.confirm(1, world.context.now());
 
     world.forwarder.beginStop(world.context.now() + 2_600, world.context.now() + 7_499);
 
     world.ask("/stream/x", caller);
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
     assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
   }
 
@@ -92,7 +92,7 @@
     world.fail(world.last(), TargetFailure.RESET);
 
     assertEquals(3, world.sent.size());
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -125,7 +125,7 @@
 
     world.last().answer(503, "full");
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -135,7 +135,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.refusal);
   }
 
   @Test
@@ -144,7 +144,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.NOT_STARTED_IN_TIME, caller.refusal);
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
   }
 
   @Test
@@ -194,7 +194,7 @@
     world.ask(path, caller);
     ForwardWorld.SentCall call = world.last().accepted().head(status, false);
     call.listener.received("part".getBytes(StandardCharsets.UTF_8));
-    call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
     assertFalse(caller.isOver());
     return call;
   }
@@ -220,7 +220,7 @@
 
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
     assertEquals(1, world.sent.size());
   }
 
@@ -241,7 +241,7 @@
 
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -252,7 +252,7 @@
     world.last().accepted();
     world.fail(world.last(), TargetFailure.RESET);
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -261,7 +261,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.refusal);
     world.lastProbe().listener().probed(ProbeResult.ALIVE);
     assertFalse(caller.finished);
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -84,7 +84,7 @@
     convict("fatal");
 
     assertEquals(3, world.sent.size());
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -92,9 +92,9 @@
     convict("fatal");
 
     assertEquals(0, sentFor("/stream/x", "fatal"));
-    assertEquals(Refusal.HELD_BACK, caller.refusal);
-    assertTrue(Refusal.HELD_BACK.invitesRetry());
-    assertEquals(60_000, Refusal.HELD_BACK.retryAfterMillis(700));
+    assertEquals(Rejection.HELD_BACK, caller.refusal);
+    assertTrue(Rejection.HELD_BACK.invitesRetry());
+    assertEquals(60_000, Rejection.HELD_BACK.retryAfterMillis(700));
   }
 
   @Test
@@ -110,11 +110,11 @@
     for (int again = 0; again < 3; again++) {
       SentCall call = ask("/once/x", "fatal").accepted();
       breaks(call, ProbeResult.GONE);
-      assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+      assertEquals(Rejection.TARGET_FAILED, caller.refusal);
     }
 
     assertEquals(0, sentFor("/once/x", "fatal"));
-    assertEquals(Refusal.HELD_BACK, caller.refusal);
+    assertEquals(Rejection.HELD_BACK, caller.refusal);
   }
 
   @Test
@@ -145,7 +145,7 @@
   @Test
   void aTargetThatIsGoneAfterItsAnswerWithoutALengthHasEnded() {
     SentCall call = ask("/once/x", "fatal").accepted().head(200, false);
-    call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
     int probes = world.probes.size();
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
@@ -209,7 +209,7 @@
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
     assertEquals(3, world.sent.size());
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -255,7 +255,7 @@
     convict("fatal");
 
     assertTrue(waiting.cancelled);
-    assertEquals(Refusal.TARGET_FAILED, other.refusal);
+    assertEquals(Rejection.TARGET_FAILED, other.refusal);
   }
 
   @Test
@@ -267,7 +267,7 @@
     convict("fatal");
 
     assertTrue(world.sent.get(0).cancelled);
-    assertEquals(Refusal.HELD_BACK, other.refusal);
+    assertEquals(Rejection.HELD_BACK, other.refusal);
   }
 
   @Test
@@ -331,6 +331,6 @@
             PoisonFact.end(fingerprint("fatal"), new TargetId("c"), now, now)));
 
     assertEquals(0, sentFor("/stream/x", "fatal"));
-    assertEquals(Refusal.HELD_BACK, caller.refusal);
+    assertEquals(Rejection.HELD_BACK, caller.refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
@@ -15,7 +15,7 @@
   private final CoreContext context =
       new CoreContext(new HostId("host"), new DataCentre("north"), new SplittableRandom(1));
   private final List<Long> askedAt = new ArrayList<>();
-  private final List<Poller.Reply> replies = new ArrayList<>();
+  private final List<Poller.Completion> replies = new ArrayList<>();
   private final Poller poller =
       new Poller(
           context,
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
@@ -64,7 +64,7 @@
 
     world.borrowing.get(0).accept(0);
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
@@ -85,7 +85,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.refusal);
     world.borrowing.get(0).accept(1);
     assertFalse(caller.finished);
   }
@@ -96,6 +96,6 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -197,7 +197,7 @@
     world.ask("/safe/x", caller);
 
     assertEquals(0, world.sent.size());
-    assertEquals(Refusal.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.refusal);
   }
 
   /** Held back until somebody completes it, the whole service would be refused. */
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -61,7 +61,7 @@
     SentCall call = ask("/safe/x").accepted();
     call.listener.answered(head);
     if (!head.declaresNotRun()) {
-      call.listener.ended(AnswerEnd.LAST_CHUNK);
+      call.listener.ended(ResponseEnd.LAST_CHUNK);
     }
     return call.target();
   }
@@ -192,7 +192,7 @@
 
     world.ask("/safe/x", caller);
 
-    assertEquals(Refusal.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.refusal);
   }
 
   /** Another host heard it before this request was sent. */
@@ -208,7 +208,7 @@
 
     assertTrue(events().contains(EventCode.LEAVING_CONTRADICTED));
     world.ask("/safe/x", caller);
-    assertEquals(Refusal.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.refusal);
   }
 
   private static LoadReport report(TargetFact fact) {
@@ -303,7 +303,7 @@
 
     world.ask("/safe/x", caller);
 
-    assertEquals(Refusal.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.refusal);
   }
 
   @Test
@@ -384,7 +384,7 @@
     Caller later = new Caller();
     world.ask("/safe/x", later);
 
-    assertEquals(Refusal.OVERLOADED, later.refusal);
+    assertEquals(Rejection.OVERLOADED, later.refusal);
     assertTrue(later.retryAfterMillis >= 2_000 && later.retryAfterMillis <= 2_400);
     world.pass(2_000);
     int before = world.sent.size();
@@ -403,7 +403,7 @@
 
     world.last().accepted().listener.answered(head(503, true, shortRest));
 
-    assertEquals(Refusal.OVERLOADED, caller.refusal);
+    assertEquals(Rejection.OVERLOADED, caller.refusal);
     assertTrue(caller.retryAfterMillis >= 1);
   }
 
@@ -453,6 +453,6 @@
     world.ask("/safe/x", caller);
 
     assertTrue(world.tokenQuestions.isEmpty());
-    assertEquals(Refusal.OVERLOADED, caller.refusal);
+    assertEquals(Rejection.OVERLOADED, caller.refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -73,7 +73,7 @@
     assertFalse(caller.isOver());
     assertEquals(eventsUpTo(110), caller.body.toString());
     assertEquals(OptionalLong.of(110), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(111).listener.ended(AnswerEnd.LAST_CHUNK);
+    world.last().accepted().head(200, true).event(111).listener.ended(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(111), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -92,7 +92,7 @@
       assertFalse(asking.isOver(), "status " + status);
       assertEquals(3, fresh.sent.size());
       assertEquals(OptionalLong.of(1), fresh.last().dispatch.lastEventId());
-      fresh.last().accepted().head(200, true).event(2).listener.ended(AnswerEnd.LAST_CHUNK);
+      fresh.last().accepted().head(200, true).event(2).listener.ended(ResponseEnd.LAST_CHUNK);
       assertEquals(eventsUpTo(2), asking.body.toString());
       assertTrue(asking.finished);
     }
@@ -139,7 +139,7 @@
 
   /** Has a target end its answer by closing the connection, with neither length nor last chunk. */
   private static void close(ForwardWorld.SentCall call) {
-    call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /**
@@ -158,7 +158,7 @@
     assertFalse(caller.isOver());
     assertEquals(2, world.sent.size());
     assertEquals(OptionalLong.of(2), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(3).listener.ended(AnswerEnd.LAST_CHUNK);
+    world.last().accepted().head(200, true).event(3).listener.ended(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(3), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -297,7 +297,7 @@
   @Test
   void aRunWithoutOneEventIsAtItsEndOnlyByTheTargetsWord() {
     for (Start start : Start.values()) {
-      for (AnswerEnd end : AnswerEnd.values()) {
+      for (ResponseEnd end : ResponseEnd.values()) {
         ForwardWorld fresh = new ForwardWorld();
         Caller asking = new Caller();
         ForwardWorld.SentCall call = begin(start, fresh, asking);
@@ -320,7 +320,7 @@
       Caller asking = new Caller();
       ForwardWorld.SentCall call = begin(start, fresh, asking);
 
-      call.text(": still here\n\n").listener.ended(AnswerEnd.CONNECTION_CLOSED);
+      call.text(": still here\n\n").listener.ended(ResponseEnd.CONNECTION_CLOSED);
       fresh.probes.forEach(probe -> probe.listener().probed(ProbeResult.ALIVE));
 
       assertFalse(asking.isOver(), start.toString());
@@ -337,7 +337,7 @@
       ForwardWorld.SentCall call = begin(start, fresh, asking);
 
       call.event(start == Start.FRESH ? 1 : HAD_BY_CALLER);
-      call.listener.ended(AnswerEnd.CONNECTION_CLOSED);
+      call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
       assertFalse(asking.isOver());
       fresh.lastProbe().listener().probed(ProbeResult.ALIVE);
 
@@ -349,7 +349,7 @@
   @Test
   void aRunThatEndsBeforeWhatTheCallerHasEndsNothing() {
     for (Start start : List.of(Start.RESUMED, Start.CONTINUED, Start.FROM_COPY)) {
-      for (AnswerEnd end : AnswerEnd.values()) {
+      for (ResponseEnd end : ResponseEnd.values()) {
         ForwardWorld fresh = new ForwardWorld();
         Caller asking = new Caller();
         ForwardWorld.SentCall call = begin(start, fresh, asking);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void passesEventsOnAndEndsWithTheTarget() {
-    running(2).listener.ended(AnswerEnd.LAST_CHUNK);
+    running(2).listener.ended(ResponseEnd.LAST_CHUNK);
 
     assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), caller.body.toString());
     assertTrue(caller.finished);
@@ -55,7 +55,7 @@
     assertEquals(copyTo, Optional.of(second.dispatch.target().address()));
     assertEquals(Optional.of("r1"), second.dispatch.continueFrom());
     assertEquals(OptionalLong.of(2), second.dispatch.lastEventId());
-    second.accepted().head(200, true).event(3).listener.ended(AnswerEnd.LAST_CHUNK);
+    second.accepted().head(200, true).event(3).listener.ended(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertTrue(caller.body.toString().endsWith(ForwardWorld.eventText(3)));
   }
@@ -87,7 +87,7 @@
     ForwardWorld.SentCall call = running(1);
 
     call.listener.received("id: 2\ndata: ha".getBytes(StandardCharsets.UTF_8));
-    call.listener.ended(AnswerEnd.LAST_CHUNK);
+    call.listener.ended(ResponseEnd.LAST_CHUNK);
 
     assertFalse(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
@@ -324,7 +324,7 @@
 
     world.pass(500);
 
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListKeeperTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
@@ -21,14 +21,14 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.junit.jupiter.api.Test;
 
-class TargetListKeeperTest {
+class TargetListUpdaterTest {
   private static final ServiceName ENGINES = new ServiceName("engines");
   private static final DataCentre NORTH = new DataCentre("north");
 
   private final CoreContext context =
       new CoreContext(new HostId("host"), NORTH, new SplittableRandom(1));
   private final TargetRegistry registry = new TargetRegistry(context, new PolicyTable());
-  private final TargetListKeeper keeper = new TargetListKeeper(registry, 2_000);
+  private final TargetListUpdater keeper = new TargetListUpdater(registry, 2_000);
   private long version;
 
   private HostList list(String... ids) {
@@ -78,7 +78,7 @@
   /** Where changes may take long, lists come rarely; the store is not away between two of them. */
   @Test
   void listsThatComeRarelyBecauseTheBoundIsLongAreNotTakenForAStoreThatWasAway() {
-    TargetListKeeper rare = new TargetListKeeper(registry, 12_000);
+    TargetListUpdater rare = new TargetListUpdater(registry, 12_000);
     rare.learn(list("e1", "e2"), 0);
     rare.learn(list("e1", "e2"), 3_600);
     rare.learn(list("e1"), 7_200);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.event.EventCode;
-import org.gatereel.core.forward.ConfigurationKeeper;
+import org.gatereel.core.forward.ConfigurationHolder;
 import org.gatereel.core.forward.DocumentCache;
 import org.gatereel.core.forward.ForwardPolicy;
 import org.gatereel.core.forward.Forwarder;
 import org.gatereel.core.forward.HostDirectory;
-import org.gatereel.core.forward.TargetListKeeper;
+import org.gatereel.core.forward.TargetListUpdater;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.limit.Lender;
 import org.gatereel.core.load.LoadExchange;
@@ -53,9 +53,9 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final ControlThread control;
   private final CoreContext context;
-  private final ConfigurationKeeper configuration;
+  private final ConfigurationHolder configuration;
   private final TargetRegistry targets;
-  private final TargetListKeeper targetList;
+  private final TargetListUpdater targetList;
   private final HostDirectory directory;
   private final DocumentCache documents = new DocumentCache();
   private final LoanClient loans;
@@ -91,14 +91,14 @@
     control = new ControlThread(loop, context, log);
     ForwardSettings.Bounds bounds = settings.bounds();
     configuration =
-        new ConfigurationKeeper(
+        new ConfigurationHolder(
             context,
-            new ConfigurationKeeper.Bounds(
+            new ConfigurationHolder.Bounds(
                 bounds.strictRevocation(),
                 bounds.revocationMillis(),
                 bounds.configurationMillis()));
     targets = new TargetRegistry(context, new PolicyTable());
-    targetList = new TargetListKeeper(targets, bounds.knownWithinMillis());
+    targetList = new TargetListUpdater(targets, bounds.knownWithinMillis());
     Address peerAddress = ForwardSettings.address(settings.peers());
     directory = new HostDirectory(context, peerAddress);
     loans = new LoanClient(control);
@@ -165,7 +165,7 @@
     return context;
   }
 
-  public ConfigurationKeeper configuration() {
+  public ConfigurationHolder configuration() {
     return configuration;
   }
 
@@ -174,7 +174,7 @@
   }
 
   /** Returns what takes in the platform's list of targets. */
-  public TargetListKeeper targetList() {
+  public TargetListUpdater targetList() {
     return targetList;
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.gatereel.core.forward.ForwardObserver;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.RouteKind;
 
@@ -34,7 +34,7 @@
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
   private final Map<RouteKind, Timer> answered = new EnumMap<>(RouteKind.class);
   private final Map<RouteKind, Counter> interrupted = new EnumMap<>(RouteKind.class);
-  private final Map<Refusal, Counter> refused = new EnumMap<>(Refusal.class);
+  private final Map<Rejection, Counter> refused = new EnumMap<>(Rejection.class);
 
   public ForwardMetrics() {
     for (RouteKind kind : RouteKind.values()) {
@@ -52,7 +52,7 @@
               .tag("kind", kind.name())
               .register(registry));
     }
-    for (Refusal refusal : Refusal.values()) {
+    for (Rejection refusal : Rejection.values()) {
       refused.put(
           refusal,
           Counter.builder("gatereel_forward_refused")
@@ -68,7 +68,7 @@
   }
 
   @Override
-  public void refused(Refusal refusal) {
+  public void refused(Rejection refusal) {
     refused.get(refusal).increment();
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnswerFraming.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnswerFraming.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.List;
 import java.util.Optional;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 
 /**
  * How targets' answers are framed.
@@ -48,19 +48,19 @@
    * @param asked the method of the request
    * @param head the head of an answer that is not interim
    */
-  static Optional<AnswerEnd> endOf(HttpMethod asked, HttpResponse head) {
+  static Optional<ResponseEnd> endOf(HttpMethod asked, HttpResponse head) {
     if (leavesHttp(asked, head)) {
       return Optional.empty();
     }
     if (hasNoBody(asked, head)) {
-      return Optional.of(AnswerEnd.LENGTH_REACHED);
+      return Optional.of(ResponseEnd.LENGTH_REACHED);
     }
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (!codings.isEmpty()) {
-      return isJustChunks(codings) ? Optional.of(AnswerEnd.LAST_CHUNK) : Optional.empty();
+      return isJustChunks(codings) ? Optional.of(ResponseEnd.LAST_CHUNK) : Optional.empty();
     }
     return Optional.of(
-        HttpUtil.isContentLengthSet(head) ? AnswerEnd.LENGTH_REACHED : AnswerEnd.CONNECTION_CLOSED);
+        HttpUtil.isContentLengthSet(head) ? ResponseEnd.LENGTH_REACHED : ResponseEnd.CONNECTION_CLOSED);
   }
 
   /** Returns whether other heads will follow this one before the answer. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerAnswer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerAnswer.java
@@ -21,9 +21,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Set;
-import org.gatereel.core.forward.AnswerHead;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 
 /**
  * Writes the answer to one request of a connection.
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void begin(AnswerHead answer) {
+  public void begin(ResponseHead answer) {
     head = (TargetHead) answer;
   }
 
@@ -194,7 +194,7 @@
   }
 
   @Override
-  public void refuse(Refusal refusal, long retryAfterMillis) {
+  public void refuse(Rejection refusal, long retryAfterMillis) {
     if (over) {
       return;
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.forward.Exchange;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 
 /**
  * One caller's connection: its requests are answered one after the other, in their order.
@@ -65,14 +65,14 @@
     }
     if (request.method().equals(HttpMethod.CONNECT)) {
       // What follows a success is a tunnel's bytes, without a frame that would show a cut.
-      mine.refuse(Refusal.MALFORMED, 0);
+      mine.refuse(Rejection.MALFORMED, 0);
       return;
     }
     try {
       IncomingRequest incoming = IncomingRequest.read(request, server.names());
       server.control().run(() -> exchange = accept(incoming, mine));
     } catch (MalformedRequestException e) {
-      mine.refuse(Refusal.MALFORMED, 0);
+      mine.refuse(Rejection.MALFORMED, 0);
     }
   }
 
@@ -95,13 +95,13 @@
     return server.forwarder().accept(incoming, mine);
   }
 
-  private static Refusal refusal(Throwable cause) {
+  private static Rejection refusal(Throwable cause) {
     if (isBodyTooLong(cause)) {
-      return Refusal.BODY_TOO_LARGE;
+      return Rejection.BODY_TOO_LARGE;
     }
     boolean tooLong =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
-    return tooLong ? Refusal.HEAD_TOO_LARGE : Refusal.MALFORMED;
+    return tooLong ? Rejection.HEAD_TOO_LARGE : Rejection.MALFORMED;
   }
 
   /** An answer was written to its end. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Set;
 import org.gatereel.core.forward.Configuration;
-import org.gatereel.core.forward.ConfigurationKeeper;
+import org.gatereel.core.forward.ConfigurationHolder;
 import org.gatereel.core.forward.Forwarder;
-import org.gatereel.core.forward.Limits;
+import org.gatereel.core.forward.InboundLimits;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.HeaderNames;
@@ -25,7 +25,7 @@
   private static final int SLOWEST_CALLER_BYTES = 4 << 20;
 
   private final ControlThread control;
-  private final ConfigurationKeeper configuration;
+  private final ConfigurationHolder configuration;
   private final Forwarder forwarder;
   private final HeaderNames names;
   private final Set<CallerConnection> connections = new LinkedHashSet<>();
@@ -34,7 +34,7 @@
 
   public CallerServer(
       ControlThread control,
-      ConfigurationKeeper configuration,
+      ConfigurationHolder configuration,
       Forwarder forwarder,
       HeaderNames names) {
     this.control = control;
@@ -79,7 +79,7 @@
   }
 
   private void accept(Channel channel) {
-    Limits limits = limits();
+    InboundLimits limits = limits();
     SlowHeadGuard guard = new SlowHeadGuard(limits.headMillis());
     CallerConnection connection = new CallerConnection(this, channel, guard);
     connections.add(connection);
@@ -92,8 +92,8 @@
         .addLast(connection);
   }
 
-  Limits limits() {
-    return configuration.current().map(Configuration::limits).orElse(Limits.STANDARD);
+  InboundLimits limits() {
+    return configuration.current().map(Configuration::limits).orElse(InboundLimits.STANDARD);
   }
 
   ControlThread control() {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
@@ -28,7 +28,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.model.Address;
 
 /**
@@ -164,7 +164,7 @@
 
   /** Keeps how the present answer is framed, which it does not show any more when it is whole. */
   private static final class HeadReader extends ChannelInboundHandlerAdapter {
-    private Optional<AnswerEnd> end = Optional.empty();
+    private Optional<ResponseEnd> end = Optional.empty();
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
@@ -175,7 +175,7 @@
     }
 
     /** An interim answer is as bad as none: what follows it must not go to a later question. */
-    private static Optional<AnswerEnd> endOf(HttpResponse head) {
+    private static Optional<ResponseEnd> endOf(HttpResponse head) {
       return AnswerFraming.isInterim(head)
           ? Optional.empty()
           : AnswerFraming.endOf(HttpMethod.GET, head);
@@ -200,7 +200,7 @@
         dropConnection();
       }
       byte[] body = ByteBufUtil.getBytes(response.content());
-      boolean hasOwnEnd = !heads.end.equals(Optional.of(AnswerEnd.CONNECTION_CLOSED));
+      boolean hasOwnEnd = !heads.end.equals(Optional.of(ResponseEnd.CONNECTION_CLOSED));
       Document document = new Document(headOf(response), body, hasOwnEnd);
       settle(broken ? Optional.empty() : Optional.of(document));
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -8,7 +8,7 @@
 import java.net.ConnectException;
 import java.util.OptionalLong;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.ProbeResult;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.model.TargetId;
@@ -89,7 +89,7 @@
 
   /** Another run's answer says nothing of the one that was probed. */
   @Override
-  void onEnd(AnswerEnd end) {
+  void onEnd(ResponseEnd end) {
     TargetReport report = dialect.readReport(body.toByteArray());
     boolean same = report.born().equals(OptionalLong.of(probed.born()));
     if (same) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Function;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.forward.ControlThread;
 
@@ -44,7 +44,7 @@
   }
 
   @Override
-  void onEnd(AnswerEnd end) {
+  void onEnd(ResponseEnd end) {
     listener.ended(end);
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHandler.java
@@ -11,7 +11,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.Optional;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.forward.ControlThread;
 
 /**
@@ -26,7 +26,7 @@
   private boolean over;
   private boolean interim;
   private boolean hasHead;
-  private AnswerEnd end = AnswerEnd.CONNECTION_CLOSED;
+  private ResponseEnd end = ResponseEnd.CONNECTION_CLOSED;
 
   /**
    * Makes a handler for the answer to one request.
@@ -45,7 +45,7 @@
 
   abstract void onBody(byte[] bytes);
 
-  abstract void onEnd(AnswerEnd end);
+  abstract void onEnd(ResponseEnd end);
 
   abstract void onFailure(TargetFailure failure);
 
@@ -123,7 +123,7 @@
   }
 
   private void readHead(HttpResponse head) {
-    Optional<AnswerEnd> known = AnswerFraming.endOf(asked, head);
+    Optional<ResponseEnd> known = AnswerFraming.endOf(asked, head);
     if (known.isEmpty()) {
       fail(TargetFailure.ERROR);
       return;
@@ -149,7 +149,7 @@
    * after a reset, a failed write or a close by this host the connection is gone.
    */
   private void readLast(ChannelHandlerContext context) {
-    if (end == AnswerEnd.CONNECTION_CLOSED && !context.channel().isActive()) {
+    if (end == ResponseEnd.CONNECTION_CLOSED && !context.channel().isActive()) {
       fail(TargetFailure.RESET);
       return;
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
-import org.gatereel.core.forward.AnswerHead;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.statement.Statements;
 import org.gatereel.forward.HeaderNames;
 
@@ -17,7 +17,7 @@
     boolean isAuthentic,
     boolean isEventStream,
     Statements statements)
-    implements AnswerHead {
+    implements ResponseHead {
   private static final String EVENT_STREAM = "text/event-stream";
 
   /** Reads the head of an answer to the request with the given id. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.gatereel.core.forward.DocumentCache;
-import org.gatereel.core.forward.DocumentSources.PeerReading;
+import org.gatereel.core.forward.DocumentSources.PeerDocument;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.http.DocumentClient;
 
@@ -25,7 +25,7 @@
   }
 
   /** Asks a host for what it has; the answer is empty if there is none in time. */
-  public void ask(Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
+  public void ask(Address host, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
     if (!host.equals(peer)) {
       close();
       client = new DocumentClient(loop, host);
@@ -35,7 +35,7 @@
         PeerDocuments.question(known), TIMEOUT_MILLIS, document -> answer.accept(read(document)));
   }
 
-  private static Optional<List<PeerReading>> read(Optional<DocumentClient.Document> document) {
+  private static Optional<List<PeerDocument>> read(Optional<DocumentClient.Document> document) {
     return document
         .filter(found -> found.status() == OK)
         .flatMap(found -> PeerDocuments.read(found.body()));
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
@@ -13,21 +13,21 @@
 import java.util.Optional;
 import org.gatereel.core.forward.DocumentCache;
 import org.gatereel.core.forward.DocumentKind;
-import org.gatereel.core.forward.DocumentSources.PeerReading;
+import org.gatereel.core.forward.DocumentSources.PeerDocument;
 import org.gatereel.core.forward.SharedDocument;
 
 /**
  * The question that hosts ask each other for documents, and its answer, as HTTP and JSON.
  *
  * <p>The question's parameters are the digests that the asker knows; the answer is a list of {@link
- * PeerReading}, without the contents that the asker has.
+ * PeerDocument}, without the contents that the asker has.
  */
 final class PeerDocuments {
   static final String PATH = "/documents";
 
   private static final ObjectMapper MAPPER =
       JsonMapper.builder().addModule(new Jdk8Module()).build();
-  private static final TypeReference<List<PeerReading>> READINGS = new TypeReference<>() {};
+  private static final TypeReference<List<PeerDocument>> READINGS = new TypeReference<>() {};
 
   private PeerDocuments() {}
 
@@ -43,7 +43,7 @@
   /** Writes the answer to a question. */
   static String answer(String question, DocumentCache known, long now) {
     QueryStringDecoder query = new QueryStringDecoder(question);
-    List<PeerReading> readings = new ArrayList<>();
+    List<PeerDocument> readings = new ArrayList<>();
     for (DocumentKind kind : DocumentKind.values()) {
       List<String> digests = query.parameters().getOrDefault(kind.name(), List.of());
       known.find(kind).ifPresent(document -> readings.add(reading(document, digests, now)));
@@ -55,9 +55,9 @@
     }
   }
 
-  private static PeerReading reading(SharedDocument document, List<String> digests, long now) {
+  private static PeerDocument reading(SharedDocument document, List<String> digests, long now) {
     boolean had = digests.contains(document.digest());
-    return new PeerReading(
+    return new PeerDocument(
         document.kind(),
         had ? Optional.empty() : Optional.of(document.content()),
         document.digest(),
@@ -66,7 +66,7 @@
   }
 
   /** Reads an answer; empty if it is none. */
-  static Optional<List<PeerReading>> read(byte[] body) {
+  static Optional<List<PeerDocument>> read(byte[] body) {
     try {
       return Optional.ofNullable(MAPPER.readValue(body, READINGS));
     } catch (IOException e) {
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/AnswerRecorder.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/AnswerRecorder.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.forward.ControlThread;
 
 /** Writes down what is reported of a target's answer. */
@@ -39,7 +39,7 @@
   }
 
   @Override
-  void onEnd(AnswerEnd end) {
+  void onEnd(ResponseEnd end) {
     heard.add(end.name());
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
@@ -22,8 +22,8 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
-import org.gatereel.core.forward.ConfigurationKeeper;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.ConfigurationHolder;
+import org.gatereel.core.forward.Rejection;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
@@ -40,8 +40,8 @@
         Unpooled.copiedBuffer(method + " / " + version + "\r\n\r\n", StandardCharsets.US_ASCII));
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
-    ConfigurationKeeper configuration =
-        new ConfigurationKeeper(context, new ConfigurationKeeper.Bounds(true, 5_000, 2_000));
+    ConfigurationHolder configuration =
+        new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     CallerServer server = new CallerServer(null, configuration, null, null);
     CallerConnection connection = new CallerConnection(server, channel, new SlowHeadGuard(400));
     FullHttpRequest request = new DefaultFullHttpRequest(version, method, "/");
@@ -96,7 +96,7 @@
     answer.abort();
     answer.write(bytes("id: 2\n\n"));
     answer.finish();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    answer.refuse(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
@@ -106,7 +106,7 @@
   void breaksOffInPlaceOfARefusalAfterAHead() {
     CallerAnswer answer = beginStream();
     written();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    answer.refuse(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
@@ -117,7 +117,7 @@
     CallerAnswer answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, false));
     answer.write(bytes("half"));
-    answer.refuse(Refusal.TARGET_FAILED, 0);
+    answer.refuse(Rejection.TARGET_FAILED, 0);
     answer.finish();
     String text = written();
 
@@ -133,7 +133,7 @@
     written();
     answer.write(bytes("id: 2\n\n"));
     answer.finish();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    answer.refuse(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
   }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
-import org.gatereel.core.forward.AnswerHead;
+import org.gatereel.core.forward.ResponseEnd;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.Dispatch;
 import org.gatereel.core.forward.ProbeResult;
 import org.gatereel.core.forward.TargetPort;
@@ -123,7 +123,7 @@
     public void sent() {}
 
     @Override
-    public void answered(AnswerHead head) {
+    public void answered(ResponseHead head) {
       answered.countDown();
     }
 
@@ -131,7 +131,7 @@
     public void received(byte[] bytes) {}
 
     @Override
-    public void ended(AnswerEnd end) {
+    public void ended(ResponseEnd end) {
       outcome.complete(end.name());
     }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/CallerModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/CallerModel.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.gatereel.core.forward.AnswerHead;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
 import org.gatereel.core.forward.Exchange;
 import org.gatereel.core.forward.ForwardRequest;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 
 /** One caller with one request: it comes back once, at another host of its data centre. */
 final class CallerModel {
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public void begin(AnswerHead head) {
+    public void begin(ResponseHead head) {
       if (kind == Kind.CALL && head.status() == 200) {
         firstAt = time.millis();
       }
@@ -212,10 +212,10 @@
     }
 
     @Override
-    public void refuse(Refusal refusal, long retryAfterMillis) {
+    public void refuse(Rejection refusal, long retryAfterMillis) {
       ended = true;
       refusals++;
-      heldBack |= refusal == Refusal.HELD_BACK;
+      heldBack |= refusal == Rejection.HELD_BACK;
       if (refusal.invitesRetry()) {
         comeBack(retryAfterMillis);
       } else {
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -8,11 +8,11 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
-import org.gatereel.core.forward.AnswerHead;
+import org.gatereel.core.forward.ResponseEnd;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
 import org.gatereel.core.forward.Configuration;
-import org.gatereel.core.forward.ConfigurationKeeper;
+import org.gatereel.core.forward.ConfigurationHolder;
 import org.gatereel.core.forward.Dispatch;
 import org.gatereel.core.forward.Exchange;
 import org.gatereel.core.forward.ForwardObserver;
@@ -21,7 +21,7 @@
 import org.gatereel.core.forward.Forwarder;
 import org.gatereel.core.forward.HostDirectory;
 import org.gatereel.core.forward.ProbeResult;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.internal.CoreContext;
@@ -54,7 +54,7 @@
   private final CoreContext context;
   private final TargetRegistry targets;
   private final HostDirectory directory;
-  private final ConfigurationKeeper keeper;
+  private final ConfigurationHolder keeper;
   private final LoadExchange loads;
   private final Forwarder forwarder;
   private final Address address;
@@ -70,8 +70,8 @@
     targets = new TargetRegistry(context, new PolicyTable());
     directory = new HostDirectory(context, address);
     keeper =
-        new ConfigurationKeeper(
-            context, new ConfigurationKeeper.Bounds(false, Long.MAX_VALUE, Long.MAX_VALUE));
+        new ConfigurationHolder(
+            context, new ConfigurationHolder.Bounds(false, Long.MAX_VALUE, Long.MAX_VALUE));
     loads = new LoadExchange(context, targets, directory, address, this::sendReport);
     PoisonControl poison = new PoisonControl(context);
     loads.exchangePoison(poison);
@@ -210,7 +210,7 @@
     public void answered(Route route, long millis) {}
 
     @Override
-    public void refused(Refusal refusal) {}
+    public void refused(Rejection refusal) {}
 
     @Override
     public void interrupted(Route route) {}
@@ -264,7 +264,7 @@
 
   private record Head(
       int status, boolean declaresNotRun, boolean isEventStream, Statements statements)
-      implements AnswerHead {
+      implements ResponseHead {
     @Override
     public boolean isAuthentic() {
       return true;
@@ -429,7 +429,7 @@
       back(
           () -> {
             over = true;
-            listener.ended(AnswerEnd.LAST_CHUNK);
+            listener.ended(ResponseEnd.LAST_CHUNK);
           });
     }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
@@ -13,12 +13,12 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import org.gatereel.core.action.Action;
-import org.gatereel.core.forward.AccountPlan;
+import org.gatereel.core.forward.AccountConfiguration;
 import org.gatereel.core.forward.Configuration;
 import org.gatereel.core.forward.HostDirectory;
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.RouteKind;
-import org.gatereel.core.forward.ServicePlan;
+import org.gatereel.core.forward.ServiceConfiguration;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -137,13 +137,13 @@
             .add(route(CallerModel.Kind.STREAM, RouteKind.STREAM, ENGINES))
             .add(route(CallerModel.Kind.CALL, RouteKind.REPEATABLE, COUNTERS))
             .add(
-                new ServicePlan(
+                new ServiceConfiguration(
                     ENGINES,
                     Integer.MAX_VALUE,
-                    Optional.of(new ServicePlan.EnginePlan(CACHE_TOKENS, true))));
+                    Optional.of(new ServiceConfiguration.EngineConfiguration(CACHE_TOKENS, true))));
     for (int account = 0; account < script.accounts(); account++) {
       builder.add(
-          new AccountPlan(new AccountId("account-" + account), Set.of(key(account)), PRIORITY));
+          new AccountConfiguration(new AccountId("account-" + account), Set.of(key(account)), PRIORITY));
     }
     return builder.build();
   }
