--- a/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.TargetFailure;
+import org.gatereel.core.forward.Rejection;
 import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.ResponseEndVerdict;
-import org.gatereel.core.forward.Rejection;
 import org.junit.jupiter.api.Test;
 
 /** Holds the walk from a request's id to its cause to the names that the code writes. */
@@ -55,7 +55,7 @@
   void everyRefusalThatInvitesARetryIsExplained() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
     for (Rejection refusal : Rejection.values()) {
-      assertTrue(!refusal.invitesRetry() || page.contains(refusal.name()), refusal.name());
+      assertTrue(!refusal.allowsRetry() || page.contains(refusal.name()), refusal.name());
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -31,30 +31,30 @@
     Verdict verdict = forwarder.overload().arrive(arrival);
     if (verdict instanceof Verdict.Wait wait) {
       waiting = true;
-      log.note(EventCode.REQUEST_QUEUED, wait.inputs());
+      log.log(EventCode.REQUEST_QUEUED, wait.inputs());
     }
-    follow(resumed ? new Verdict.Send() : verdict);
+    apply(resumed ? new Verdict.Send() : verdict);
   }
 
-  private void follow(Verdict verdict) {
+  private void apply(Verdict verdict) {
     if (verdict instanceof Verdict.Wait wait) {
-      timer = forwarder.context().after(wait.retryMillis(), this::askAgain);
+      timer = forwarder.context().after(wait.retryMillis(), this::recheck);
       return;
     }
     end();
     if (verdict instanceof Verdict.Refuse refuse) {
-      exchange.refuse(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
+      exchange.reject(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
     } else {
-      exchange.admitted();
+      exchange.onAdmitted();
     }
   }
 
-  private void askAgain() {
+  private void recheck() {
     if (forwarder.isStopping()) {
       end();
-      exchange.stop();
+      exchange.endForShutdown();
     } else {
-      follow(forwarder.overload().askAgain(arrival));
+      apply(forwarder.overload().askAgain(arrival));
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
@@ -21,13 +21,13 @@
  */
 final class AnnouncementReceiver {
   /** A target whose words cannot be read fills no log. */
-  private static final long LOG_MILLIS = 1_000;
+  private static final long LOG_INTERVAL_MILLIS = 1_000;
 
   private final CoreContext context;
   private final TargetFacts facts;
   private final LimitBook limits;
   private final Rests rests;
-  private final UnknownHeaders unknown;
+  private final UnknownHeaders unknownHeaders;
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
@@ -36,16 +36,16 @@
     this.facts = facts;
     this.limits = limits;
     this.rests = rests;
-    this.unknown = new UnknownHeaders(context);
+    this.unknownHeaders = new UnknownHeaders(context);
   }
 
   /** The head of an attempt's answer is here. */
-  void heard(Attempt from) {
+  void receive(Attempt from) {
     ResponseHead head = from.head();
     if (head.status() != ResponseHead.MISDIRECTED) {
       TargetDescription target = from.target().description();
-      heard(target, head.statements(), from.startedAt());
-      heardNothing(target.id(), head, from.startedAt());
+      receive(target, head.announcements(), from.startedAt());
+      recordAbsent(target.id(), head, from.startedAt());
     }
   }
 
@@ -54,12 +54,12 @@
    *
    * @param sentAt when the question was sent that it answers, in milliseconds
    */
-  void heard(TargetDescription target, Statements said, long sentAt) {
+  void receive(TargetDescription target, Statements said, long sentAt) {
     TargetId id = target.id();
-    unknown.note(target.service(), id, said.unknown());
-    noteUnreadable(id, FactKind.LIMIT, said.limit());
-    noteUnreadable(id, FactKind.LEAVING, said.leaving());
-    noteUnreadable(id, FactKind.REST, said.restMillis());
+    unknownHeaders.note(target.service(), id, said.unknown());
+    logUnreadable(id, FactKind.LIMIT, said.limit());
+    logUnreadable(id, FactKind.LEAVING, said.leaving());
+    logUnreadable(id, FactKind.REST, said.restMillis());
     said.limit().said().ifPresent(limit -> limits.hear(id, limit, sentAt));
     if (said.saysLeaving()) {
       facts.hear(new LeavingFact(id, context.now()));
@@ -70,30 +70,30 @@
   }
 
   /** What a target said before and does not say any more; only an answer of its own shows that. */
-  private void heardNothing(TargetId target, ResponseHead head, long sentAt) {
+  private void recordAbsent(TargetId target, ResponseHead head, long sentAt) {
     if (!head.isAuthentic()) {
       return;
     }
-    Statements said = head.statements();
+    Statements said = head.announcements();
     if (said.limit().equals(Statement.none())) {
       limits.hearNone(target, sentAt);
     }
     boolean leftBefore =
         facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.since()).isPresent();
     if (leftBefore && !said.saysLeaving()) {
-      noteContradiction(target);
+      logContradiction(target);
     }
   }
 
-  private void noteContradiction(TargetId target) {
-    if (context.now() - contradictionLoggedAt >= LOG_MILLIS) {
+  private void logContradiction(TargetId target) {
+    if (context.now() - contradictionLoggedAt >= LOG_INTERVAL_MILLIS) {
       contradictionLoggedAt = context.now();
       context.note(EventCode.LEAVING_CONTRADICTED, target.toString(), "");
     }
   }
 
-  private void noteUnreadable(TargetId target, FactKind kind, Statement<?> said) {
-    boolean loggedLately = context.now() - unreadableLoggedAt < LOG_MILLIS;
+  private void logUnreadable(TargetId target, FactKind kind, Statement<?> said) {
+    boolean loggedLately = context.now() - unreadableLoggedAt < LOG_INTERVAL_MILLIS;
     if (said.unreadable().isPresent() && !loggedLately) {
       unreadableLoggedAt = context.now();
       context.note(
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -23,21 +23,21 @@
   private boolean probed;
   private boolean sent;
   private boolean closed;
-  private long eventCount;
-  private OptionalLong lastOfRun = OptionalLong.empty();
-  private boolean reading;
-  private long lastSignAt;
-  private OptionalLong paceFrom = OptionalLong.empty();
+  private long forwardedEventCount;
+  private OptionalLong lastReceivedEventId = OptionalLong.empty();
+  private boolean prefilling;
+  private long lastDataAt;
+  private OptionalLong paceStartedAt = OptionalLong.empty();
 
   Attempt(Exchange exchange, TargetState target, boolean continuation, long now) {
     this.exchange = exchange;
     this.startedAt = now;
     this.target = target;
     this.continuation = continuation;
-    this.lastSignAt = now;
+    this.lastDataAt = now;
   }
 
-  void started(TargetPort.Call started) {
+  void setCall(TargetPort.Call started) {
     call = started;
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Returns whether the target may have begun to run the request. */
-  boolean mayHaveRun() {
+  boolean mayHaveExecuted() {
     return sent;
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** Notes that the answer's head is here. */
-  void noteHead(long now) {
+  void recordHead(long now) {
     headAt = OptionalLong.of(now);
   }
 
@@ -78,13 +78,13 @@
   }
 
   /** Notes that the answer is at its end. */
-  void noteEnd(ResponseEnd how, long now) {
+  void recordEnd(ResponseEnd how, long now) {
     end = how;
     endedAt = now;
   }
 
   /** Notes that the target was probed for whether the end of its connection was its own. */
-  void noteProbed() {
+  void recordProbed() {
     probed = true;
   }
 
@@ -110,81 +110,81 @@
   }
 
   /** Hands over the head, and what has come of the body since the last call. */
-  TargetResponse takeAnswer() {
+  TargetResponse takeResponse() {
     byte[] taken = body.toByteArray();
     body.reset();
     return new TargetResponse(head, taken);
   }
 
   /** Returns whether the target's answer is a stream of events. */
-  boolean answersWithStream() {
+  boolean isEventStream() {
     return head.isEventStream() && head.status() == OK_STATUS;
   }
 
   /** Returns whether the target has made events of the stream in this attempt. */
-  boolean hasEvents() {
-    return eventCount > 0;
+  boolean hasForwardedEvents() {
+    return forwardedEventCount > 0;
   }
 
   /** Returns whether any event came in this attempt, also one that the caller had. */
-  boolean hasCome() {
-    return lastOfRun.isPresent() || hasEvents();
+  boolean hasReceivedEvents() {
+    return lastReceivedEventId.isPresent() || hasForwardedEvents();
   }
 
   /** Returns how many events of this attempt the caller was given. */
-  long eventCount() {
-    return eventCount;
+  long forwardedEventCount() {
+    return forwardedEventCount;
   }
 
   /** Returns the id of the last event that came in this attempt, also if the caller had it. */
-  OptionalLong lastOfRun() {
-    return lastOfRun;
+  OptionalLong lastReceivedEventId() {
+    return lastReceivedEventId;
   }
 
   /** Notes an event of this attempt that has an id. */
-  void noteCame(long id) {
-    lastOfRun = OptionalLong.of(id);
+  void recordReceived(long id) {
+    lastReceivedEventId = OptionalLong.of(id);
   }
 
-  void notePassed() {
-    eventCount++;
-    endReading();
+  void recordForwarded() {
+    forwardedEventCount++;
+    endPrefill();
   }
 
   /** Notes that the target has a prompt to read before it answers, unless it has it in a copy. */
-  void beginReading() {
+  void beginPrefill() {
     if (!continuation) {
-      reading = true;
+      prefilling = true;
       target.noteReading(1);
     }
   }
 
-  private void endReading() {
-    if (reading) {
-      reading = false;
+  private void endPrefill() {
+    if (prefilling) {
+      prefilling = false;
       target.noteReading(-1);
     }
   }
 
   /** Notes when the first event came, from which the pace of the others is taken. */
-  void notePaceFrom(long now) {
-    paceFrom = OptionalLong.of(now);
+  void startPaceMeasurement(long now) {
+    paceStartedAt = OptionalLong.of(now);
   }
 
   /** Returns when the first event came; once, so that the pace is told once. */
-  OptionalLong takePaceFrom() {
-    OptionalLong taken = paceFrom;
-    paceFrom = OptionalLong.empty();
+  OptionalLong takePaceStart() {
+    OptionalLong taken = paceStartedAt;
+    paceStartedAt = OptionalLong.empty();
     return taken;
   }
 
   /** Returns when the target last showed that it works on this attempt. */
-  long lastSignAt() {
-    return lastSignAt;
+  long lastDataAt() {
+    return lastDataAt;
   }
 
-  void noteSign(long now) {
-    lastSignAt = now;
+  void recordDataReceived(long now) {
+    lastDataAt = now;
     target.noteSign(now);
   }
 
@@ -192,7 +192,7 @@
   boolean close() {
     boolean first = !closed;
     closed = true;
-    endReading();
+    endPrefill();
     return first;
   }
 
@@ -204,48 +204,48 @@
   }
 
   /** Nothing that comes after an attempt's end, or after it was given up, is taken in. */
-  private boolean isHeard() {
+  private boolean acceptsCallbacks() {
     return !closed && end == null;
   }
 
   @Override
-  public boolean mayBeSent() {
-    return isHeard() && exchange.mayStillHave(target);
+  public boolean maySend() {
+    return acceptsCallbacks() && exchange.mayStillReceive(target);
   }
 
   @Override
-  public void sent() {
-    if (isHeard()) {
+  public void onSent() {
+    if (acceptsCallbacks()) {
       sent = true;
     }
   }
 
   @Override
-  public void answered(ResponseHead answer) {
-    if (isHeard()) {
+  public void onHead(ResponseHead answer) {
+    if (acceptsCallbacks()) {
       head = answer;
-      exchange.answered(this);
+      exchange.onResponseHead(this);
     }
   }
 
   @Override
-  public void received(byte[] bytes) {
-    if (isHeard()) {
-      exchange.received(this, bytes);
+  public void onBody(byte[] bytes) {
+    if (acceptsCallbacks()) {
+      exchange.onBody(this, bytes);
     }
   }
 
   @Override
-  public void ended(ResponseEnd how) {
-    if (isHeard()) {
-      exchange.ended(this, how);
+  public void onEnd(ResponseEnd how) {
+    if (acceptsCallbacks()) {
+      exchange.onResponseEnd(this, how);
     }
   }
 
   @Override
-  public void failed(TargetFailure failure) {
-    if (isHeard()) {
-      exchange.failed(this, failure);
+  public void onFailure(TargetFailure failure) {
+    if (acceptsCallbacks()) {
+      exchange.onAttemptFailed(this, failure);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AttemptCounter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AttemptCounter.java
@@ -3,18 +3,18 @@
 /** Counts the tries of one request, and ends them somewhere. */
 final class AttemptCounter {
   /** Tries that certainly did not run are no attempts of the route's, but cost others time. */
-  private static final int MOST_REACHED = 8;
+  private static final int MAX_CONNECTED_ATTEMPTS = 8;
 
   /** A data centre that goes down leaves many addresses where nobody answers. */
-  private static final int MOST_UNREACHED = 24;
+  private static final int MAX_UNREACHABLE_ATTEMPTS = 24;
 
-  private int begun;
+  private int started;
   private int unreached;
-  private int runs;
+  private int executions;
 
   /** Notes that a try begins. */
-  void begin() {
-    begun++;
+  void recordStart() {
+    started++;
   }
 
   /** Notes that the connection of a try did not come about. */
@@ -23,20 +23,20 @@
   }
 
   /** Notes that a target ran the request, or may have. */
-  void ran() {
-    runs++;
+  void recordExecution() {
+    executions++;
   }
 
-  int begun() {
-    return begun;
+  int started() {
+    return started;
   }
 
-  int runs() {
-    return runs;
+  int executions() {
+    return executions;
   }
 
   /** Returns whether no further try may begin. */
-  boolean isUsedUp() {
-    return begun - unreached >= MOST_REACHED || unreached >= MOST_UNREACHED;
+  boolean isExhausted() {
+    return started - unreached >= MAX_CONNECTED_ATTEMPTS || unreached >= MAX_UNREACHABLE_ATTEMPTS;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
@@ -17,5 +17,5 @@
   /**
    * Sends an answer of this host's own; {@code retryAfterMillis} only counts where invited. Final.
    */
-  void refuse(Rejection refusal, long retryAfterMillis);
+  void reject(Rejection refusal, long retryAfterMillis);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CallerResponse.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerResponse.java
@@ -10,7 +10,7 @@
  */
 final class CallerResponse {
   private final CallerPort caller;
-  private TargetResponse keptBack;
+  private TargetResponse heldError;
   private boolean begun;
   private boolean committed;
 
@@ -34,8 +34,8 @@
    * <p>Where the caller has part of a stream, the body of any other answer would end the stream as
    * if it were complete, short by its rest.
    */
-  boolean canGoOnWith(Attempt from) {
-    return !begun || from.answersWithStream();
+  boolean canContinueWith(Attempt from) {
+    return !begun || from.isEventStream();
   }
 
   /** Sends a head, unless one was sent. */
@@ -59,12 +59,12 @@
   }
 
   /** Holds an error of a target, for the case that no other target does better. */
-  void keepBack(TargetResponse error) {
-    keptBack = error;
+  void holdError(TargetResponse error) {
+    heldError = error;
   }
 
-  Optional<TargetResponse> keptBack() {
-    return Optional.ofNullable(keptBack);
+  Optional<TargetResponse> heldError() {
+    return Optional.ofNullable(heldError);
   }
 
   /** Sends what is left of an answer and ends it as complete. */
@@ -79,7 +79,7 @@
     caller.abort();
   }
 
-  void refuse(Rejection refusal, long retryAfterMillis) {
-    caller.refuse(refusal, retryAfterMillis);
+  void reject(Rejection refusal, long retryAfterMillis) {
+    caller.reject(refusal, retryAfterMillis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
@@ -15,7 +15,7 @@
 
   private final long version;
   private final InboundLimits limits;
-  private final boolean keysNeeded;
+  private final boolean requiresKeys;
   private final Map<String, List<Route>> routesByHostName;
   private final Map<ServiceName, ServiceConfiguration> services;
   private final Map<String, AccountConfiguration> accountsByKey;
@@ -23,7 +23,7 @@
   private Configuration(Builder builder) {
     version = builder.version;
     limits = builder.limits;
-    keysNeeded = builder.keysNeeded;
+    requiresKeys = builder.requiresKeys;
     routesByHostName = new HashMap<>();
     for (Route route : builder.routes) {
       routesByHostName.computeIfAbsent(route.hostName(), host -> new ArrayList<>()).add(route);
@@ -50,8 +50,8 @@
   }
 
   /** Returns whether routes that are not open ask for a key. */
-  public boolean keysNeeded() {
-    return keysNeeded;
+  public boolean requiresKeys() {
+    return requiresKeys;
   }
 
   /** Returns the route with the longest prefix of {@code path} for a host name. */
@@ -74,7 +74,7 @@
   public static final class Builder {
     private final long version;
     private InboundLimits limits = InboundLimits.STANDARD;
-    private boolean keysNeeded;
+    private boolean requiresKeys;
     private final List<Route> routes = new ArrayList<>();
     private final Map<ServiceName, ServiceConfiguration> services = new HashMap<>();
     private final List<AccountConfiguration> accounts = new ArrayList<>();
@@ -101,12 +101,12 @@
     /** Adds an account; from then on routes that are not open need a key. */
     public Builder add(AccountConfiguration account) {
       accounts.add(account);
-      return needKeys();
+      return requireKeys();
     }
 
     /** Has routes that are not open need a key, even if no account has one. */
-    public Builder needKeys() {
-      keysNeeded = true;
+    public Builder requireKeys() {
+      requiresKeys = true;
       return this;
     }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
@@ -20,8 +20,8 @@
   private final CoreContext context;
   private final Bounds bounds;
   private Optional<Configuration> current = Optional.empty();
-  private long provenAt = Long.MIN_VALUE / 2;
-  private boolean freshnessReported;
+  private long confirmedAt = Long.MIN_VALUE / 2;
+  private boolean staleReported;
 
   /**
    * How old a proof may be.
@@ -58,11 +58,11 @@
 
   /** Returns how long ago the configuration was proved to be in force, in milliseconds. */
   public long ageMillis() {
-    return context.knowledgeTime() - provenAt;
+    return context.knowledgeTime() - confirmedAt;
   }
 
   /** Takes in what the platform answered to a question sent at {@code askedAt}. */
-  public void learn(Configuration configuration, long askedAt) {
+  public void update(Configuration configuration, long askedAt) {
     if (configuration.version() < version()) {
       context.note(
           EventCode.CONFIGURATION_IGNORED,
@@ -85,16 +85,16 @@
     if (version != version()) {
       return;
     }
-    provenAt = Math.max(provenAt, askedAt);
-    if (freshnessReported && takesKeys()) {
-      freshnessReported = false;
+    confirmedAt = Math.max(confirmedAt, askedAt);
+    if (staleReported && acceptsKeys()) {
+      staleReported = false;
       context.note(
           EventCode.CONFIGURATION_PROVED, Long.toString(version), "ageMillis=" + ageMillis());
     }
   }
 
   /** Returns whether requests with keys may be forwarded now. */
-  public boolean takesKeys() {
+  public boolean acceptsKeys() {
     if (current.isEmpty()) {
       return false;
     }
@@ -108,7 +108,7 @@
   }
 
   /** Looks a request up that has just arrived. */
-  public Lookup find(String hostName, String path, Optional<String> key) {
+  public Lookup lookUp(String hostName, String path, Optional<String> key) {
     if (current.isEmpty()) {
       return new Lookup.Denied(Rejection.NO_CONFIGURATION);
     }
@@ -117,13 +117,13 @@
     if (route.isEmpty()) {
       return unknown(Rejection.NO_ROUTE);
     }
-    if (route.get().open() || !configuration.keysNeeded()) {
+    if (route.get().anonymous() || !configuration.requiresKeys()) {
       return new Lookup.Allowed(configuration, route.get(), Optional.empty());
     }
     if (key.isEmpty()) {
       return new Lookup.Denied(Rejection.UNKNOWN_KEY);
     }
-    if (!takesKeys()) {
+    if (!acceptsKeys()) {
       reportStale();
       return new Lookup.Denied(Rejection.STALE_CONFIGURATION);
     }
@@ -139,8 +139,8 @@
   }
 
   private void reportStale() {
-    if (!freshnessReported) {
-      freshnessReported = true;
+    if (!staleReported) {
+      staleReported = true;
       context.note(
           EventCode.CONFIGURATION_STALE, Long.toString(version()), "ageMillis=" + ageMillis());
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
@@ -18,8 +18,8 @@
   private final ForwardRequest request;
   private final ServiceName service;
   private Optional<TargetState> holder = Optional.empty();
-  private Optional<Address> left = Optional.empty();
-  private long leftAt;
+  private Optional<Address> leftCopyAddress = Optional.empty();
+  private long leftCopyAt;
 
   CopyTracker(Forwarder forwarder, ForwardRequest request, ServiceName service) {
     this.forwarder = forwarder;
@@ -28,35 +28,39 @@
   }
 
   /** Chooses a holder for a run that is about to begin at {@code runner}. */
-  Optional<Address> begin(TargetState runner, TargetQuery query) {
-    hold(forwarder.selector().chooseCopyHolder(query, runner));
+  Optional<Address> chooseHolder(TargetState runner, TargetQuery query) {
+    setHolder(forwarder.selector().chooseCopyHolder(query, runner));
     return holder.map(state -> state.description().address());
   }
 
   /** Notes that a run broke. One that made no event has not left a copy that can be used. */
-  void attemptBroke(Attempt run) {
-    left = run.hasEvents() ? holder.map(state -> state.description().address()) : Optional.empty();
-    leftAt = run.lastSignAt();
+  void onAttemptBroken(Attempt run) {
+    leftCopyAddress =
+        run.hasForwardedEvents()
+            ? holder.map(state -> state.description().address())
+            : Optional.empty();
+    leftCopyAt = run.lastDataAt();
   }
 
   /** Takes the copy that the last attempt left behind, if its holder takes requests; once. */
-  Optional<MemoryCopy> take() {
+  Optional<MemoryCopy> takeCopy() {
     Optional<MemoryCopy> taken =
-        left.flatMap(address -> forwarder.targets().at(service, address))
-            .filter(state -> state.seenAt() <= leftAt)
+        leftCopyAddress
+            .flatMap(address -> forwarder.targets().at(service, address))
+            .filter(state -> state.seenAt() <= leftCopyAt)
             .filter(forwarder.rollouts().rule(service)::admits)
-            .filter(state -> forwarder.rests().millisTo(state.description().id()) == 0)
+            .filter(state -> forwarder.backoffs().millisTo(state.description().id()) == 0)
             .map(state -> new MemoryCopy(state, request.id()));
-    left = Optional.empty();
+    leftCopyAddress = Optional.empty();
     return taken;
   }
 
   /** Counts the copy no longer. */
-  void stop() {
-    hold(Optional.empty());
+  void release() {
+    setHolder(Optional.empty());
   }
 
-  private void hold(Optional<TargetState> next) {
+  private void setHolder(Optional<TargetState> next) {
     holder.ifPresent(state -> state.noteCopies(-1));
     next.ifPresent(state -> state.noteCopies(1));
     holder = next;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
@@ -19,12 +19,12 @@
   }
 
   /** Takes a reading in. */
-  public UpdateResult take(SharedDocument reading) {
+  public UpdateResult update(SharedDocument reading) {
     SharedDocument known = documents.get(reading.kind());
     if (known != null && known.digest().equals(reading.digest())) {
       long version = Math.max(known.version(), reading.version());
-      long provenAt = Math.max(known.provenAt(), reading.provenAt());
-      documents.put(reading.kind(), known.proved(version, provenAt));
+      long provenAt = Math.max(known.confirmedAt(), reading.confirmedAt());
+      documents.put(reading.kind(), known.withConfirmation(version, provenAt));
       return UpdateResult.CONFIRMED;
     }
     if (known != null && reading.version() < known.version()) {
@@ -39,9 +39,9 @@
   }
 
   /** Returns whether all urgent documents were proved at or after a time. */
-  public boolean isProvedSince(long time) {
+  public boolean isConfirmedSince(long time) {
     for (DocumentKind kind : DocumentKind.values()) {
-      boolean proved = find(kind).filter(known -> known.provenAt() >= time).isPresent();
+      boolean proved = find(kind).filter(known -> known.confirmedAt() >= time).isPresent();
       if (kind.isUrgent() && !proved) {
         return false;
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -23,155 +23,158 @@
  */
 public final class DocumentRefresher {
   /** A reader's interval and an asker's, one after the other, take half of the bound. */
-  private static final double READER_PART_OF_BOUND = 0.3;
+  private static final double READER_INTERVAL_RATIO = 0.3;
 
-  private static final double ASKER_PART_OF_BOUND = 0.2;
-  private static final long HOSTS_MILLIS = 8_000;
+  private static final double FOLLOWER_INTERVAL_RATIO = 0.2;
+  private static final long HOSTS_INTERVAL_MILLIS = 8_000;
 
   /** Hosts that start together do not find each other in the first readings. */
-  private static final long FIRST_HOSTS_MILLIS = 1_500;
+  private static final long INITIAL_HOSTS_INTERVAL_MILLIS = 1_500;
 
-  private static final int FIRST_READINGS = 4;
-  private static final long AVOID_MILLIS = 10_000;
+  private static final int INITIAL_HOSTS_READINGS = 4;
+  private static final long READER_AVOIDANCE_MILLIS = 10_000;
 
   /**
    * A reader's proof may be older by half an interval than it is while all goes well. This and an
    * asker's interval, one after the other, leave a third of the bound for the way to the store.
    */
-  private static final double FRESH_PART_OF_BOUND = 0.45;
+  private static final double FRESHNESS_RATIO = 0.45;
 
   /**
    * How long a host that has a reader leaves the store alone after it did not answer: first half of
    * the bound, then all of it. Readers go on asking, and their word is passed on.
    */
-  private static final double REST_PART_OF_BOUND = 0.5;
+  private static final double MIN_STORE_BACKOFF_RATIO = 0.5;
 
   private final CoreContext context;
   private final HostDirectory directory;
   private final DocumentCache cache;
   private final DocumentSources sources;
-  private final BiConsumer<SharedDocument, DocumentCache.UpdateResult> taken;
+  private final BiConsumer<SharedDocument, DocumentCache.UpdateResult> updateListener;
   private final long freshMillis;
-  private final long readerMillis;
-  private final long askerMillis;
-  private final long shortestRestMillis;
-  private final long longestRestMillis;
-  private long restMillis;
-  private long storeRestsUntil = Long.MIN_VALUE;
+  private final long readerIntervalMillis;
+  private final long followerIntervalMillis;
+  private final long minStoreBackoffMillis;
+  private final long maxStoreBackoffMillis;
+  private long storeBackoffMillis;
+  private long storeBackoffUntil = Long.MIN_VALUE;
   private long intervalMillis;
   private int hostsReadings;
-  private long hostsAskedAt = Long.MIN_VALUE / 2;
-  private final Map<DocumentKind, BooleanSupplier> needed = new EnumMap<>(DocumentKind.class);
+  private long hostsReadAt = Long.MIN_VALUE / 2;
+  private final Map<DocumentKind, BooleanSupplier> onDemand = new EnumMap<>(DocumentKind.class);
 
   /** One attempt to learn everything anew. */
   private final class Round {
-    private final long askedAt;
-    private final Poller.Completion reply;
-    private final Set<DocumentKind> open = EnumSet.noneOf(DocumentKind.class);
+    private final long queriedAt;
+    private final Poller.Completion completion;
+    private final Set<DocumentKind> pendingReads = EnumSet.noneOf(DocumentKind.class);
     private Optional<Address> reader = Optional.empty();
     private boolean readerAnswered;
-    private final Set<DocumentKind> asked = EnumSet.noneOf(DocumentKind.class);
+    private final Set<DocumentKind> requestedOnDemand = EnumSet.noneOf(DocumentKind.class);
     private String problem = "";
 
     private Round(long askedAt, Poller.Completion reply) {
-      this.askedAt = askedAt;
-      this.reply = reply;
+      this.queriedAt = askedAt;
+      this.completion = reply;
     }
 
     private void start() {
       reader = directory.reader(context.now());
       if (reader.isEmpty()) {
-        intervalMillis = readerMillis;
-        askStore();
+        intervalMillis = readerIntervalMillis;
+        readStore();
         return;
       }
-      sources.askPeer(reader.get(), cache, this::readerAnswered);
+      sources.queryPeer(reader.get(), cache, this::readerAnswered);
     }
 
     private void readerAnswered(Optional<List<DocumentSources.PeerDocument>> answer) {
-      intervalMillis = askerMillis;
+      intervalMillis = followerIntervalMillis;
       readerAnswered = answer.isPresent();
-      takeAll(answer, askedAt);
-      if (cache.isProvedSince(askedAt - freshMillis)) {
-        reply.settled(Optional.empty());
+      updateAll(answer, queriedAt);
+      if (cache.isConfirmedSince(queriedAt - freshMillis)) {
+        completion.complete(Optional.empty());
         return;
       }
-      intervalMillis = readerMillis;
+      intervalMillis = readerIntervalMillis;
       if (!readerAnswered) {
-        passReaderOver();
+        avoidReader();
       }
-      if (context.now() < storeRestsUntil) {
+      if (context.now() < storeBackoffUntil) {
         problem = "the store did not answer";
-        askAnother();
+        queryOtherHost();
       } else {
-        askStore();
+        readStore();
       }
     }
 
-    private void passReaderOver() {
+    private void avoidReader() {
       Address lost = reader.orElseThrow();
-      directory.avoid(lost, context.now() + AVOID_MILLIS);
+      directory.avoid(lost, context.now() + READER_AVOIDANCE_MILLIS);
       context.note(
           EventCode.READER_LOST, lost.toString(), readerAnswered ? "it is behind" : "no answer");
     }
 
-    private void askStore() {
-      open.add(DocumentKind.CONFIGURATION);
-      open.add(DocumentKind.TARGETS);
-      long hostsMillis = hostsReadings < FIRST_READINGS ? FIRST_HOSTS_MILLIS : HOSTS_MILLIS;
-      if (context.now() - hostsAskedAt >= hostsMillis) {
-        hostsAskedAt = context.now();
+    private void readStore() {
+      pendingReads.add(DocumentKind.CONFIGURATION);
+      pendingReads.add(DocumentKind.TARGETS);
+      long hostsMillis =
+          hostsReadings < INITIAL_HOSTS_READINGS
+              ? INITIAL_HOSTS_INTERVAL_MILLIS
+              : HOSTS_INTERVAL_MILLIS;
+      if (context.now() - hostsReadAt >= hostsMillis) {
+        hostsReadAt = context.now();
         hostsReadings++;
-        open.add(DocumentKind.HOSTS);
+        pendingReads.add(DocumentKind.HOSTS);
       }
-      for (DocumentKind kind : EnumSet.copyOf(open)) {
-        askStore(kind);
+      for (DocumentKind kind : EnumSet.copyOf(pendingReads)) {
+        readStore(kind);
       }
-      askForNeeded();
+      readOnDemand();
     }
 
-    private void askStore(DocumentKind kind) {
-      sources.askStore(kind, answer -> storeAnswered(kind, answer));
+    private void readStore(DocumentKind kind) {
+      sources.readStore(kind, answer -> storeAnswered(kind, answer));
     }
 
     /** What has just turned out to be needed is asked for in this round, not in the next. */
-    private void askForNeeded() {
-      needed.forEach(
+    private void readOnDemand() {
+      onDemand.forEach(
           (kind, isNeeded) -> {
-            if (isNeeded.getAsBoolean() && asked.add(kind)) {
-              open.add(kind);
-              askStore(kind);
+            if (isNeeded.getAsBoolean() && requestedOnDemand.add(kind)) {
+              pendingReads.add(kind);
+              readStore(kind);
             }
           });
     }
 
     private void storeAnswered(DocumentKind kind, DocumentSources.StoreResponse answer) {
-      open.remove(kind);
+      pendingReads.remove(kind);
       if (answer instanceof DocumentSources.StoreResponse.Read read) {
-        DocumentRefresher.this.take(kind, read, askedAt);
+        DocumentRefresher.this.update(kind, read, queriedAt);
       } else if (answer instanceof DocumentSources.StoreResponse.Failed failed && kind.isUrgent()) {
         problem = kind + ": " + failed.problem();
       }
-      askForNeeded();
-      if (open.isEmpty()) {
-        storeSettled();
+      readOnDemand();
+      if (pendingReads.isEmpty()) {
+        onStoreReadsComplete();
       }
     }
 
-    private void storeSettled() {
+    private void onStoreReadsComplete() {
       if (problem.isEmpty()) {
         storeAnswered();
-        reply.settled(Optional.empty());
+        completion.complete(Optional.empty());
         return;
       }
-      storeFailed();
-      askAnother();
+      backOffStore();
+      queryOtherHost();
     }
 
     private void storeAnswered() {
-      restMillis = shortestRestMillis;
+      storeBackoffMillis = minStoreBackoffMillis;
       if (readerAnswered) {
-        passReaderOver();
+        avoidReader();
       }
     }
 
@@ -179,31 +182,31 @@
      * A reader that is behind because the store answers nobody is kept, and the store left alone;
      * else each host would pass reader after reader over until it reads for itself.
      */
-    private void storeFailed() {
+    private void backOffStore() {
       if (reader.isPresent()) {
-        storeRestsUntil = context.now() + restMillis;
-        restMillis = Math.min(longestRestMillis, 2 * restMillis);
+        storeBackoffUntil = context.now() + storeBackoffMillis;
+        storeBackoffMillis = Math.min(maxStoreBackoffMillis, 2 * storeBackoffMillis);
       }
     }
 
-    private void askAnother() {
-      Optional<Address> other = directory.anyOther(context.random());
+    private void queryOtherHost() {
+      Optional<Address> other = directory.anyOtherHost(context.random());
       if (other.isEmpty()) {
-        reply.settled(Optional.of(problem));
+        completion.complete(Optional.of(problem));
         return;
       }
       long secondAskedAt = context.knowledgeTime();
-      sources.askPeer(
+      sources.queryPeer(
           other.get(),
           cache,
           answer -> {
-            takeAll(answer, secondAskedAt);
-            reply.settled(Optional.of(problem));
+            updateAll(answer, secondAskedAt);
+            completion.complete(Optional.of(problem));
           });
     }
 
-    private void takeAll(Optional<List<DocumentSources.PeerDocument>> answer, long sentAt) {
-      answer.orElse(List.of()).forEach(reading -> takeFromPeer(reading, sentAt));
+    private void updateAll(Optional<List<DocumentSources.PeerDocument>> answer, long sentAt) {
+      answer.orElse(List.of()).forEach(reading -> updateFromPeer(reading, sentAt));
     }
   }
 
@@ -224,19 +227,19 @@
     this.directory = directory;
     this.cache = cache;
     this.sources = sources;
-    this.taken = taken;
-    this.freshMillis = (long) (FRESH_PART_OF_BOUND * boundMillis);
-    this.readerMillis = (long) (READER_PART_OF_BOUND * boundMillis);
-    this.askerMillis = (long) (ASKER_PART_OF_BOUND * boundMillis);
-    this.shortestRestMillis = (long) (REST_PART_OF_BOUND * boundMillis);
-    this.longestRestMillis = boundMillis;
-    this.restMillis = shortestRestMillis;
-    this.intervalMillis = readerMillis;
+    this.updateListener = taken;
+    this.freshMillis = (long) (FRESHNESS_RATIO * boundMillis);
+    this.readerIntervalMillis = (long) (READER_INTERVAL_RATIO * boundMillis);
+    this.followerIntervalMillis = (long) (FOLLOWER_INTERVAL_RATIO * boundMillis);
+    this.minStoreBackoffMillis = (long) (MIN_STORE_BACKOFF_RATIO * boundMillis);
+    this.maxStoreBackoffMillis = boundMillis;
+    this.storeBackoffMillis = minStoreBackoffMillis;
+    this.intervalMillis = readerIntervalMillis;
   }
 
   /** Says when a document has to be known that is not read all the time. */
   public void readWhile(DocumentKind kind, BooleanSupplier isNeeded) {
-    needed.put(kind, isNeeded);
+    onDemand.put(kind, isNeeded);
   }
 
   /** Learns everything anew; to be called by a {@link Poller}. */
@@ -249,7 +252,7 @@
     return intervalMillis;
   }
 
-  private void takeFromPeer(DocumentSources.PeerDocument reading, long sentAt) {
+  private void updateFromPeer(DocumentSources.PeerDocument reading, long sentAt) {
     Optional<SharedDocument> known = cache.find(reading.kind());
     Optional<String> content =
         reading
@@ -261,7 +264,7 @@
                         .map(SharedDocument::content));
     content.ifPresent(
         text ->
-            take(
+            update(
                 new SharedDocument(
                     reading.kind(),
                     text,
@@ -271,14 +274,14 @@
   }
 
   /** Takes in what the store said to a question beside the usual ones. */
-  public void take(DocumentKind kind, DocumentSources.StoreResponse.Read read, long askedAt) {
-    take(new SharedDocument(kind, read.content(), read.digest(), read.version(), askedAt));
+  public void update(DocumentKind kind, DocumentSources.StoreResponse.Read read, long askedAt) {
+    update(new SharedDocument(kind, read.content(), read.digest(), read.version(), askedAt));
   }
 
-  private void take(SharedDocument document) {
-    DocumentCache.UpdateResult outcome = cache.take(document);
+  private void update(SharedDocument document) {
+    DocumentCache.UpdateResult outcome = cache.update(document);
     if (outcome != DocumentCache.UpdateResult.OUTDATED) {
-      taken.accept(document, outcome);
+      updateListener.accept(document, outcome);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentSources.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentSources.java
@@ -8,14 +8,14 @@
 /** How documents are asked for; each answer is given exactly once, later, on the control thread. */
 public interface DocumentSources {
   /** Reads a document from the store. */
-  void askStore(DocumentKind kind, Consumer<StoreResponse> answer);
+  void readStore(DocumentKind kind, Consumer<StoreResponse> answer);
 
   /**
    * Asks another host for all documents that it has; the answer is empty if there is none.
    *
    * @param known what is known here, so that equal contents need not travel
    */
-  void askPeer(Address peer, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer);
+  void queryPeer(Address peer, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer);
 
   /** What the store said. */
   sealed interface StoreResponse {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -23,7 +23,7 @@
   private final Forwarder forwarder;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final CallerResponse reply;
+  private final CallerResponse callerResponse;
   private final Route route;
   private final ServiceName service;
   private final Optional<AccountId> account;
@@ -31,19 +31,19 @@
   private final long deadline;
   private final TimerQueue.Timer deadlineTimer;
   private final TargetSearch search;
-  private final StallDetector silence;
-  private final AdmissionWait turn;
+  private final StallDetector stallDetector;
+  private final AdmissionWait admissionWait;
   private final Placement placement;
   private final ExchangeLog log;
-  private final ResponseEndCheck ends;
+  private final ResponseEndCheck endCheck;
   private final StreamRelay relay;
-  private final VersionObserver witness;
+  private final VersionObserver versions;
   private final RetryController retries;
-  private final AttemptCounter tries;
+  private final AttemptCounter attemptCounter;
   private final PoisonDetector poison;
   private Attempt attempt;
-  private boolean mayHaveRun;
-  private boolean over;
+  private boolean mayHaveExecuted;
+  private boolean finished;
 
   Exchange(
       Forwarder forwarder,
@@ -53,7 +53,7 @@
     this.forwarder = forwarder;
     this.context = forwarder.context();
     this.request = request;
-    this.reply = new CallerResponse(caller);
+    this.callerResponse = new CallerResponse(caller);
     this.route = allowed.route();
     this.account = allowed.account();
     this.poison =
@@ -70,62 +70,63 @@
     this.deadline =
         startedAt
             + Math.min(route.timeoutMillis(), request.remainingMillis().orElse(Long.MAX_VALUE));
-    this.relay = new StreamRelay(this, context, request, reply, route);
-    this.witness = new VersionObserver(forwarder.rollouts(), service, route);
+    this.relay = new StreamRelay(this, context, request, callerResponse, route);
+    this.versions = new VersionObserver(forwarder.rollouts(), service, route);
     this.log = new ExchangeLog(forwarder, this, request);
-    this.retries = new RetryController(forwarder, this, log, route, service, reply, relay, deadline);
-    this.tries = retries.tries();
-    this.ends = new ResponseEndCheck(forwarder, this, relay, log);
+    this.retries =
+        new RetryController(forwarder, this, log, route, service, callerResponse, relay, deadline);
+    this.attemptCounter = retries.attemptCounter();
+    this.endCheck = new ResponseEndCheck(forwarder, this, relay, log);
     this.placement = new Placement(forwarder, this, search, retries, route, log, deadline);
-    this.deadlineTimer = context.timers().add(deadline, this::deadlinePassed);
-    this.silence = new StallDetector(forwarder, this, route);
-    this.turn =
+    this.deadlineTimer = context.timers().add(deadline, this::onDeadline);
+    this.stallDetector = new StallDetector(forwarder, this, route);
+    this.admissionWait =
         new AdmissionWait(
             forwarder,
             this,
             log,
-            new Arrival(service, route.priority(), account, route.aimMillis(), deadline));
+            new Arrival(service, route.priority(), account, route.objectiveMillis(), deadline));
   }
 
   /** Begins to look for a target. */
   void start() {
-    if (poison.isHeld()) {
-      refuse(Rejection.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
+    if (poison.isQuarantined()) {
+      reject(Rejection.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
       return;
     }
-    forwarder.budgets().earn(service);
-    turn.begin(relay.lastEventId().isPresent());
+    forwarder.budgets().recordRequest(service);
+    admissionWait.begin(relay.lastEventId().isPresent());
   }
 
   /** The request has its turn. */
-  void admitted() {
-    placement.locatePrompt(this::tryNext);
+  void onAdmitted() {
+    placement.locatePrompt(this::startNextAttempt);
   }
 
   /** The caller closed its connection; nothing more is sent. */
-  public void callerGone() {
-    if (over) {
+  public void onCallerDisconnected() {
+    if (finished) {
       return;
     }
-    log.note(EventCode.CALLER_GONE, "");
+    log.log(EventCode.CALLER_GONE, "");
     closeAttempt();
     finish();
   }
 
   /** Breaks the request off because this host stops. */
-  void stop() {
-    if (over) {
+  void endForShutdown() {
+    if (finished) {
       return;
     }
-    if (reply.hasBegun()) {
-      abort(Rejection.STOPPING.name());
+    if (callerResponse.hasBegun()) {
+      abortResponse(Rejection.STOPPING.name());
     } else {
-      giveUp(mayHaveRun || isRunning() ? Rejection.TARGET_FAILED : Rejection.STOPPING);
+      failRequest(mayHaveExecuted || isExecuting() ? Rejection.TARGET_FAILED : Rejection.STOPPING);
     }
   }
 
-  private boolean isRunning() {
-    return attempt != null && !attempt.isClosed() && attempt.mayHaveRun();
+  private boolean isExecuting() {
+    return attempt != null && !attempt.isClosed() && attempt.mayHaveExecuted();
   }
 
   /** Returns the target that has the request now. */
@@ -133,13 +134,13 @@
     return attempt == null || attempt.isClosed() ? Optional.empty() : Optional.of(attempt.target());
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
   /** Returns the refusal that is true of a request that no target can be tried for any more. */
-  Rejection unserved(Rejection ifNotRun) {
-    return mayHaveRun ? Rejection.TARGET_FAILED : ifNotRun;
+  Rejection rejectionWhenUnserved(Rejection ifNotRun) {
+    return mayHaveExecuted ? Rejection.TARGET_FAILED : ifNotRun;
   }
 
   Attempt attempt() {
@@ -152,46 +153,46 @@
   }
 
   /** Returns whether the target may be left for another one without breaking a promise. */
-  boolean mayMove() {
-    return route.mayRepeat();
+  boolean canMove() {
+    return route.mayRetry();
   }
 
   /** The target that has the request does not work any more. */
-  void targetLost(TargetFailure failure) {
-    if (!over && attempt != null && !attempt.isClosed()) {
-      log.note(EventCode.ATTEMPT_SUSPECTED, "target=" + attempt.target().description().id());
-      failed(attempt, failure);
+  void onTargetLost(TargetFailure failure) {
+    if (!finished && attempt != null && !attempt.isClosed()) {
+      log.log(EventCode.ATTEMPT_SUSPECTED, "target=" + attempt.target().description().id());
+      onAttemptFailed(attempt, failure);
     }
   }
 
   /** The request is held back from now on. */
-  void held() {
-    boolean runs = attempt != null && !attempt.isClosed() && attempt.hasEvents();
-    if (!over && !runs) {
-      giveUp(mayHaveRun || isRunning() ? Rejection.TARGET_FAILED : Rejection.HELD_BACK);
+  void onQuarantined() {
+    boolean runs = attempt != null && !attempt.isClosed() && attempt.hasForwardedEvents();
+    if (!finished && !runs) {
+      failRequest(mayHaveExecuted || isExecuting() ? Rejection.TARGET_FAILED : Rejection.HELD_BACK);
     }
   }
 
-  void tryNext() {
-    if (poison.isHeld()) {
-      giveUp(unserved(Rejection.HELD_BACK));
+  void startNextAttempt() {
+    if (poison.isQuarantined()) {
+      failRequest(rejectionWhenUnserved(Rejection.HELD_BACK));
       return;
     }
-    if (tries.isUsedUp()) {
-      giveUp(unserved(Rejection.OVERLOADED));
+    if (attemptCounter.isExhausted()) {
+      failRequest(rejectionWhenUnserved(Rejection.OVERLOADED));
       return;
     }
-    placement.next();
+    placement.placeNextAttempt();
   }
 
   /** Returns whether the caller has part of the answer. */
-  boolean isUnderWay() {
+  boolean hasPartialResponse() {
     return relay.lastEventId().isPresent();
   }
 
   /** Returns whether the target of the present attempt may still be sent the request. */
-  boolean mayStillHave(TargetState target) {
-    return search.mayStillHave(target);
+  boolean mayStillReceive(TargetState target) {
+    return search.mayStillReceive(target);
   }
 
   /**
@@ -201,14 +202,14 @@
    */
   void send(TargetChoice choice, Optional<String> from) {
     TargetState target = choice.target();
-    tries.begin();
+    attemptCounter.recordStart();
     attempt = new Attempt(this, target, from.isPresent(), context.now());
     forwarder.targets().opened(target);
-    witness.sent(attempt);
-    if (route.kind() == RouteKind.STREAM && !search.hasPrompt(target)) {
-      attempt.beginReading();
+    versions.recordSent(attempt);
+    if (route.kind() == RouteKind.STREAM && !search.hasPromptCached(target)) {
+      attempt.beginPrefill();
     }
-    Optional<Address> copyTo = search.begin(target);
+    Optional<Address> copyTo = search.beginAttempt(target);
     Dispatch dispatch =
         new Dispatch(
             request,
@@ -218,180 +219,183 @@
             relay.lastEventId(),
             copyTo,
             from,
-            reply.hasBegun());
-    log.forwarded(route, dispatch, choice, tries.begun());
+            callerResponse.hasBegun());
+    log.logForwarded(route, dispatch, choice, attemptCounter.started());
     forwarder.loads().changed();
-    attempt.started(forwarder.port().send(dispatch, attempt));
-    silence.watch(attempt);
+    attempt.setCall(forwarder.port().send(dispatch, attempt));
+    stallDetector.watch(attempt);
   }
 
-  void answered(Attempt from) {
+  void onResponseHead(Attempt from) {
     ResponseHead head = from.head();
-    from.noteHead(context.now());
-    from.noteSign(context.now());
-    forwarder.statements().heard(from);
-    if (head.declaresNotRun()) {
-      failed(from, head.refusal());
+    from.recordHead(context.now());
+    from.recordDataReceived(context.now());
+    forwarder.announcements().receive(from);
+    if (head.declaresNotExecuted()) {
+      onAttemptFailed(from, head.failure());
       return;
     }
-    if (!head.mayReachCaller() || !reply.canGoOnWith(from)) {
-      failed(from, TargetFailure.ERROR);
+    if (!head.isForwardable() || !callerResponse.canContinueWith(from)) {
+      onAttemptFailed(from, TargetFailure.ERROR);
     }
   }
 
-  void received(Attempt from, byte[] bytes) {
-    from.noteSign(context.now());
-    if (from.answersWithStream()) {
-      if (relay.pass(from, bytes)) {
-        witness.event(from, context.now());
-        poison.goesOn(from);
+  void onBody(Attempt from, byte[] bytes) {
+    from.recordDataReceived(context.now());
+    if (from.isEventStream()) {
+      if (relay.forward(from, bytes)) {
+        versions.recordEvent(from, context.now());
+        poison.recordProgress(from);
       } else {
-        failed(from, TargetFailure.ERROR);
+        onAttemptFailed(from, TargetFailure.ERROR);
       }
       return;
     }
     from.body().writeBytes(bytes);
-    if (from.body().size() > forwarder.policy().bufferBytes()) {
+    if (from.body().size() > forwarder.policy().maxBufferedBytes()) {
       // Too long to be held until it is whole: from now on there is no second attempt.
-      reply.commit(from.takeAnswer());
+      callerResponse.commit(from.takeResponse());
     }
   }
 
   /** The first event of an attempt is here. */
-  void firstEvent(Attempt from) {
-    witness.firstEvent(from, context.now());
-    silence.watch(from);
+  void onFirstEvent(Attempt from) {
+    versions.recordFirstEvent(from, context.now());
+    stallDetector.watch(from);
     forwarder.loads().changed();
     if (!from.isContinuation()) {
       forwarder.overload().learn(service, context.now() - from.startedAt());
     }
-    log.note(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
+    log.log(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
   }
 
-  void ended(Attempt from, ResponseEnd end) {
-    ends.ended(from, end);
+  void onResponseEnd(Attempt from, ResponseEnd end) {
+    endCheck.onResponseEnd(from, end);
   }
 
   /** The target's answer is at its end and nothing of it is missing. */
-  void whole(Attempt from) {
-    settle(from);
-    tries.ran();
+  void onCompleteResponse(Attempt from) {
+    releaseAttempt(from);
+    attemptCounter.recordExecution();
     if (route.kind() != RouteKind.STREAM) {
       forwarder.overload().learn(service, from.endedAt() - from.startedAt());
     }
-    TargetResponse answer = from.takeAnswer();
-    search.answered(from, answer);
-    witness.whole(from, answer);
-    poison.ranWell();
-    if (answer.isError() && !reply.hasBegun() && retries.mayRunAgain()) {
-      reply.keepBack(answer);
-      log.note(
+    TargetResponse answer = from.takeResponse();
+    search.recordResponse(from, answer);
+    versions.recordCompleteResponse(from, answer);
+    poison.recordSuccess();
+    if (answer.isError() && !callerResponse.hasBegun() && retries.mayExecuteAgain()) {
+      callerResponse.holdError(answer);
+      log.log(
           EventCode.CALL_RETRIED,
           "target=" + from.target().description().id() + " status=" + answer.head().status());
-      retries.repeat();
+      retries.retry();
       return;
     }
-    answer(answer);
+    respond(answer);
   }
 
-  private void answer(TargetResponse answer) {
-    reply.finish(answer);
-    log.note(EventCode.REQUEST_ANSWERED, "status=" + answer.head().status());
-    forwarder.answered(route, context.now() - startedAt);
+  private void respond(TargetResponse answer) {
+    callerResponse.finish(answer);
+    log.log(EventCode.REQUEST_ANSWERED, "status=" + answer.head().status());
+    forwarder.recordResponse(route, context.now() - startedAt);
     finish();
   }
 
-  void failed(Attempt from, TargetFailure failure) {
-    boolean ran = from.mayHaveRun() && !failure.provesNotRun();
+  void onAttemptFailed(Attempt from, TargetFailure failure) {
+    boolean ran = from.mayHaveExecuted() && !failure.provesNotRun();
     if (ran) {
-      search.copies().attemptBroke(from);
+      search.copies().onAttemptBroken(from);
     }
-    settle(from);
+    releaseAttempt(from);
     from.cancel();
-    log.failed(from, failure, ran);
+    log.logAttemptFailed(from, failure, ran);
     if (failure.isUnsent()) {
-      tries.unreached();
+      attemptCounter.unreached();
     }
     if (ran) {
-      mayHaveRun = true;
-      tries.ran();
+      mayHaveExecuted = true;
+      attemptCounter.recordExecution();
     }
-    search.failed(from, failure);
-    poison.broke(from, failure, ran);
-    witness.failed(from, failure, context.now());
-    poison.beforeNextTry(from, () -> retries.goOn(from, ran));
+    search.recordFailure(from, failure);
+    poison.recordFailure(from, failure, ran);
+    versions.recordFailure(from, failure, context.now());
+    poison.beforeNextAttempt(from, () -> retries.retryOrFail(from, ran));
   }
 
-  private void deadlinePassed() {
-    if (over) {
+  private void onDeadline() {
+    if (finished) {
       return;
     }
-    boolean ran = mayHaveRun || isRunning();
-    giveUp(ran ? Rejection.TIMED_OUT : Rejection.NOT_STARTED_IN_TIME);
+    boolean ran = mayHaveExecuted || isExecuting();
+    failRequest(ran ? Rejection.TIMED_OUT : Rejection.NOT_STARTED_IN_TIME);
   }
 
   /** Ends the request by what the caller has so far, by an error kept back, or by a refusal. */
-  void giveUp(Rejection refusal) {
-    giveUp(refusal, forwarder.policy().retryAfterMillis(), "");
+  void failRequest(Rejection refusal) {
+    failRequest(refusal, forwarder.policy().retryAfterMillis(), "");
   }
 
-  void giveUp(Rejection refusal, long retryAfterMillis, String inputs) {
+  void failRequest(Rejection refusal, long retryAfterMillis, String inputs) {
     closeAttempt();
-    if (reply.hasBegun()) {
-      abort(refusal.name());
+    if (callerResponse.hasBegun()) {
+      abortResponse(refusal.name());
     } else {
-      reply
-          .keptBack()
-          .ifPresentOrElse(this::answer, () -> refuse(refusal, retryAfterMillis, inputs));
+      callerResponse
+          .heldError()
+          .ifPresentOrElse(this::respond, () -> reject(refusal, retryAfterMillis, inputs));
     }
   }
 
-  void refuse(Rejection refusal, long retryAfterMillis, String inputs) {
-    reply.refuse(refusal, refusal.retryAfterMillis(retryAfterMillis));
+  void reject(Rejection refusal, long retryAfterMillis, String inputs) {
+    callerResponse.reject(refusal, refusal.retryAfterMillis(retryAfterMillis));
     String separator = inputs.isEmpty() ? "" : " ";
-    log.note(EventCode.REQUEST_REFUSED, "reason=" + refusal + separator + inputs);
-    forwarder.refused(refusal);
+    log.log(EventCode.REQUEST_REFUSED, "reason=" + refusal + separator + inputs);
+    forwarder.recordRejection(refusal);
     finish();
   }
 
-  void abort(String reason) {
+  void abortResponse(String reason) {
     closeAttempt();
-    reply.abort();
-    log.note(EventCode.GENERATION_INTERRUPTED, "reason=" + reason);
-    forwarder.interrupted(route);
+    callerResponse.abort();
+    log.log(EventCode.GENERATION_INTERRUPTED, "reason=" + reason);
+    forwarder.recordInterruption(route);
     finish();
   }
 
   private void closeAttempt() {
     if (attempt != null && !attempt.isClosed()) {
-      witness.givenUp(attempt, context.now());
-      settle(attempt);
+      versions.recordAbandoned(attempt, context.now());
+      releaseAttempt(attempt);
       attempt.cancel();
     }
   }
 
   /** Counts an attempt that has ended. */
-  private void settle(Attempt ended) {
+  private void releaseAttempt(Attempt ended) {
     if (!ended.close()) {
       return;
     }
-    silence.stop();
-    search.copies().stop();
+    stallDetector.stop();
+    search.copies().release();
     forwarder.targets().closed(ended.target());
     forwarder.loads().changed();
   }
 
   private void finish() {
-    over = true;
+    finished = true;
     deadlineTimer.cancel();
-    turn.end();
-    silence.stop();
-    forwarder.over(this);
+    admissionWait.end();
+    stallDetector.stop();
+    forwarder.onFinished(this);
   }
 
   /** Returns how far the request has come, for the log. */
   String progress() {
     return ExchangeLog.progress(
-        tries.begun(), relay.lastEventId(), context.now() - startedAt, deadline - context.now());
+        attemptCounter.started(),
+        relay.lastEventId(),
+        context.now() - startedAt,
+        deadline - context.now());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -20,7 +20,7 @@
   }
 
   /** Logs a decision; {@code inputs} are pairs of the form name=value, or empty. */
-  void note(EventCode code, String inputs) {
+  void log(EventCode code, String inputs) {
     String separator = inputs.isEmpty() ? "" : " ";
     forwarder.context().note(code, request.id(), inputs + separator + exchange.progress());
   }
@@ -36,7 +36,7 @@
         + leftMillis;
   }
 
-  void forwarded(Route route, Dispatch dispatch, TargetChoice choice, int tries) {
+  void logForwarded(Route route, Dispatch dispatch, TargetChoice choice, int tries) {
     ConfigurationHolder configuration = forwarder.configuration();
     String inputs =
         "route="
@@ -57,38 +57,38 @@
             + configuration.version()
             + " ageMillis="
             + configuration.ageMillis();
-    note(EventCode.REQUEST_FORWARDED, inputs);
+    log(EventCode.REQUEST_FORWARDED, inputs);
   }
 
-  void located(PromptLocator.Located found) {
+  void logPromptLocated(PromptLocator.LookupResult found) {
     String inputs =
         "target="
             + found.target().map(TargetId::toString).orElse("-")
             + " answered="
-            + found.answered()
+            + found.responses()
             + " asked="
-            + found.asked();
-    note(EventCode.PROMPT_LOCATED, inputs);
+            + found.queries();
+    log(EventCode.PROMPT_LOCATED, inputs);
   }
 
-  void ended(Attempt attempt, ResponseEndVerdict verdict) {
+  void logResponseEnded(Attempt attempt, ResponseEndVerdict verdict) {
     String inputs =
         "target="
             + attempt.target().description().id()
             + " end="
             + attempt.end()
             + " events="
-            + attempt.eventCount()
+            + attempt.forwardedEventCount()
             + " lastOfRun="
-            + attempt.lastOfRun().orElse(-1)
+            + attempt.lastReceivedEventId().orElse(-1)
             + " verdict="
             + verdict
             + " probeMillis="
             + (forwarder.context().now() - attempt.endedAt());
-    note(EventCode.ANSWER_ENDED, inputs);
+    log(EventCode.ANSWER_ENDED, inputs);
   }
 
-  void failed(Attempt attempt, TargetFailure failure, boolean mayHaveRun) {
+  void logAttemptFailed(Attempt attempt, TargetFailure failure, boolean mayHaveRun) {
     String inputs =
         "target="
             + attempt.target().description().id()
@@ -96,11 +96,11 @@
             + failure
             + " mayHaveRun="
             + mayHaveRun;
-    note(EventCode.ATTEMPT_FAILED, mayHaveRun ? inputs + course(attempt) : inputs);
+    log(EventCode.ATTEMPT_FAILED, mayHaveRun ? inputs + executionDetails(attempt) : inputs);
   }
 
   /** Tells how far a run had come, and of what content it was, so that its repeats are found. */
-  private String course(Attempt attempt) {
+  private String executionDetails(Attempt attempt) {
     long now = forwarder.context().now();
     String sinceHead =
         attempt.headAt().isPresent() ? Long.toString(now - attempt.headAt().getAsLong()) : "-";
@@ -111,6 +111,6 @@
         + " sinceHeadMillis="
         + sinceHead
         + " events="
-        + attempt.eventCount();
+        + attempt.forwardedEventCount();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -42,14 +42,14 @@
   private final TargetSelector selector;
   private final OverloadControl overload;
   private final RetryBudgets budgets;
-  private final ShutdownPolicy stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
   private final PromptLocator prompts;
   private final PoisonControl poison;
-  private final TargetExitDetector targetEnds;
+  private final TargetExitDetector exitDetector;
   private final TargetLimits limits;
-  private final Rests rests;
-  private final AnnouncementReceiver statements;
-  private final Set<Exchange> open = new LinkedHashSet<>();
+  private final Rests backoffs;
+  private final AnnouncementReceiver announcements;
+  private final Set<Exchange> exchanges = new LinkedHashSet<>();
   private final Set<TargetId> probing = new HashSet<>();
 
   /**
@@ -82,24 +82,26 @@
     this.rollouts = rollouts;
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
     this.limits = new TargetLimits(context, facts, directory, loans);
-    this.rests = new Rests(context, facts);
-    this.statements = new AnnouncementReceiver(context, facts, limits.book(), rests);
-    this.port = new ObservingTargetPort(context, port, statements);
-    this.selector = new TargetSelector(context, targets, loads, directory, rests::restsElsewhere);
+    this.backoffs = new Rests(context, facts);
+    this.announcements = new AnnouncementReceiver(context, facts, limits.book(), backoffs);
+    this.port = new ObservingTargetPort(context, port, announcements);
+    this.selector =
+        new TargetSelector(context, targets, loads, directory, backoffs::restsElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
-    this.stopPlan = new ShutdownPolicy(context);
-    this.prompts = new PromptLocator(context, targets, this.port, rests::isResting);
+    this.shutdownPolicy = new ShutdownPolicy(context);
+    this.prompts = new PromptLocator(context, targets, this.port, backoffs::isResting);
     this.poison = poison;
-    this.targetEnds = new TargetExitDetector(context, this.port, poison, policy.unreachableMillis());
+    this.exitDetector =
+        new TargetExitDetector(context, this.port, poison, policy.probeTimeoutMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
+        new OverloadControl(context, targets, loads, limits.book()::perSecond, backoffs::isResting);
     loads.exchangeTargetFacts(facts);
-    facts.onNews(this::hear);
-    poison.onHeld(this::hold);
+    facts.onNews(this::onTargetFact);
+    poison.onHeld(this::onQuarantined);
   }
 
   /** A target has said something, here or to another host. */
-  private void hear(TargetFact fact) {
+  private void onTargetFact(TargetFact fact) {
     if (fact.kind() == FactKind.LEAVING) {
       targets.leaving(fact.target());
     }
@@ -109,24 +111,24 @@
   /** Takes a whole request in; it is answered through {@code caller}, perhaps at once. */
   public Optional<Exchange> accept(ForwardRequest request, CallerPort caller) {
     ConfigurationHolder.Lookup found =
-        configuration.find(request.hostName(), request.path(), request.key());
+        configuration.lookUp(request.hostName(), request.path(), request.key());
     if (found instanceof ConfigurationHolder.Lookup.Allowed allowed) {
-      if (!stopPlan.takes(allowed.route().kind())) {
-        refuse(request, caller, Rejection.STOPPING);
+      if (!shutdownPolicy.accepts(allowed.route().kind())) {
+        reject(request, caller, Rejection.STOPPING);
         return Optional.empty();
       }
       Exchange exchange = new Exchange(this, request, caller, allowed);
-      open.add(exchange);
+      exchanges.add(exchange);
       exchange.start();
       return Optional.of(exchange);
     }
-    refuse(request, caller, ((ConfigurationHolder.Lookup.Denied) found).refusal());
+    reject(request, caller, ((ConfigurationHolder.Lookup.Denied) found).refusal());
     return Optional.empty();
   }
 
   /** Refuses a request that this host has not taken up. */
-  private void refuse(ForwardRequest request, CallerPort caller, Rejection refusal) {
-    caller.refuse(refusal, policy.retryAfterMillis());
+  private void reject(ForwardRequest request, CallerPort caller, Rejection refusal) {
+    caller.reject(refusal, policy.retryAfterMillis());
     context.note(
         EventCode.REQUEST_REFUSED,
         request.id(),
@@ -136,12 +138,12 @@
             + configuration.version()
             + " ageMillis="
             + configuration.ageMillis());
-    observer.refused(refusal);
+    observer.recordRejection(refusal);
   }
 
   /** Returns how many requests are not answered yet. */
-  public int openExchanges() {
-    return open.size();
+  public int openExchangeCount() {
+    return exchanges.size();
   }
 
   /**
@@ -150,18 +152,18 @@
    * @param lastTakenAt when the last new request is taken
    * @param endAt when everything has to be over
    */
-  public void beginStop(long lastTakenAt, long endAt) {
-    stopPlan.begin(lastTakenAt, endAt);
+  public void beginShutdown(long lastTakenAt, long endAt) {
+    shutdownPolicy.begin(lastTakenAt, endAt);
   }
 
   /** Returns whether this host has begun to stop. */
   boolean isStopping() {
-    return stopPlan.isStopping();
+    return shutdownPolicy.isStopping();
   }
 
   /** Breaks all open requests off because this host stops. */
   public void stopAll() {
-    List.copyOf(open).forEach(Exchange::stop);
+    List.copyOf(exchanges).forEach(Exchange::endForShutdown);
   }
 
   /** Asks a target whether it works, unless it is being asked already. */
@@ -173,38 +175,38 @@
     long askedAt = context.now();
     port.probe(
         target.description(),
-        policy.unreachableMillis(),
+        policy.probeTimeoutMillis(),
         result -> {
           probing.remove(id);
-          if (result.isAnswer()) {
+          if (result.isResponse()) {
             targets.answered(target);
           } else {
-            lost(target, askedAt);
+            onTargetUnreachable(target, askedAt);
           }
         });
   }
 
   /** Moves every stream that was silent since the probe began. */
-  private void lost(TargetState target, long askedAt) {
+  private void onTargetUnreachable(TargetState target, long askedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.failed(target, TargetFailure.TIMEOUT);
     loads.changed();
-    for (Exchange exchange : List.copyOf(open)) {
+    for (Exchange exchange : List.copyOf(exchanges)) {
       boolean concerned =
-          exchange.mayMove()
+          exchange.canMove()
               && exchange.currentTarget().isPresent()
-              && StallDetector.isSilent(exchange.attempt(), target, askedAt);
+              && StallDetector.isSilentSince(exchange.attempt(), target, askedAt);
       if (concerned) {
-        exchange.targetLost(TargetFailure.TIMEOUT);
+        exchange.onTargetLost(TargetFailure.TIMEOUT);
       }
     }
   }
 
   /** A request is held back from now on; what of it has not shown that it runs is ended. */
-  private void hold(Fingerprint request) {
-    List.copyOf(open).stream()
+  private void onQuarantined(Fingerprint request) {
+    List.copyOf(exchanges).stream()
         .filter(exchange -> exchange.poison().fingerprint().equals(request))
-        .forEach(Exchange::held);
+        .forEach(Exchange::onQuarantined);
   }
 
   @Override
@@ -212,31 +214,31 @@
     if (subject instanceof LoanSubject.Requests requests) {
       limits.lend(requests, count, answer);
     } else if (subject instanceof LoanSubject.Repeats repeats) {
-      answer.accept(Optional.of(new Loan(lendRepeats(repeats.service(), count), 0)));
+      answer.accept(Optional.of(new Loan(issueRetries(repeats.service(), count), 0)));
     }
   }
 
-  private int lendRepeats(ServiceName service, int count) {
-    int lent = budgets.lend(service, count);
+  private int issueRetries(ServiceName service, int count) {
+    int lent = budgets.issue(service, count);
     context.note(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + lent);
     return lent;
   }
 
-  void over(Exchange exchange) {
-    open.remove(exchange);
+  void onFinished(Exchange exchange) {
+    exchanges.remove(exchange);
   }
 
-  void answered(Route route, long millis) {
-    stopPlan.lasted(route.kind(), millis);
-    observer.answered(route, millis);
+  void recordResponse(Route route, long millis) {
+    shutdownPolicy.recordDuration(route.kind(), millis);
+    observer.recordResponse(route, millis);
   }
 
-  void refused(Rejection refusal) {
-    observer.refused(refusal);
+  void recordRejection(Rejection refusal) {
+    observer.recordRejection(refusal);
   }
 
-  void interrupted(Route route) {
-    observer.interrupted(route);
+  void recordInterruption(Route route) {
+    observer.recordInterruption(route);
   }
 
   CoreContext context() {
@@ -279,8 +281,8 @@
     return poison;
   }
 
-  TargetExitDetector targetEnds() {
-    return targetEnds;
+  TargetExitDetector exitDetector() {
+    return exitDetector;
   }
 
   /** Returns what keeps to the limits that targets name. */
@@ -289,13 +291,13 @@
   }
 
   /** Returns the targets that want nothing from this host for now. */
-  public Rests rests() {
-    return rests;
+  public Rests backoffs() {
+    return backoffs;
   }
 
   /** Returns what takes in what targets say of themselves. */
-  AnnouncementReceiver statements() {
-    return statements;
+  AnnouncementReceiver announcements() {
+    return announcements;
   }
 
   OverloadControl overload() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -27,16 +27,16 @@
  */
 public final class HostDirectory implements GathererDirectory, HostCount, LenderDirectory {
   /** Assumed until all hosts of a deployment that starts at once have had time to write. */
-  private static final int LEAST_AT_START = 16;
+  private static final int MIN_HOSTS_AT_START = 16;
 
-  private static final int SETTLED_READINGS = 3;
-  private static final long REFRESH_MILLIS = 60_000;
-  private static final long COUNTED_MILLIS = 3 * REFRESH_MILLIS;
-  private static final long KEPT_MILLIS = 10 * REFRESH_MILLIS;
-  private static final int MOST_REMOVED = 50;
+  private static final int STARTUP_READINGS = 3;
+  private static final long REFRESH_INTERVAL_MILLIS = 60_000;
+  private static final long ENTRY_TIMEOUT_MILLIS = 3 * REFRESH_INTERVAL_MILLIS;
+  private static final long ENTRY_REMOVAL_DELAY_MILLIS = 10 * REFRESH_INTERVAL_MILLIS;
+  private static final int MAX_REMOVED_ENTRIES = 50;
 
   /** Entries are read each eight seconds, so that one just written is not seen for as long. */
-  private static final long REWRITE_MILLIS = 9_000;
+  private static final long MIN_REWRITE_INTERVAL_MILLIS = 9_000;
 
   private static final String READERS = "readers";
 
@@ -45,15 +45,15 @@
    * it (1,200 and 550 in a minute, means of five plays, six hosts in four data centres). Each asks
    * it 2.5 times a second; 60 questions a second, at an assumed 0.1 ms each, are 0.6% of its core.
    */
-  private static final int MOST_FOR_ONE_READER = 24;
+  private static final int MAX_HOSTS_FOR_ONE_READER = 24;
 
   private final CoreContext context;
   private final String self;
   private final Address address;
   private final Map<Address, Long> avoidedUntil = new HashMap<>();
-  private List<Entry> counted = List.of();
-  private List<Entry> readers = List.of();
-  private Optional<Entry> readerOfAll = Optional.empty();
+  private List<Entry> liveEntries = List.of();
+  private List<Entry> localReaders = List.of();
+  private Optional<Entry> globalReader = Optional.empty();
   private List<List<Address>> readersElsewhere = List.of();
   private int readings;
   private long changes;
@@ -68,7 +68,7 @@
   public record Entry(String host, DataCentre dataCentre, Address address, long seenAt) {}
 
   /** What is to be written: this host's entry, and the names of entries that are too old. */
-  public record Update(Entry own, List<String> outdated) {}
+  public record Update(Entry own, List<String> expiredHosts) {}
 
   /**
    * Makes a directory that knows nobody yet.
@@ -82,42 +82,46 @@
   }
 
   /** Takes in all entries; returns what is to be written, if anything is. */
-  public Optional<Update> learn(List<Entry> entries, long storeMillis) {
+  public Optional<Update> update(List<Entry> entries, long storeMillis) {
     readings++;
-    List<Entry> before = counted;
-    counted =
-        entries.stream().filter(entry -> isYounger(entry, storeMillis, COUNTED_MILLIS)).toList();
-    if (!places(before).equals(places(counted))) {
+    List<Entry> before = liveEntries;
+    liveEntries =
+        entries.stream()
+            .filter(entry -> isYounger(entry, storeMillis, ENTRY_TIMEOUT_MILLIS))
+            .toList();
+    if (!addressesByHost(before).equals(addressesByHost(liveEntries))) {
       changes++;
     }
     List<Entry> here =
-        counted.stream().filter(entry -> entry.dataCentre().equals(context.dataCentre())).toList();
+        liveEntries.stream()
+            .filter(entry -> entry.dataCentre().equals(context.dataCentre()))
+            .toList();
     List<Entry> ranked = Rendezvous.rank(READERS, here, Entry::host);
-    noteChange(before.size(), ranked);
-    readers = ranked;
+    logChange(before.size(), ranked);
+    localReaders = ranked;
     readersElsewhere = rankElsewhere();
-    readerOfAll = rankReaderOfAll();
-    if (isOwnFresh(entries, storeMillis) || storeMillis - writtenAt < REWRITE_MILLIS) {
+    globalReader = findGlobalReader();
+    if (isOwnFresh(entries, storeMillis) || storeMillis - writtenAt < MIN_REWRITE_INTERVAL_MILLIS) {
       return Optional.empty();
     }
     writtenAt = storeMillis;
     Entry own = new Entry(self, context.dataCentre(), address, storeMillis);
-    return Optional.of(new Update(own, outdated(entries, storeMillis)));
+    return Optional.of(new Update(own, expiredEntries(entries, storeMillis)));
   }
 
-  private Optional<Entry> rankReaderOfAll() {
-    return counted.size() > MOST_FOR_ONE_READER
+  private Optional<Entry> findGlobalReader() {
+    return liveEntries.size() > MAX_HOSTS_FOR_ONE_READER
         ? Optional.empty()
-        : Rendezvous.rank(READERS, counted, Entry::host).stream().findFirst();
+        : Rendezvous.rank(READERS, liveEntries, Entry::host).stream().findFirst();
   }
 
-  private static Map<String, Address> places(List<Entry> entries) {
+  private static Map<String, Address> addressesByHost(List<Entry> entries) {
     return entries.stream().collect(Collectors.toMap(Entry::host, Entry::address, (a, b) -> b));
   }
 
   private List<List<Address>> rankElsewhere() {
     Map<DataCentre, List<Entry>> elsewhere = new TreeMap<>(Comparator.comparing(DataCentre::value));
-    for (Entry entry : counted) {
+    for (Entry entry : liveEntries) {
       if (!entry.dataCentre().equals(context.dataCentre())) {
         elsewhere.computeIfAbsent(entry.dataCentre(), any -> new ArrayList<>()).add(entry);
       }
@@ -128,10 +132,10 @@
         .toList();
   }
 
-  private void noteChange(int before, List<Entry> ranked) {
+  private void logChange(int before, List<Entry> ranked) {
     String first = firstOf(ranked);
-    if (counted.size() != before || !first.equals(firstOf(readers))) {
-      context.note(EventCode.HOSTS_KNOWN, self, "hosts=" + counted.size() + " reader=" + first);
+    if (liveEntries.size() != before || !first.equals(firstOf(localReaders))) {
+      context.note(EventCode.HOSTS_KNOWN, self, "hosts=" + liveEntries.size() + " reader=" + first);
     }
   }
 
@@ -144,15 +148,15 @@
     return entries.stream()
         .filter(entry -> entry.host().equals(self))
         .filter(entry -> entry.address().equals(address))
-        .anyMatch(entry -> isYounger(entry, storeMillis, REFRESH_MILLIS));
+        .anyMatch(entry -> isYounger(entry, storeMillis, REFRESH_INTERVAL_MILLIS));
   }
 
-  private List<String> outdated(List<Entry> entries, long storeMillis) {
+  private List<String> expiredEntries(List<Entry> entries, long storeMillis) {
     return entries.stream()
-        .filter(entry -> !isYounger(entry, storeMillis, KEPT_MILLIS))
+        .filter(entry -> !isYounger(entry, storeMillis, ENTRY_REMOVAL_DELAY_MILLIS))
         .map(Entry::host)
         .filter(host -> !host.equals(self))
-        .limit(MOST_REMOVED)
+        .limit(MAX_REMOVED_ENTRIES)
         .toList();
   }
 
@@ -163,20 +167,20 @@
   /** Returns how many hosts there probably are, this one included; at least one. */
   @Override
   public int hosts() {
-    int least = readings < SETTLED_READINGS ? LEAST_AT_START : 1;
-    return Math.max(least, counted.size());
+    int least = readings < STARTUP_READINGS ? MIN_HOSTS_AT_START : 1;
+    return Math.max(least, liveEntries.size());
   }
 
   /** Returns how many hosts have an entry, this one included; at least one. */
   @Override
   public int all() {
-    return Math.max(1, counted.size());
+    return Math.max(1, liveEntries.size());
   }
 
   /** Returns how many of them are in this data centre; at least one. */
   @Override
   public int here() {
-    return Math.max(1, readers.size());
+    return Math.max(1, localReaders.size());
   }
 
   /**
@@ -187,20 +191,20 @@
    * data centre is cut off, the first host of each data centre reads for its own.
    */
   public Optional<Address> reader(long now) {
-    if (readerOfAll.isPresent() && readerOfAll.get().host().equals(self)) {
+    if (globalReader.isPresent() && globalReader.get().host().equals(self)) {
       return Optional.empty();
     }
-    return readerOfAll
+    return globalReader
         .map(Entry::address)
         .filter(address -> !isAvoided(address, now))
-        .or(() -> lender(now));
+        .or(() -> issuer(now));
   }
 
   /**
    * Returns the host that lends repeats to those of this data centre, and the next one to read the
    * store for them; empty if that is this one. Hosts that were found not to answer are passed over.
    */
-  public Optional<Address> lender(long now) {
+  public Optional<Address> issuer(long now) {
     return before().stream().filter(address -> !isAvoided(address, now)).findFirst();
   }
 
@@ -210,7 +214,7 @@
 
   @Override
   public List<Address> before() {
-    return readers.stream()
+    return localReaders.stream()
         .takeWhile(entry -> !entry.host().equals(self))
         .map(Entry::address)
         .toList();
@@ -223,7 +227,7 @@
 
   @Override
   public List<Address> lenders(DataCentre dataCentre, String key) {
-    List<Entry> all = new ArrayList<>(counted);
+    List<Entry> all = new ArrayList<>(liveEntries);
     if (all.stream().noneMatch(entry -> entry.address().equals(address))) {
       all.add(new Entry(self, context.dataCentre(), address, 0));
     }
@@ -252,8 +256,8 @@
   }
 
   /** Returns any other host, of whichever data centre. */
-  public Optional<Address> anyOther(RandomGenerator random) {
-    List<Entry> others = counted.stream().filter(entry -> !entry.host().equals(self)).toList();
+  public Optional<Address> anyOtherHost(RandomGenerator random) {
+    List<Entry> others = liveEntries.stream().filter(entry -> !entry.host().equals(self)).toList();
     if (others.isEmpty()) {
       return Optional.empty();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
@@ -32,13 +32,13 @@
         timeoutMillis,
         new ProbeListener() {
           @Override
-          public void heard(Statements said) {
-            statements.heard(target, said, askedAt);
+          public void onAnnouncements(Statements said) {
+            statements.receive(target, said, askedAt);
           }
 
           @Override
-          public void probed(ProbeResult result) {
-            listener.probed(result);
+          public void onResult(ProbeResult result) {
+            listener.onResult(result);
           }
         });
   }
@@ -54,7 +54,7 @@
         target,
         timeoutMillis,
         said -> {
-          statements.heard(target, said, askedAt);
+          statements.receive(target, said, askedAt);
           heard.accept(said);
         },
         answer);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -19,21 +19,21 @@
    * How long a request waits for a token before it is refused, as a part of the time within which
    * its caller wants the answer: one that is refused by then can still be served in time elsewhere.
    */
-  private static final double WAITING_PART = 0.25;
+  private static final double MAX_WAIT_RATIO = 0.25;
 
   /** Callers leave a stream that pauses for longer than this. */
-  private static final long LONGEST_PAUSE_MILLIS = 2_000;
+  private static final long MAX_STREAM_PAUSE_MILLIS = 2_000;
 
   /**
    * How long to wait where no target has a token, or so many in a row had none: at the most 88
    * questions of a stream that wants its first event within 4.5 s (arithmetic).
    */
-  private static final long RETRY_MILLIS = 100;
+  private static final long TOKEN_RETRY_DELAY_MILLIS = 100;
 
-  private static final int MOST_DENIALS = 8;
+  private static final int MAX_CONSECUTIVE_DENIALS = 8;
 
   /** Where calls may wait but little, they ask again so often. */
-  private static final int LEAST_RETRIES = 3;
+  private static final int MIN_TOKEN_RETRIES = 3;
 
   private final Forwarder forwarder;
   private final Exchange exchange;
@@ -76,40 +76,40 @@
    * keeps its prompt, so that it is asked first.
    */
   void locatePrompt(Runnable step) {
-    if (search.mayFindPrompt()) {
-      search.findPrompt(found -> located(found, step));
+    if (search.canLocatePrompt()) {
+      search.locatePrompt(found -> onPromptLocated(found, step));
     } else {
       step.run();
     }
   }
 
-  private void located(PromptLocator.Located found, Runnable step) {
-    if (!exchange.isOver()) {
-      log.located(found);
+  private void onPromptLocated(PromptLocator.LookupResult found, Runnable step) {
+    if (!exchange.isFinished()) {
+      log.logPromptLocated(found);
       step.run();
     }
   }
 
   /** Looks for a target for the next try; the exchange is told of it, or that there is none. */
-  void next() {
-    waitUntil = forwarder.context().now() + patienceMillis();
+  void placeNextAttempt() {
+    waitUntil = forwarder.context().now() + maxWaitMillis();
     denials = 0;
-    search.endPassingOver();
+    search.includeLimitedTargets();
     search
         .copies()
-        .take()
+        .takeCopy()
         .ifPresentOrElse(
-            copy -> claim(TargetChoice.only(copy.holder()), Optional.of(copy.name())),
+            copy -> acquireToken(TargetChoice.only(copy.holder()), Optional.of(copy.name())),
             this::choose);
   }
 
   private void choose() {
     search
-        .choose(retries.isResumableStream(), exchange.isUnderWay())
-        .ifPresentOrElse(choice -> claim(choice, Optional.empty()), this::nothingFound);
+        .choose(retries.isResumableStream(), exchange.hasPartialResponse())
+        .ifPresentOrElse(choice -> acquireToken(choice, Optional.empty()), this::onNoTarget);
   }
 
-  private void claim(TargetChoice choice, Optional<String> copy) {
+  private void acquireToken(TargetChoice choice, Optional<String> copy) {
     Place place = new Place(choice, copy, forwarder.context().now());
     TargetState target = choice.target();
     forwarder
@@ -117,17 +117,17 @@
         .take(
             target.description().id(),
             target.description().dataCentre(),
-            exchange.isUnderWay(),
-            granted -> claimed(place, granted));
+            exchange.hasPartialResponse(),
+            granted -> onTokenResult(place, granted));
   }
 
-  private boolean hasWaitedEnough() {
+  private boolean isWaitOver() {
     return forwarder.context().now() >= waitUntil;
   }
 
-  private void claimed(Place place, boolean granted) {
+  private void onTokenResult(Place place, boolean granted) {
     boolean justChosen = place.chosenAt() == forwarder.context().now();
-    boolean wanted = !exchange.isOver() && (justChosen || search.mayHave(place.target()));
+    boolean wanted = !exchange.isFinished() && (justChosen || search.mayReceive(place.target()));
     if (granted && wanted) {
       exchange.send(place.choice(), place.copy());
       return;
@@ -135,63 +135,65 @@
     if (granted) {
       forwarder.limits().giveBack(place.target().description().id());
     }
-    if (exchange.isOver()) {
+    if (exchange.isFinished()) {
       return;
     }
     denials += granted ? 0 : 1;
-    if (hasWaitedEnough()) {
-      search.passOverLimited();
+    if (isWaitOver()) {
+      search.skipLimitedTargets();
       choose();
-    } else if (denials < MOST_DENIALS) {
+    } else if (denials < MAX_CONSECUTIVE_DENIALS) {
       choose();
     } else {
       waitForTokens();
     }
   }
 
-  private void nothingFound() {
-    if (search.isAnySpent(exchange.isUnderWay())) {
+  private void onNoTarget() {
+    if (search.hasTargetWithoutToken(exchange.hasPartialResponse())) {
       waitForTokens();
       return;
     }
-    OptionalLong usable = search.millisToEndOfRest(retries.isResumableStream());
-    OptionalLong first = search.millisToEndOfRest(true);
+    OptionalLong usable = search.millisToFirstBackoffEnd(retries.isResumableStream());
+    OptionalLong first = search.millisToFirstBackoffEnd(true);
     if (usable.isPresent() && forwarder.context().now() + usable.getAsLong() <= waitUntil) {
-      forwarder.context().after(usable.getAsLong(), this::chooseIfOpen);
+      forwarder.context().after(usable.getAsLong(), this::chooseUnlessFinished);
     } else if (first.isPresent()) {
       long again = forwarder.overload().returnMillisAfter(first.getAsLong());
-      refuse(again, "restMillis=" + first.getAsLong());
+      reject(again, "restMillis=" + first.getAsLong());
     } else {
-      exchange.giveUp(exchange.unserved(Rejection.NO_TARGET));
+      exchange.failRequest(exchange.rejectionWhenUnserved(Rejection.NO_TARGET));
     }
   }
 
   private void waitForTokens() {
     denials = 0;
-    if (hasWaitedEnough()) {
-      refuse(forwarder.overload().returnMillis(search.service(), deadline), "limits=spent");
+    if (isWaitOver()) {
+      reject(forwarder.overload().returnMillis(search.service(), deadline), "limits=spent");
       return;
     }
     long left = waitUntil - forwarder.context().now();
     long wait =
-        Math.min(left, Math.min(RETRY_MILLIS, Math.max(1, patienceMillis() / LEAST_RETRIES)));
-    forwarder.context().after(wait, this::chooseIfOpen);
+        Math.min(
+            left,
+            Math.min(TOKEN_RETRY_DELAY_MILLIS, Math.max(1, maxWaitMillis() / MIN_TOKEN_RETRIES)));
+    forwarder.context().after(wait, this::chooseUnlessFinished);
   }
 
   /** No target takes the request for now. */
-  private void refuse(long againMillis, String inputs) {
-    exchange.giveUp(exchange.unserved(Rejection.OVERLOADED), againMillis, inputs);
+  private void reject(long againMillis, String inputs) {
+    exchange.failRequest(exchange.rejectionWhenUnserved(Rejection.OVERLOADED), againMillis, inputs);
   }
 
-  private void chooseIfOpen() {
-    if (!exchange.isOver()) {
+  private void chooseUnlessFinished() {
+    if (!exchange.isFinished()) {
       choose();
     }
   }
 
-  private long patienceMillis() {
-    return exchange.isUnderWay()
-        ? LONGEST_PAUSE_MILLIS
-        : Math.round(WAITING_PART * route.aimMillis());
+  private long maxWaitMillis() {
+    return exchange.hasPartialResponse()
+        ? MAX_STREAM_PAUSE_MILLIS
+        : Math.round(MAX_WAIT_RATIO * route.objectiveMillis());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
@@ -20,15 +20,15 @@
    * on, 120 ms. Ordinary runs broke 0.43 s or more after their beginning (30 of 30 on a day on
    * which nine in ten targets of a data centre ended each 6.5 s).
    */
-  static final long BEGUN_MILLIS = 400;
+  static final long MAX_CRASH_DELAY_MILLIS = 400;
 
   /** A run that goes on for so long after its beginning is not what targets end under. */
-  static final long LASTING_MILLIS = 1_000;
+  static final long MIN_HARMLESS_MILLIS = 1_000;
 
   private final Forwarder forwarder;
   private final PoisonControl poison;
   private final Supplier<Fingerprint> fingerprint;
-  private boolean lasted;
+  private boolean harmless;
 
   /**
    * Makes a watch.
@@ -46,7 +46,7 @@
   }
 
   /** Returns whether no target may be sent the request. */
-  boolean isHeld() {
+  boolean isQuarantined() {
     return poison.isHeld(fingerprint);
   }
 
@@ -56,15 +56,15 @@
   }
 
   /** Notes that an attempt goes on. */
-  void goesOn(Attempt attempt) {
-    if (!lasted && ranMillis(attempt, now()) >= LASTING_MILLIS) {
-      ranWell();
+  void recordProgress(Attempt attempt) {
+    if (!harmless && executionMillis(attempt, now()) >= MIN_HARMLESS_MILLIS) {
+      recordSuccess();
     }
   }
 
   /** Notes that a target has run the request to its end. */
-  void ranWell() {
-    lasted = true;
+  void recordSuccess() {
+    harmless = true;
     poison.ranWell(fingerprint);
   }
 
@@ -73,15 +73,15 @@
    *
    * @param ran whether the target may have run the request
    */
-  void broke(Attempt attempt, TargetFailure failure, boolean ran) {
-    if (ran && mayHaveEndedTarget(attempt, failure)) {
-      forwarder.targetEnds().broke(attempt.target(), fingerprint(), attempt.startedAt());
+  void recordFailure(Attempt attempt, TargetFailure failure, boolean ran) {
+    if (ran && mayHaveCrashedTarget(attempt, failure)) {
+      forwarder.exitDetector().recordFailure(attempt.target(), fingerprint(), attempt.startedAt());
     }
   }
 
   /** Notes that the end of an attempt's connection was the end of its target. */
-  void targetGone(Attempt attempt) {
-    if (!lasted && ranMillis(attempt, attempt.endedAt()) <= BEGUN_MILLIS) {
+  void recordTargetGone(Attempt attempt) {
+    if (!harmless && executionMillis(attempt, attempt.endedAt()) <= MAX_CRASH_DELAY_MILLIS) {
       poison.ended(
           PoisonFact.end(
               fingerprint(),
@@ -92,11 +92,11 @@
   }
 
   /** Where the target was probed for the end of its answer, its end is known or was not found. */
-  private boolean mayHaveEndedTarget(Attempt attempt, TargetFailure failure) {
+  private boolean mayHaveCrashedTarget(Attempt attempt, TargetFailure failure) {
     boolean silent = failure == TargetFailure.TIMEOUT;
     boolean broken = silent || failure == TargetFailure.RESET;
-    long until = silent ? attempt.lastSignAt() : now();
-    boolean asItBegan = !lasted && ranMillis(attempt, until) <= BEGUN_MILLIS;
+    long until = silent ? attempt.lastDataAt() : now();
+    boolean asItBegan = !harmless && executionMillis(attempt, until) <= MAX_CRASH_DELAY_MILLIS;
     return broken && asItBegan && !attempt.wasProbed();
   }
 
@@ -104,15 +104,15 @@
    * Runs a step now, or, if one end more may be enough to hold the request back, once it is known
    * whether the target that it was last at has ended.
    */
-  void beforeNextTry(Attempt last, Runnable step) {
+  void beforeNextAttempt(Attempt last, Runnable step) {
     if (poison.isInDoubt(fingerprint)) {
-      forwarder.targetEnds().whenKnown(last.target(), step);
+      forwarder.exitDetector().afterFirstProbe(last.target(), step);
     } else {
       step.run();
     }
   }
 
-  private static long ranMillis(Attempt attempt, long until) {
+  private static long executionMillis(Attempt attempt, long until) {
     return attempt.headAt().isPresent() ? until - attempt.headAt().getAsLong() : 0;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -13,19 +13,19 @@
  * others.
  */
 public final class Poller {
-  private static final long FIRST_RETRY_MILLIS = 200;
+  private static final long MIN_RETRY_DELAY_MILLIS = 200;
 
   /** Questions have time-outs of their own; one that is never settled must not be the last. */
-  private static final long LONGEST_QUESTION_MILLIS = 6_000;
+  private static final long QUERY_TIMEOUT_MILLIS = 6_000;
 
   private final CoreContext context;
   private final String dependency;
   private final LongSupplier intervalMillis;
-  private final Query question;
-  private long retryMillis = FIRST_RETRY_MILLIS;
-  private long asked;
-  private long settled;
-  private boolean lost;
+  private final Query query;
+  private long retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+  private long queryCount;
+  private long completedQuery;
+  private boolean unavailable;
   private boolean stopped;
 
   /** Puts the question. */
@@ -34,13 +34,13 @@
      * Asks; {@code askedAt} is the present time, by which the answer's age will be taken. The reply
      * is called exactly once, later.
      */
-    void ask(long askedAt, Completion reply);
+    void send(long askedAt, Completion reply);
   }
 
   /** Takes what came of a question. */
   public interface Completion {
     /** Takes the problem that made the answer useless, or nothing if it was taken in. */
-    void settled(Optional<String> problem);
+    void complete(Optional<String> problem);
   }
 
   /**
@@ -53,12 +53,12 @@
     this.context = context;
     this.dependency = dependency;
     this.intervalMillis = intervalMillis;
-    this.question = question;
+    this.query = question;
   }
 
   /** Asks for the first time now. */
   public void start() {
-    ask();
+    sendQuery();
   }
 
   /** Asks no more. */
@@ -66,41 +66,42 @@
     stopped = true;
   }
 
-  private void ask() {
+  private void sendQuery() {
     if (stopped) {
       return;
     }
     long askedAt = context.now();
-    asked++;
-    long number = asked;
+    queryCount++;
+    long number = queryCount;
     context.after(
-        LONGEST_QUESTION_MILLIS, () -> settle(number, askedAt, Optional.of("never settled")));
-    question.ask(context.knowledgeTime(), problem -> settle(number, askedAt, problem));
+        QUERY_TIMEOUT_MILLIS, () -> complete(number, askedAt, Optional.of("never settled")));
+    query.send(context.knowledgeTime(), problem -> complete(number, askedAt, problem));
   }
 
-  private void settle(long number, long askedAt, Optional<String> problem) {
-    if (number != asked || number == settled) {
+  private void complete(long number, long askedAt, Optional<String> problem) {
+    if (number != queryCount || number == completedQuery) {
       return;
     }
-    settled = number;
+    completedQuery = number;
     if (problem.isPresent()) {
-      failed(problem.get());
+      onFailure(problem.get());
       return;
     }
-    retryMillis = FIRST_RETRY_MILLIS;
-    if (lost) {
-      lost = false;
+    retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+    if (unavailable) {
+      unavailable = false;
       context.note(EventCode.PLATFORM_REACHED, dependency, "");
     }
-    context.after(Math.max(0, askedAt + intervalMillis.getAsLong() - context.now()), this::ask);
+    context.after(
+        Math.max(0, askedAt + intervalMillis.getAsLong() - context.now()), this::sendQuery);
   }
 
-  private void failed(String problem) {
-    if (!lost) {
-      lost = true;
+  private void onFailure(String problem) {
+    if (!unavailable) {
+      unavailable = true;
       context.note(EventCode.PLATFORM_LOST, dependency, problem);
     }
-    context.after(retryMillis, this::ask);
-    retryMillis = Math.min(intervalMillis.getAsLong(), retryMillis * 2);
+    context.after(retryDelayMillis, this::sendQuery);
+    retryDelayMillis = Math.min(intervalMillis.getAsLong(), retryDelayMillis * 2);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ProbeResult.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ProbeResult.java
@@ -12,7 +12,7 @@
   UNKNOWN;
 
   /** Returns whether somebody works under the target's name. */
-  boolean isAnswer() {
+  boolean isResponse() {
     return this == ALIVE || this == ANSWERED;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
@@ -24,13 +24,13 @@
  */
 final class PromptLocator {
   /** Engines answer within some milliseconds; one that does not is no use now. */
-  private static final long TIMEOUT_MILLIS = 120;
+  private static final long QUERY_TIMEOUT_MILLIS = 120;
 
   /** What an engine keeps changes with each prompt, about once a second. */
-  private static final long VALID_MILLIS = 800;
+  private static final long SURVEY_VALIDITY_MILLIS = 800;
 
   /** Bounds what one question costs where engines are many. */
-  private static final int MOST_ASKED = 24;
+  private static final int MAX_QUERIED_ENGINES = 24;
 
   private final CoreContext context;
   private final TargetRegistry targets;
@@ -42,65 +42,66 @@
    * What came of a search.
    *
    * @param target the engine that keeps the prompt, if one was found
-   * @param answered how many engines had answered by then
-   * @param asked how many were asked
+   * @param responses how many engines had answered by then
+   * @param queries how many were asked
    */
-  record Located(Optional<TargetId> target, int answered, int asked) {}
+  record LookupResult(Optional<TargetId> target, int responses, int queries) {}
 
   /** One round of questions to the engines of a service. */
   private final class Survey {
-    private final long begunAt = context.now();
+    private final long startedAt = context.now();
     private final Map<String, TargetId> found = new HashMap<>();
-    private final Map<String, List<Consumer<Located>>> waiting = new HashMap<>();
-    private int asked;
-    private int silent;
-    private int open;
-
-    private void ask(List<TargetState> engines) {
-      asked = engines.size();
-      open = asked;
+    private final Map<String, List<Consumer<LookupResult>>> waiters = new HashMap<>();
+    private int queries;
+    private int failed;
+    private int pending;
+
+    private void query(List<TargetState> engines) {
+      queries = engines.size();
+      pending = queries;
       for (TargetState target : engines) {
         port.listPrompts(
             target.description(),
-            TIMEOUT_MILLIS,
+            QUERY_TIMEOUT_MILLIS,
             said -> {},
-            kept -> answered(target.description().id(), kept));
+            kept -> onResponse(target.description().id(), kept));
       }
     }
 
-    private void answered(TargetId target, Optional<Set<String>> kept) {
-      open--;
+    private void onResponse(TargetId target, Optional<Set<String>> kept) {
+      pending--;
       if (kept.isEmpty()) {
-        silent++;
+        failed++;
       }
       kept.orElse(Set.of()).forEach(part -> found(part, target));
-      if (open == 0) {
-        List<String> missing = List.copyOf(waiting.keySet());
-        missing.forEach(this::tell);
+      if (pending == 0) {
+        List<String> missing = List.copyOf(waiters.keySet());
+        missing.forEach(this::notifyWaiters);
       }
     }
 
     private void found(String part, TargetId target) {
       found.putIfAbsent(part, target);
-      tell(part);
+      notifyWaiters(part);
     }
 
-    private void tell(String part) {
-      List<Consumer<Located>> askers = waiting.remove(part);
+    private void notifyWaiters(String part) {
+      List<Consumer<LookupResult>> askers = waiters.remove(part);
       if (askers != null) {
-        askers.forEach(asker -> asker.accept(located(part)));
+        askers.forEach(asker -> asker.accept(result(part)));
       }
     }
 
-    private Located located(String part) {
-      return new Located(Optional.ofNullable(found.get(part)), asked - open - silent, asked);
+    private LookupResult result(String part) {
+      return new LookupResult(
+          Optional.ofNullable(found.get(part)), queries - pending - failed, queries);
     }
 
-    private void find(String part, Consumer<Located> answer) {
-      if (open == 0 || found.containsKey(part)) {
-        answer.accept(located(part));
+    private void find(String part, Consumer<LookupResult> answer) {
+      if (pending == 0 || found.containsKey(part)) {
+        answer.accept(result(part));
       } else {
-        waiting.computeIfAbsent(part, any -> new ArrayList<>()).add(answer);
+        waiters.computeIfAbsent(part, any -> new ArrayList<>()).add(answer);
       }
     }
   }
@@ -119,12 +120,12 @@
   }
 
   /** Finds an engine that keeps a part of a prompt; {@code answer} is told, at once or later. */
-  void locate(ServiceName service, String part, Consumer<Located> answer) {
+  void locate(ServiceName service, String part, Consumer<LookupResult> answer) {
     Survey survey = surveys.get(service);
-    if (survey == null || context.now() - survey.begunAt > VALID_MILLIS) {
+    if (survey == null || context.now() - survey.startedAt > SURVEY_VALIDITY_MILLIS) {
       survey = new Survey();
       surveys.put(service, survey);
-      survey.ask(engines(service, part));
+      survey.query(engines(service, part));
     }
     survey.find(part, answer);
   }
@@ -136,7 +137,7 @@
             .filter(target -> !isResting.test(target.description().id()))
             .toList();
     return Rendezvous.rank(part, sound, target -> target.description().id().value()).stream()
-        .limit(MOST_ASKED)
+        .limit(MAX_QUERIED_ENGINES)
         .toList();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Rejection.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Rejection.java
@@ -30,7 +30,7 @@
   HELD_BACK(503) {
     @Override
     public long retryAfterMillis(long usualMillis) {
-      return Math.max(usualMillis, HELD_BACK_MILLIS);
+      return Math.max(usualMillis, QUARANTINE_RETRY_AFTER_MILLIS);
     }
   },
   /** Time ran out before a target ran the request. */
@@ -39,7 +39,7 @@
   TIMED_OUT(504);
 
   /** Callers that wait as told do not come back before a person has looked at it. */
-  private static final long HELD_BACK_MILLIS = 60_000;
+  private static final long QUARANTINE_RETRY_AFTER_MILLIS = 60_000;
 
   private final int status;
 
@@ -62,7 +62,7 @@
   }
 
   /** Returns whether the answer says when to come back, which also promises that nothing ran. */
-  public boolean invitesRetry() {
+  public boolean allowsRetry() {
     return status == 503;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEnd.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEnd.java
@@ -15,14 +15,14 @@
   /** The target closed the connection of an answer that has neither length nor chunks. */
   CONNECTION_CLOSED(false);
 
-  private final boolean targetsWord;
+  private final boolean confirmedByTarget;
 
   ResponseEnd(boolean targetsWord) {
-    this.targetsWord = targetsWord;
+    this.confirmedByTarget = targetsWord;
   }
 
   /** Returns whether the target itself has said that nothing is missing. */
-  public boolean isTargetsWord() {
-    return targetsWord;
+  public boolean isConfirmedByTarget() {
+    return confirmedByTarget;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
@@ -13,10 +13,10 @@
   private static final int FIRST_PROBE = 1;
 
   /** Two probes take three times a probe's time, which a stream may pause without being late. */
-  private static final int MOST_PROBES_OF_THE_MOVABLE = 2;
+  private static final int MAX_PROBES_OF_MOVABLE = 2;
 
   /** Keeps the time of one probe at 4.8 s, so that a request of half a minute has some ten. */
-  private static final int MOST_DOUBLINGS = 5;
+  private static final int MAX_TIMEOUT_DOUBLINGS = 5;
 
   private final Forwarder forwarder;
   private final Exchange exchange;
@@ -31,28 +31,30 @@
   }
 
   /** An attempt's answer is at its end; the exchange is told what that is taken for. */
-  void ended(Attempt from, ResponseEnd end) {
-    from.noteEnd(end, forwarder.context().now());
+  void onResponseEnd(Attempt from, ResponseEnd end) {
+    from.recordEnd(end, forwarder.context().now());
     ResponseEndVerdict verdict = verdict(from);
-    decide(from, verdict);
+    apply(from, verdict);
     if (verdict == ResponseEndVerdict.IN_DOUBT) {
       probe(from, FIRST_PROBE);
     }
   }
 
   private ResponseEndVerdict verdict(Attempt from) {
-    if (from.answersWithStream()) {
+    if (from.isEventStream()) {
       if (from.events().isWithinEvent()) {
         return ResponseEndVerdict.WITHIN_EVENT;
       }
       if (relay.isCallerAheadOf(from)) {
         return ResponseEndVerdict.BEHIND_CALLER;
       }
-      if (!from.end().isTargetsWord() && !from.hasCome()) {
+      if (!from.end().isConfirmedByTarget() && !from.hasReceivedEvents()) {
         return ResponseEndVerdict.WITHOUT_EVENT;
       }
     }
-    return from.end().isTargetsWord() ? ResponseEndVerdict.TARGETS_WORD : ResponseEndVerdict.IN_DOUBT;
+    return from.end().isConfirmedByTarget()
+        ? ResponseEndVerdict.TARGETS_WORD
+        : ResponseEndVerdict.IN_DOUBT;
   }
 
   /** Meanwhile the caller may have left, or the attempt may have been given up. */
@@ -60,32 +62,33 @@
     if (from.isClosed()) {
       return;
     }
-    from.noteProbed();
-    long nextAt = forwarder.context().now() + patienceMillis(number);
+    from.recordProbed();
+    long nextAt = forwarder.context().now() + probeTimeoutMillis(number);
     forwarder
         .port()
         .probe(
             from.target().description(),
-            patienceMillis(number),
-            result -> probed(from, number, nextAt, result));
+            probeTimeoutMillis(number),
+            result -> onProbeResult(from, number, nextAt, result));
   }
 
   /** Each probe is given twice the time of the one before, since a busy target is slow. */
-  private long patienceMillis(int number) {
-    return forwarder.policy().unreachableMillis() << Math.min(number - FIRST_PROBE, MOST_DOUBLINGS);
+  private long probeTimeoutMillis(int number) {
+    return forwarder.policy().probeTimeoutMillis()
+        << Math.min(number - FIRST_PROBE, MAX_TIMEOUT_DOUBLINGS);
   }
 
-  private void probed(Attempt from, int number, long nextAt, ProbeResult result) {
+  private void onProbeResult(Attempt from, int number, long nextAt, ProbeResult result) {
     if (from.isClosed()) {
       return;
     }
     switch (result) {
-      case ALIVE -> decide(from, ResponseEndVerdict.TARGET_ALIVE);
+      case ALIVE -> apply(from, ResponseEndVerdict.TARGET_ALIVE);
       case GONE -> {
-        exchange.poison().targetGone(from);
-        decide(from, ResponseEndVerdict.TARGET_GONE);
+        exchange.poison().recordTargetGone(from);
+        apply(from, ResponseEndVerdict.TARGET_GONE);
       }
-      case ANSWERED, UNKNOWN -> unanswered(from, number, nextAt);
+      case ANSWERED, UNKNOWN -> probeAgainOrFail(from, number, nextAt);
     }
   }
 
@@ -93,23 +96,23 @@
    * Where nothing else can be tried, the target is asked again until the request's time is up. One
    * that resets a probe at once is not asked sooner for it.
    */
-  private void unanswered(Attempt from, int number, long nextAt) {
-    if (exchange.mayMove() && number >= MOST_PROBES_OF_THE_MOVABLE) {
-      decide(from, ResponseEndVerdict.TARGET_SILENT);
+  private void probeAgainOrFail(Attempt from, int number, long nextAt) {
+    if (exchange.canMove() && number >= MAX_PROBES_OF_MOVABLE) {
+      apply(from, ResponseEndVerdict.TARGET_SILENT);
       return;
     }
     long wait = Math.max(0, nextAt - forwarder.context().now());
     forwarder.context().after(wait, () -> probe(from, number + 1));
   }
 
-  private void decide(Attempt from, ResponseEndVerdict verdict) {
-    if (from.answersWithStream() || !from.end().isTargetsWord()) {
-      log.ended(from, verdict);
+  private void apply(Attempt from, ResponseEndVerdict verdict) {
+    if (from.isEventStream() || !from.end().isConfirmedByTarget()) {
+      log.logResponseEnded(from, verdict);
     }
     if (verdict.failure().isPresent()) {
-      exchange.failed(from, verdict.failure().get());
+      exchange.onAttemptFailed(from, verdict.failure().get());
     } else if (verdict != ResponseEndVerdict.IN_DOUBT) {
-      exchange.whole(from);
+      exchange.onCompleteResponse(from);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
@@ -11,7 +11,7 @@
   int status();
 
   /** Returns whether the target declares that it did not run the request and never will. */
-  boolean declaresNotRun();
+  boolean declaresNotExecuted();
 
   /**
    * Returns whether this is the target's answer to this request: the request's id comes back, the
@@ -23,15 +23,15 @@
   boolean isEventStream();
 
   /** Returns how a request ended that the target declares not to have run. */
-  default TargetFailure refusal() {
+  default TargetFailure failure() {
     if (status() == MISDIRECTED) {
       return TargetFailure.GOODBYE;
     }
-    return statements().rest() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
+    return announcements().rest() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
   }
 
   /** Returns what the answer says of its target. */
-  default Statements statements() {
+  default Statements announcements() {
     return Statements.NONE;
   }
 
@@ -40,7 +40,7 @@
    *
    * <p>Statuses that promise "not run" are not passed on from a target that made no such promise.
    */
-  default boolean mayReachCaller() {
+  default boolean isForwardable() {
     boolean promise =
         switch (status()) {
           case 408, MISDIRECTED, 429, 503 -> true;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -24,9 +24,9 @@
  */
 final class RetryBudgets {
   /** Kept back for what hosts count a little differently than an observer of all. */
-  private static final double MARGIN = 0.9;
+  private static final double SAFETY_RATIO = 0.9;
 
-  private static final double LENT_PART = 0.5;
+  private static final double ISSUED_RATIO = 0.5;
 
   private final CoreContext context;
   private final ForwardPolicy.RetryLimit limit;
@@ -37,57 +37,57 @@
   /** What this host knows of one service's budget. */
   private final class Budget {
     private final ServiceName service;
-    private final RetryWindow own;
-    private final RetryWindow lent;
-    private final WaitingGroup waiting = new WaitingGroup();
+    private final RetryWindow local;
+    private final RetryWindow issued;
+    private final WaitingGroup waiters = new WaitingGroup();
 
     private Budget(ServiceName service) {
       this.service = service;
-      this.own = new RetryWindow(limit.windowMillis(), context.now());
-      this.lent = new RetryWindow(limit.windowMillis(), context.now());
+      this.local = new RetryWindow(limit.windowMillis(), context.now());
+      this.issued = new RetryWindow(limit.windowMillis(), context.now());
     }
 
-    private boolean takeOwn() {
-      double slack = (1 - LENT_PART) * MARGIN * limit.slack() / directory.hosts();
-      if (!own.hasRoom(context.now(), MARGIN * limit.ratio(), slack)) {
+    private boolean tryAcquireLocal() {
+      double slack = (1 - ISSUED_RATIO) * SAFETY_RATIO * limit.slack() / directory.hosts();
+      if (!local.hasRoom(context.now(), SAFETY_RATIO * limit.ratio(), slack)) {
         return false;
       }
-      own.countRepeat(context.now());
+      local.recordRetry(context.now());
       return true;
     }
 
-    private int lend(int count) {
+    private int issue(int count) {
       double part = (double) directory.here() / directory.hosts();
-      double slack = LENT_PART * MARGIN * limit.slack() * part;
+      double slack = ISSUED_RATIO * SAFETY_RATIO * limit.slack() * part;
       int lending = 0;
-      while (lending < count && lent.hasRoom(context.now(), 0, slack)) {
-        lent.countRepeat(context.now());
+      while (lending < count && issued.hasRoom(context.now(), 0, slack)) {
+        issued.recordRetry(context.now());
         lending++;
       }
       return lending;
     }
 
     /** Asks for as many repeats as are waited for, unless an answer is still to come. */
-    private void borrow() {
-      int count = waiting.begin();
+    private void requestTokens() {
+      int count = waiters.begin();
       if (count == 0) {
         return;
       }
       directory
-          .lender(context.now())
+          .issuer(context.now())
           .ifPresentOrElse(
               lender ->
                   port.borrow(
                       lender,
                       new LoanSubject.Repeats(service),
                       count,
-                      loan -> borrowed(count, loan.orElse(Loan.NONE).granted())),
-              () -> borrowed(count, lend(count)));
+                      loan -> onTokensGranted(count, loan.orElse(Loan.NONE).granted())),
+              () -> onTokensGranted(count, issue(count)));
     }
 
-    private void borrowed(int asked, int given) {
-      waiting.settle(asked, given);
-      borrow();
+    private void onTokensGranted(int asked, int given) {
+      waiters.settle(asked, given);
+      requestTokens();
     }
   }
 
@@ -100,24 +100,24 @@
   }
 
   /** Notes a first request for a service. */
-  void earn(ServiceName service) {
-    budget(service).own.countRequest(context.now());
+  void recordRequest(ServiceName service) {
+    budget(service).local.recordRequest(context.now());
   }
 
   /** Takes one repeat; {@code answer} is told, at once or later, whether there is one. */
-  void take(ServiceName service, Consumer<Boolean> answer) {
+  void acquire(ServiceName service, Consumer<Boolean> answer) {
     Budget budget = budget(service);
-    if (budget.takeOwn()) {
+    if (budget.tryAcquireLocal()) {
       answer.accept(true);
       return;
     }
-    budget.waiting.add(answer);
-    budget.borrow();
+    budget.waiters.add(answer);
+    budget.requestTokens();
   }
 
   /** Lends repeats to a host of this data centre; returns how many of those asked for. */
-  int lend(ServiceName service, int count) {
-    return budget(service).lend(count);
+  int issue(ServiceName service, int count) {
+    return budget(service).issue(count);
   }
 
   private Budget budget(ServiceName service) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryController.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryController.java
@@ -13,7 +13,7 @@
   private final CallerResponse reply;
   private final StreamRelay relay;
   private final long deadline;
-  private final AttemptCounter tries = new AttemptCounter();
+  private final AttemptCounter attemptCounter = new AttemptCounter();
 
   /**
    * Makes the rule for a request.
@@ -40,52 +40,52 @@
     this.deadline = deadline;
   }
 
-  AttemptCounter tries() {
-    return tries;
+  AttemptCounter attemptCounter() {
+    return attemptCounter;
   }
 
   /** Returns whether the request may run once more, so that it does not run too often. */
-  boolean mayRunAgain() {
-    boolean left = tries.runs() < route.attempts();
-    return route.mayRepeat() && left && forwarder.context().now() < deadline;
+  boolean mayExecuteAgain() {
+    boolean left = attemptCounter.executions() < route.maxAttempts();
+    return route.mayRetry() && left && forwarder.context().now() < deadline;
   }
 
   /** Returns whether another target can go on with the answer that the caller has part of. */
   boolean isResumableStream() {
     boolean resumable = route.kind() == RouteKind.STREAM && route.resumable();
-    return resumable && !reply.isCommitted() && relay.canGoOnElsewhere();
+    return resumable && !reply.isCommitted() && relay.canResumeElsewhere();
   }
 
   /** Has the exchange go on, if it may, after an attempt that failed. */
-  void goOn(Attempt failed, boolean ran) {
-    if (exchange.isOver()) {
+  void retryOrFail(Attempt failed, boolean ran) {
+    if (exchange.isFinished()) {
       return;
     }
     if (reply.hasBegun() && !isResumableStream()) {
-      exchange.abort("ANSWER_BROKEN");
-    } else if (ran && !mayRunAgain()) {
-      exchange.giveUp(Rejection.TARGET_FAILED);
-    } else if (failed.mayHaveRun()) {
-      repeat();
+      exchange.abortResponse("ANSWER_BROKEN");
+    } else if (ran && !mayExecuteAgain()) {
+      exchange.failRequest(Rejection.TARGET_FAILED);
+    } else if (failed.mayHaveExecuted()) {
+      retry();
     } else {
-      exchange.tryNext();
+      exchange.startNextAttempt();
     }
   }
 
   /** Tries again if the service's budget has a repeat left, which may be known only later. */
-  void repeat() {
-    forwarder.budgets().take(service, this::repeatIfGranted);
+  void retry() {
+    forwarder.budgets().acquire(service, this::retryIfGranted);
   }
 
-  private void repeatIfGranted(boolean granted) {
-    if (exchange.isOver()) {
+  private void retryIfGranted(boolean granted) {
+    if (exchange.isFinished()) {
       return;
     }
     if (granted) {
-      exchange.tryNext();
+      exchange.startNextAttempt();
       return;
     }
-    log.note(EventCode.RETRY_BUDGET_SPENT, "service=" + service);
-    exchange.giveUp(exchange.unserved(Rejection.OVERLOADED));
+    log.log(EventCode.RETRY_BUDGET_SPENT, "service=" + service);
+    exchange.failRequest(exchange.rejectionWhenUnserved(Rejection.OVERLOADED));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryWindow.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryWindow.java
@@ -14,7 +14,7 @@
 
   private final long sliceMillis;
   private final int[] requests = new int[SLICES + 1];
-  private final int[] repeats = new int[SLICES + 1];
+  private final int[] retries = new int[SLICES + 1];
   private long newestSlice;
 
   RetryWindow(long windowMillis, long now) {
@@ -22,30 +22,30 @@
     newestSlice = now / sliceMillis;
   }
 
-  void countRequest(long now) {
-    requests[moveTo(now)]++;
+  void recordRequest(long now) {
+    requests[advanceTo(now)]++;
   }
 
-  void countRepeat(long now) {
-    repeats[moveTo(now)]++;
+  void recordRetry(long now) {
+    retries[advanceTo(now)]++;
   }
 
   /** Returns whether one more repeat stays within {@code ratio} x requests + {@code slack}. */
   boolean hasRoom(long now, double ratio, double slack) {
-    int newest = moveTo(now);
+    int newest = advanceTo(now);
     int oldest = (newest + 1) % requests.length;
     int counted = Arrays.stream(requests).sum() - requests[oldest];
-    return Arrays.stream(repeats).sum() + 1 <= ratio * counted + slack;
+    return Arrays.stream(retries).sum() + 1 <= ratio * counted + slack;
   }
 
   /** Empties the slices that lie between the last use and now; returns the index of the newest. */
-  private int moveTo(long now) {
+  private int advanceTo(long now) {
     long slice = Math.max(newestSlice, now / sliceMillis);
     long steps = Math.min(slice - newestSlice, requests.length);
     for (long step = 1; step <= steps; step++) {
       int index = (int) ((newestSlice + step) % requests.length);
       requests[index] = 0;
-      repeats[index] = 0;
+      retries[index] = 0;
     }
     newestSlice = slice;
     return (int) (newestSlice % requests.length);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Route.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Route.java
@@ -9,12 +9,13 @@
  * @param hostName the host that callers name, without a port
  * @param pathPrefix begins and ends with a slash
  * @param resumable whether a stream may be continued at another target after its last event
- * @param open whether requests need no key
+ * @param anonymous whether requests need no key
  * @param timeoutMillis the longest time that a request may be held
- * @param aimMillis the time within which an answer has its full worth
- * @param attempts how many targets may run one request at most
+ * @param objectiveMillis the time within which an answer has its full worth
+ * @param maxAttempts how many targets may run one request at most
  * @param priority the rank, 0 first
- * @param gapMillis the longest pause between two events with which a stream is still in time
+ * @param gapObjectiveMillis the longest pause between two events with which a stream is still in
+ *     time
  * @param services the services that share the requests, by weight; at least one
  */
 public record Route(
@@ -23,12 +24,12 @@
     String pathPrefix,
     RouteKind kind,
     boolean resumable,
-    boolean open,
+    boolean anonymous,
     long timeoutMillis,
-    long aimMillis,
-    int attempts,
+    long objectiveMillis,
+    int maxAttempts,
     int priority,
-    long gapMillis,
+    long gapObjectiveMillis,
     List<WeightedService> services) {
   /** A service and its part of a route's requests. */
   public record WeightedService(ServiceName service, int weight) {}
@@ -38,7 +39,7 @@
   }
 
   /** Returns whether a request may run again after a run of it may have begun. */
-  public boolean mayRepeat() {
+  public boolean mayRetry() {
     return kind == RouteKind.REPEATABLE || (kind == RouteKind.STREAM && resumable);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ShutdownPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ShutdownPolicy.java
@@ -12,18 +12,18 @@
  * refused at once, so that they begin elsewhere instead of being cut off.
  */
 final class ShutdownPolicy {
-  private static final double GAIN = 1.0 / 8;
-  private static final double SAFETY = 1.5;
+  private static final double SMOOTHING_FACTOR = 1.0 / 8;
+  private static final double SAFETY_FACTOR = 1.5;
 
   /**
    * How long streams last as far as a host knows that has not seen one end: some 130 events of 40
    * ms, after a second for the prompt.
    */
-  private static final double ASSUMED_STREAM_MILLIS = 6_000;
+  private static final double DEFAULT_STREAM_MILLIS = 6_000;
 
   private final CoreContext context;
-  private final Map<RouteKind, Double> usualMillis = new EnumMap<>(RouteKind.class);
-  private long takesUntil = Long.MAX_VALUE;
+  private final Map<RouteKind, Double> averageMillis = new EnumMap<>(RouteKind.class);
+  private long acceptsUntil = Long.MAX_VALUE;
   private long endsAt = Long.MAX_VALUE;
 
   ShutdownPolicy(CoreContext context) {
@@ -32,27 +32,27 @@
 
   /** Begins to stop: nothing is taken after the first time, everything has ended at the second. */
   void begin(long lastTakenAt, long endAt) {
-    takesUntil = lastTakenAt;
+    acceptsUntil = lastTakenAt;
     endsAt = endAt;
   }
 
   boolean isStopping() {
-    return takesUntil != Long.MAX_VALUE;
+    return acceptsUntil != Long.MAX_VALUE;
   }
 
   /** Learns how long a request of a kind lasted. */
-  void lasted(RouteKind kind, long millis) {
-    double known = usualMillis.getOrDefault(kind, (double) millis);
-    usualMillis.put(kind, known + GAIN * (millis - known));
+  void recordDuration(RouteKind kind, long millis) {
+    double known = averageMillis.getOrDefault(kind, (double) millis);
+    averageMillis.put(kind, known + SMOOTHING_FACTOR * (millis - known));
   }
 
   /** Returns whether a request of a kind that comes now is to be taken. */
-  boolean takes(RouteKind kind) {
-    if (context.now() >= takesUntil) {
+  boolean accepts(RouteKind kind) {
+    if (context.now() >= acceptsUntil) {
       return false;
     }
-    double assumed = kind == RouteKind.STREAM ? ASSUMED_STREAM_MILLIS : 0;
-    double needed = SAFETY * usualMillis.getOrDefault(kind, assumed);
+    double assumed = kind == RouteKind.STREAM ? DEFAULT_STREAM_MILLIS : 0;
+    double needed = SAFETY_FACTOR * averageMillis.getOrDefault(kind, assumed);
     return endsAt == Long.MAX_VALUE || context.now() + needed <= endsAt;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
@@ -25,8 +25,8 @@
   /** Watches an attempt that has just been started. */
   void watch(Attempt attempt) {
     stop();
-    if (route.kind() == RouteKind.STREAM && exchange.mayMove()) {
-      schedule(attempt, patience(attempt));
+    if (route.kind() == RouteKind.STREAM && exchange.canMove()) {
+      schedule(attempt, probeDelayMillis(attempt));
     }
   }
 
@@ -37,9 +37,11 @@
     }
   }
 
-  private long patience(Attempt attempt) {
+  private long probeDelayMillis(Attempt attempt) {
     ForwardPolicy policy = forwarder.policy();
-    return attempt.hasEvents() ? policy.probeAfterMillis(route) : policy.firstEventProbeMillis();
+    return attempt.hasForwardedEvents()
+        ? policy.probeDelayMillis(route)
+        : policy.firstEventProbeMillis();
   }
 
   private void schedule(Attempt attempt, long millis) {
@@ -50,24 +52,24 @@
     if (attempt.isClosed()) {
       return;
     }
-    long silent = forwarder.context().now() - attempt.lastSignAt();
-    long patience = patience(attempt);
+    long silent = forwarder.context().now() - attempt.lastDataAt();
+    long patience = probeDelayMillis(attempt);
     if (silent < patience) {
       schedule(attempt, patience - silent);
-    } else if (isHopeless(attempt, silent)) {
-      exchange.targetLost(TargetFailure.TIMEOUT);
+    } else if (isStalled(attempt, silent)) {
+      exchange.onTargetLost(TargetFailure.TIMEOUT);
     } else {
       forwarder.probe(attempt.target());
       schedule(attempt, patience);
     }
   }
 
-  private boolean isHopeless(Attempt attempt, long silent) {
-    return attempt.hasEvents() && silent >= forwarder.policy().hopelessAfterMillis(route);
+  private boolean isStalled(Attempt attempt, long silent) {
+    return attempt.hasForwardedEvents() && silent >= forwarder.policy().stallTimeoutMillis(route);
   }
 
   /** Returns whether an attempt's silence is long enough to believe a probe that failed. */
-  static boolean isSilent(Attempt attempt, TargetState target, long since) {
-    return attempt.target() == target && attempt.lastSignAt() <= since;
+  static boolean isSilentSince(Attempt attempt, TargetState target, long since) {
+    return attempt.target() == target && attempt.lastDataAt() <= since;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -13,7 +13,7 @@
  * where to go on.
  */
 final class StreamRelay {
-  private static final int LONGEST_EVENT_BYTES = 1 << 20;
+  private static final int MAX_EVENT_BYTES = 1 << 20;
 
   private final Exchange exchange;
   private final CoreContext context;
@@ -21,12 +21,16 @@
   private final CallerResponse reply;
   private final Route route;
   private OptionalLong lastEventId;
-  private boolean hasPassed;
-  private boolean hasUnnumbered;
-  private long passedAt;
+  private boolean hasForwarded;
+  private boolean hasEventWithoutId;
+  private long forwardedAt;
 
   StreamRelay(
-      Exchange exchange, CoreContext context, ForwardRequest request, CallerResponse reply, Route route) {
+      Exchange exchange,
+      CoreContext context,
+      ForwardRequest request,
+      CallerResponse reply,
+      Route route) {
     this.exchange = exchange;
     this.context = context;
     this.request = request;
@@ -41,14 +45,14 @@
   }
 
   /** Returns whether another target could go on, so that the caller has each event once. */
-  boolean canGoOnElsewhere() {
-    boolean startsAnew = reply.hasBegun() && !hasPassed;
-    return !hasUnnumbered && (lastEventId.isPresent() || startsAnew);
+  boolean canResumeElsewhere() {
+    boolean startsAnew = reply.hasBegun() && !hasForwarded;
+    return !hasEventWithoutId && (lastEventId.isPresent() || startsAnew);
   }
 
   /** Returns whether a run has not come up to the last event that the caller has. */
   boolean isCallerAheadOf(Attempt run) {
-    OptionalLong last = run.lastOfRun();
+    OptionalLong last = run.lastReceivedEventId();
     return last.isPresent()
         && lastEventId.isPresent()
         && last.getAsLong() < lastEventId.getAsLong();
@@ -58,7 +62,7 @@
    * Passes on what bytes of an attempt complete; returns false if the attempt is of no more use.
    * The caller may be found gone within a write; nothing more is written then.
    */
-  boolean pass(Attempt from, byte[] bytes) {
+  boolean forward(Attempt from, byte[] bytes) {
     for (StreamEvent event : from.events().read(bytes)) {
       if (from.isClosed()) {
         return true;
@@ -68,18 +72,18 @@
         continue;
       }
       if (!isInOrder(from, event)) {
-        noteMisplaced(from, event);
+        logMisplaced(from, event);
         return false;
       }
-      event.id().ifPresent(from::noteCame);
-      if (!isKnown(event)) {
-        pass(from, event);
+      event.id().ifPresent(from::recordReceived);
+      if (!isAlreadyForwarded(event)) {
+        forward(from, event);
       }
     }
-    return from.events().pendingBytes() <= LONGEST_EVENT_BYTES;
+    return from.events().pendingBytes() <= MAX_EVENT_BYTES;
   }
 
-  private boolean isKnown(StreamEvent event) {
+  private boolean isAlreadyForwarded(StreamEvent event) {
     return event.id().isPresent()
         && lastEventId.isPresent()
         && event.id().getAsLong() <= lastEventId.getAsLong();
@@ -87,22 +91,24 @@
 
   private boolean isInOrder(Attempt from, StreamEvent event) {
     if (event.id().isEmpty()) {
-      return hasPlaceWithoutId(from);
+      return mayLackId(from);
     }
     long id = event.id().getAsLong();
-    if (from.lastOfRun().isPresent()) {
-      return id == from.lastOfRun().getAsLong() + 1;
+    if (from.lastReceivedEventId().isPresent()) {
+      return id == from.lastReceivedEventId().getAsLong() + 1;
     }
     return lastEventId.isEmpty() || id <= lastEventId.getAsLong() + 1;
   }
 
   /** An event without an id stands where its run does; only there can it be no repeat. */
-  private boolean hasPlaceWithoutId(Attempt from) {
-    boolean callerHasNothing = !hasPassed && lastEventId.isEmpty();
-    return callerHasNothing || from.hasEvents() || from.lastOfRun().equals(lastEventId);
+  private boolean mayLackId(Attempt from) {
+    boolean callerHasNothing = !hasForwarded && lastEventId.isEmpty();
+    return callerHasNothing
+        || from.hasForwardedEvents()
+        || from.lastReceivedEventId().equals(lastEventId);
   }
 
-  private void noteMisplaced(Attempt from, StreamEvent event) {
+  private void logMisplaced(Attempt from, StreamEvent event) {
     context.note(
         EventCode.EVENT_MISPLACED,
         request.id(),
@@ -111,27 +117,27 @@
             + " event="
             + event.id().orElse(-1)
             + " lastOfRun="
-            + from.lastOfRun().orElse(-1)
+            + from.lastReceivedEventId().orElse(-1)
             + " lastEvent="
             + lastEventId.orElse(-1));
   }
 
-  private void pass(Attempt from, StreamEvent event) {
-    boolean first = !from.hasEvents();
-    from.notePassed();
+  private void forward(Attempt from, StreamEvent event) {
+    boolean first = !from.hasForwardedEvents();
+    from.recordForwarded();
     if (first) {
-      exchange.firstEvent(from);
+      exchange.onFirstEvent(from);
     }
     if (event.id().isPresent()) {
       lastEventId = event.id();
     } else {
-      hasUnnumbered = true;
+      hasEventWithoutId = true;
     }
-    if (hasPassed) {
-      notePause(from);
+    if (hasForwarded) {
+      logPause(from);
     }
-    hasPassed = true;
-    passedAt = context.now();
+    hasForwarded = true;
+    forwardedAt = context.now();
     write(from, event);
   }
 
@@ -141,9 +147,9 @@
   }
 
   /** Logs a pause that makes the stream late, with what probably caused it. */
-  private void notePause(Attempt from) {
-    long pause = context.now() - passedAt;
-    if (route.gapMillis() <= 0 || pause <= route.gapMillis()) {
+  private void logPause(Attempt from) {
+    long pause = context.now() - forwardedAt;
+    if (route.gapObjectiveMillis() <= 0 || pause <= route.gapObjectiveMillis()) {
       return;
     }
     context.note(
@@ -152,7 +158,7 @@
         "pauseMillis="
             + pause
             + " moved="
-            + (from.startedAt() > passedAt)
+            + (from.startedAt() > forwardedAt)
             + " fromCopy="
             + from.isContinuation()
             + " target="
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
@@ -21,22 +21,22 @@
  */
 final class TargetExitDetector {
   /** A target that ended silently is back after some seconds, and then known to be another run. */
-  private static final int MOST_PROBES = 6;
+  private static final int MAX_PROBE_RETRIES = 6;
 
   private final CoreContext context;
   private final TargetPort port;
   private final PoisonControl poison;
-  private final long patienceMillis;
-  private final Map<TargetId, Question> open = new HashMap<>();
+  private final long probeTimeoutMillis;
+  private final Map<TargetId, ExitCheck> pendingChecks = new HashMap<>();
 
   /** The question whether one run of a target has ended. */
-  private final class Question {
+  private final class ExitCheck {
     private final TargetState target;
     private final Map<Fingerprint, PoisonFact> requests = new LinkedHashMap<>();
-    private List<Runnable> waiting = new ArrayList<>();
-    private boolean answered;
+    private List<Runnable> waiters = new ArrayList<>();
+    private boolean probed;
 
-    private Question(TargetState target) {
+    private ExitCheck(TargetState target) {
       this.target = target;
     }
 
@@ -44,30 +44,33 @@
       return target.description().id();
     }
 
-    private void ask(int number) {
-      long millis = patienceMillis << number;
+    private void probe(int number) {
+      long millis = probeTimeoutMillis << number;
       long nextAt = context.now() + millis;
-      port.probe(target.description(), patienceMillis, result -> probed(number, nextAt, result));
+      port.probe(
+          target.description(),
+          probeTimeoutMillis,
+          result -> onProbeResult(number, nextAt, result));
     }
 
-    private void probed(int number, long nextAt, ProbeResult result) {
+    private void onProbeResult(int number, long nextAt, ProbeResult result) {
       boolean unknown = result == ProbeResult.UNKNOWN || result == ProbeResult.ANSWERED;
-      if (unknown && number < MOST_PROBES) {
-        context.after(Math.max(0, nextAt - context.now()), () -> ask(number + 1));
+      if (unknown && number < MAX_PROBE_RETRIES) {
+        context.after(Math.max(0, nextAt - context.now()), () -> probe(number + 1));
       } else {
-        open.remove(id());
+        pendingChecks.remove(id());
       }
       if (result == ProbeResult.GONE) {
         requests.values().forEach(poison::ended);
       }
-      release();
+      releaseWaiters();
     }
 
     /** Nobody waits for more than one probe: a request in doubt may be an innocent one. */
-    private void release() {
-      answered = true;
-      List<Runnable> released = waiting;
-      waiting = new ArrayList<>();
+    private void releaseWaiters() {
+      probed = true;
+      List<Runnable> released = waiters;
+      waiters = new ArrayList<>();
       released.forEach(Runnable::run);
     }
   }
@@ -77,35 +80,36 @@
    *
    * @param patienceMillis how long a probe may go unanswered
    */
-  TargetExitDetector(CoreContext context, TargetPort port, PoisonControl poison, long patienceMillis) {
+  TargetExitDetector(
+      CoreContext context, TargetPort port, PoisonControl poison, long patienceMillis) {
     this.context = context;
     this.port = port;
     this.poison = poison;
-    this.patienceMillis = patienceMillis;
+    this.probeTimeoutMillis = patienceMillis;
   }
 
   /** Notes that a run broke at a target as it began; it had been sent there at a time. */
-  void broke(TargetState target, Fingerprint request, long sentAt) {
+  void recordFailure(TargetState target, Fingerprint request, long sentAt) {
     TargetId id = target.description().id();
     PoisonFact end = PoisonFact.end(request, id, sentAt, context.now());
-    Question question = open.get(id);
+    ExitCheck question = pendingChecks.get(id);
     if (question == null) {
-      question = new Question(target);
-      open.put(id, question);
+      question = new ExitCheck(target);
+      pendingChecks.put(id, question);
       question.requests.put(request, end);
-      question.ask(0);
+      question.probe(0);
     } else {
       question.requests.put(request, end);
     }
   }
 
   /** Runs a step once a first probe has shown what it can, or at once if none is under way. */
-  void whenKnown(TargetState target, Runnable step) {
-    Question question = open.get(target.description().id());
-    if (question == null || question.answered) {
+  void afterFirstProbe(TargetState target, Runnable step) {
+    ExitCheck question = pendingChecks.get(target.description().id());
+    if (question == null || question.probed) {
       step.run();
     } else {
-      question.waiting.add(step);
+      question.waiters.add(step);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
@@ -11,15 +11,15 @@
  */
 public final class TargetListUpdater {
   /** Entries lapse after some silence; a list that is younger has not missed any. */
-  private static final long LEAST_AWAY_MILLIS = 2_500;
+  private static final long MIN_OUTAGE_MILLIS = 2_500;
 
-  private static final long RETURN_MILLIS = 2_000;
+  private static final long REREGISTRATION_PERIOD_MILLIS = 2_000;
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final TargetRegistry targets;
-  private final long awayMillis;
-  private long provenAt = NEVER;
-  private long returnedAt = NEVER;
+  private final long outageMillis;
+  private long lastQueryAt = NEVER;
+  private long recoveredAt = NEVER;
 
   /**
    * Makes a keeper.
@@ -29,7 +29,7 @@
    */
   public TargetListUpdater(TargetRegistry targets, long boundMillis) {
     this.targets = targets;
-    this.awayMillis = Math.max(LEAST_AWAY_MILLIS, boundMillis);
+    this.outageMillis = Math.max(MIN_OUTAGE_MILLIS, boundMillis);
   }
 
   /**
@@ -38,15 +38,15 @@
    * @param askedAt when the question was sent that the store answered with it; a list that is older
    *     than the last one changes nothing
    */
-  public void learn(HostList list, long askedAt) {
-    if (askedAt < provenAt) {
+  public void update(HostList list, long askedAt) {
+    if (askedAt < lastQueryAt) {
       return;
     }
-    if (askedAt - provenAt > awayMillis) {
-      returnedAt = askedAt;
+    if (askedAt - lastQueryAt > outageMillis) {
+      recoveredAt = askedAt;
     }
-    provenAt = askedAt;
-    if (askedAt - returnedAt < RETURN_MILLIS) {
+    lastQueryAt = askedAt;
+    if (askedAt - recoveredAt < REREGISTRATION_PERIOD_MILLIS) {
       targets.seePartial(list);
     } else {
       targets.see(list);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
@@ -33,34 +33,34 @@
     void cancel();
   }
 
-  /** Hears how a request fares; after {@code ended} or {@code failed} nothing more comes. */
+  /** Hears how a request fares; after {@code onEnd} or {@code onFailure} nothing more comes. */
   interface Listener {
     /**
      * Returns whether the request is still to be sent; asked just before its first byte goes out.
      */
-    boolean mayBeSent();
+    boolean maySend();
 
     /** The connection stands and the request is on its way: from now on it may run. */
-    void sent();
+    void onSent();
 
     /** The head of the answer is here. */
-    void answered(ResponseHead head);
+    void onHead(ResponseHead head);
 
     /** Bytes of the answer's body are here. */
-    void received(byte[] bytes);
+    void onBody(byte[] bytes);
 
     /** The answer is at its end; {@code end} tells how the transport knew. */
-    void ended(ResponseEnd end);
+    void onEnd(ResponseEnd end);
 
     /** There will be no whole answer. */
-    void failed(TargetFailure failure);
+    void onFailure(TargetFailure failure);
   }
 
   /** Hears what came of a probe. */
   interface ProbeListener {
     /** The answer says something of the target; told before the result or after it, or never. */
-    default void heard(Statements said) {}
+    default void onAnnouncements(Statements said) {}
 
-    void probed(ProbeResult result);
+    void onResult(ProbeResult result);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -22,12 +22,12 @@
   private final ForwardRequest request;
   private final Route route;
   private final ServiceName service;
-  private final boolean copiesRuns;
+  private final boolean copiesMemory;
   private final CopyTracker copies;
-  private final Set<TargetId> tried = new HashSet<>();
+  private final Set<TargetId> triedTargets = new HashSet<>();
   private TargetQuery query;
-  private boolean passesOverLimited;
-  private boolean triesOut;
+  private boolean skipsLimitedTargets;
+  private boolean isFirst;
 
   /** Makes a search among the targets of a service that has the route's requests. */
   TargetSearch(
@@ -41,11 +41,11 @@
     this.route = route;
     this.service = service;
     this.copies = new CopyTracker(forwarder, request, service);
-    this.copiesRuns =
+    this.copiesMemory =
         route.kind() == RouteKind.STREAM
-            && engine.map(ServiceConfiguration.EngineConfiguration::copiesRuns).orElse(false);
+            && engine.map(ServiceConfiguration.EngineConfiguration::copiesMemory).orElse(false);
     int fitting =
-        engine.map(plan -> plan.fitting(request.promptTokens())).orElse(Integer.MAX_VALUE);
+        engine.map(plan -> plan.fittingRequests(request.promptTokens())).orElse(Integer.MAX_VALUE);
     this.query = new TargetQuery(service, Optional.empty(), fitting);
   }
 
@@ -60,17 +60,17 @@
   }
 
   /** Returns whether a caller has come back for the rest of a stream whose prompt may be kept. */
-  boolean mayFindPrompt() {
-    return copiesRuns && request.lastEventId().isPresent() && request.promptPart().isPresent();
+  boolean canLocatePrompt() {
+    return copiesMemory && request.lastEventId().isPresent() && request.promptPart().isPresent();
   }
 
   /** Returns whether a target is known to keep the prompt, so that it need not read it. */
-  boolean hasPrompt(TargetState target) {
+  boolean hasPromptCached(TargetState target) {
     return query.readAt().equals(Optional.of(target.description().id()));
   }
 
   /** Looks for the engine that keeps the prompt, which is then preferred. */
-  void findPrompt(Consumer<PromptLocator.Located> answer) {
+  void locatePrompt(Consumer<PromptLocator.LookupResult> answer) {
     forwarder
         .prompts()
         .locate(
@@ -89,10 +89,10 @@
    * @param urgent whether the caller has part of the answer
    */
   Optional<TargetChoice> choose(boolean again, boolean urgent) {
-    Set<TargetId> spent = spent(urgent);
+    Set<TargetId> spent = unavailableTargets(urgent);
     RolloutControl rollouts = forwarder.rollouts();
     VersionRule rule = rollouts.rule(service);
-    if (isNew()) {
+    if (isFirstAttempt()) {
       VersionRule drawn = rollouts.ruleForNew(service, route.name());
       Optional<TargetChoice> chosen = choose(query.among(drawn), spent, false);
       if (chosen.isPresent()) {
@@ -104,31 +104,31 @@
   }
 
   /** Has targets with limits passed over from now on: this request has waited enough for them. */
-  void passOverLimited() {
-    passesOverLimited = true;
+  void skipLimitedTargets() {
+    skipsLimitedTargets = true;
   }
 
   /** A new try looks among all targets again. */
-  void endPassingOver() {
-    passesOverLimited = false;
+  void includeLimitedTargets() {
+    skipsLimitedTargets = false;
   }
 
   /** Returns the targets that would do and are sent nothing just now. */
-  private Set<TargetId> spent(boolean urgent) {
-    Set<TargetId> spent = withoutTokens(urgent);
-    Set<TargetId> resting = forwarder.rests().barred();
+  private Set<TargetId> unavailableTargets(boolean urgent) {
+    Set<TargetId> spent = targetsWithoutTokens(urgent);
+    Set<TargetId> resting = forwarder.backoffs().barred();
     return resting.isEmpty() ? spent : Sets.union(spent, resting);
   }
 
-  private Set<TargetId> withoutTokens(boolean urgent) {
-    return passesOverLimited
+  private Set<TargetId> targetsWithoutTokens(boolean urgent) {
+    return skipsLimitedTargets
         ? forwarder.limits().book().limited()
         : forwarder.limits().spent(urgent);
   }
 
   /** Returns whether targets would do that have no token for now. */
-  boolean isAnySpent(boolean urgent) {
-    Set<TargetId> spent = withoutTokens(urgent);
+  boolean hasTargetWithoutToken(boolean urgent) {
+    Set<TargetId> spent = targetsWithoutTokens(urgent);
     return !spent.isEmpty()
         && query.versions().among(forwarder.targets().listed(service)).stream()
             .anyMatch(target -> spent.contains(target.description().id()));
@@ -140,10 +140,10 @@
    *
    * @param again whether one that was tried will do
    */
-  OptionalLong millisToEndOfRest(boolean again) {
+  OptionalLong millisToFirstBackoffEnd(boolean again) {
     return query.versions().among(forwarder.targets().listed(service)).stream()
-        .filter(target -> again || !tried.contains(target.description().id()))
-        .mapToLong(target -> forwarder.rests().millisTo(target.description().id()))
+        .filter(target -> again || !triedTargets.contains(target.description().id()))
+        .mapToLong(target -> forwarder.backoffs().millisTo(target.description().id()))
         .filter(millis -> millis > 0)
         .min();
   }
@@ -152,42 +152,44 @@
    * Returns whether a target that was chosen a moment ago may still be sent this request: it may
    * have begun to leave, or to rest, and its version may have been rolled back.
    */
-  boolean mayHave(TargetState target) {
-    return forwarder.rests().millisTo(target.description().id()) == 0 && mayHave(target, isNew());
+  boolean mayReceive(TargetState target) {
+    return forwarder.backoffs().millisTo(target.description().id()) == 0
+        && mayReceive(target, isFirstAttempt());
   }
 
   /** Returns whether the target of the present try may be sent it now that it is connected. */
-  boolean mayStillHave(TargetState target) {
-    return !forwarder.rests().isResting(target.description().id()) && mayHave(target, triesOut);
+  boolean mayStillReceive(TargetState target) {
+    return !forwarder.backoffs().isResting(target.description().id())
+        && mayReceive(target, isFirst);
   }
 
-  private boolean mayHave(TargetState target, boolean fresh) {
+  private boolean mayReceive(TargetState target, boolean fresh) {
     return !target.isLeaving() && forwarder.rollouts().mayHave(service, target, fresh);
   }
 
   /** Only a request that ran nowhere yet may try out a new version; a repeat must not fail. */
-  private boolean isNew() {
-    return tried.isEmpty() && request.lastEventId().isEmpty();
+  private boolean isFirstAttempt() {
+    return triedTargets.isEmpty() && request.lastEventId().isEmpty();
   }
 
   private Optional<TargetChoice> choose(TargetQuery wanted, Set<TargetId> spent, boolean again) {
-    Set<TargetId> without = spent.isEmpty() ? tried : Sets.union(tried, spent);
+    Set<TargetId> without = spent.isEmpty() ? triedTargets : Sets.union(triedTargets, spent);
     Optional<TargetChoice> fresh = forwarder.selector().choose(wanted, without);
     return fresh.isEmpty() && again ? forwarder.selector().choose(wanted, spent) : fresh;
   }
 
   /** Notes that a target is tried; returns where it is to copy the run, if anywhere. */
-  Optional<Address> begin(TargetState target) {
-    triesOut = isNew();
-    tried.add(target.description().id());
-    forwarder.rests().sent(target.description().id());
-    return copiesRuns
-        ? copies.begin(target, query.among(forwarder.rollouts().rule(service)))
+  Optional<Address> beginAttempt(TargetState target) {
+    isFirst = isFirstAttempt();
+    triedTargets.add(target.description().id());
+    forwarder.backoffs().sent(target.description().id());
+    return copiesMemory
+        ? copies.chooseHolder(target, query.among(forwarder.rollouts().rule(service)))
         : Optional.empty();
   }
 
   /** Notes what a target's whole answer says of it. */
-  void answered(Attempt from, TargetResponse answer) {
+  void recordResponse(Attempt from, TargetResponse answer) {
     if (answer.isError()) {
       forwarder.targets().answeredWithError(from.target());
     } else {
@@ -196,10 +198,10 @@
   }
 
   /** Notes what an attempt's failure says of its target. */
-  void failed(Attempt from, TargetFailure failure) {
+  void recordFailure(Attempt from, TargetFailure failure) {
     if (from.isContinuation() && failure == TargetFailure.FULL) {
       // The copy is not there; that says nothing of the target's load.
-      tried.remove(from.target().description().id());
+      triedTargets.remove(from.target().description().id());
     } else if (failure == TargetFailure.WITHDRAWN) {
       forwarder.limits().giveBack(from.target().description().id());
     } else {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/VersionObserver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/VersionObserver.java
@@ -13,7 +13,7 @@
  */
 final class VersionObserver {
   /** The pace of a stream is known after so many events, some 0.8 s; not only at its end. */
-  private static final int PACE_EVENTS = 16;
+  private static final int PACE_SAMPLE_EVENTS = 16;
 
   private final RolloutControl rollouts;
   private final ServiceName service;
@@ -26,68 +26,69 @@
   }
 
   /** An attempt begins. */
-  void sent(Attempt attempt) {
+  void recordSent(Attempt attempt) {
     rollouts.sent(service, route.name(), version(attempt));
   }
 
   /** The first event of an attempt is here. */
-  void firstEvent(Attempt attempt, long now) {
+  void recordFirstEvent(Attempt attempt, long now) {
     if (!attempt.isContinuation()) {
-      answered(attempt, Signal.FIRST_EVENT, (double) (now - attempt.startedAt()), false);
+      recordResponse(attempt, Signal.FIRST_EVENT, (double) (now - attempt.startedAt()), false);
     }
-    attempt.notePaceFrom(now);
+    attempt.startPaceMeasurement(now);
   }
 
   /** An event after the first is here. */
-  void event(Attempt attempt, long now) {
-    if (attempt.eventCount() >= PACE_EVENTS) {
+  void recordEvent(Attempt attempt, long now) {
+    if (attempt.forwardedEventCount() >= PACE_SAMPLE_EVENTS) {
       attempt
-          .takePaceFrom()
+          .takePaceStart()
           .ifPresent(
               from -> {
-                double millis = (double) (now - from) / (attempt.eventCount() - 1);
-                answered(attempt, Signal.EVENT_GAP, millis, false);
+                double millis = (double) (now - from) / (attempt.forwardedEventCount() - 1);
+                recordResponse(attempt, Signal.EVENT_GAP, millis, false);
               });
     }
   }
 
   /** A whole answer is here, which may be an error. */
-  void whole(Attempt attempt, TargetResponse answer) {
+  void recordCompleteResponse(Attempt attempt, TargetResponse answer) {
     if (!isStream()) {
-      answered(
+      recordResponse(
           attempt,
           Signal.WHOLE,
           (double) (attempt.endedAt() - attempt.startedAt()),
           answer.isError());
     } else if (answer.isError()) {
-      failed(attempt);
+      recordFailure(attempt);
     }
   }
 
   /** An attempt failed. */
-  void failed(Attempt attempt, TargetFailure failure, long now) {
+  void recordFailure(Attempt attempt, TargetFailure failure, long now) {
     if (failure == TargetFailure.ERROR) {
-      failed(attempt);
+      recordFailure(attempt);
     } else if (failure == TargetFailure.TIMEOUT) {
-      givenUp(attempt, now);
+      recordAbandoned(attempt, now);
     }
   }
 
   /** An attempt was given up before its answer was whole. */
-  void givenUp(Attempt attempt, long now) {
-    if (attempt.mayHaveRun() && !attempt.hasEvents() && !attempt.isContinuation()) {
+  void recordAbandoned(Attempt attempt, long now) {
+    if (attempt.mayHaveExecuted() && !attempt.hasForwardedEvents() && !attempt.isContinuation()) {
       Signal signal = isStream() ? Signal.FIRST_EVENT : Signal.WHOLE;
       rollouts.givenUp(
           service, route.name(), version(attempt), signal, (double) (now - attempt.startedAt()));
     }
   }
 
-  private void failed(Attempt attempt) {
+  private void recordFailure(Attempt attempt) {
     Signal plainOrFirst = isStream() ? Signal.FIRST_EVENT : Signal.WHOLE;
-    answered(attempt, attempt.hasEvents() ? Signal.EVENT_GAP : plainOrFirst, 0, true);
+    recordResponse(
+        attempt, attempt.hasForwardedEvents() ? Signal.EVENT_GAP : plainOrFirst, 0, true);
   }
 
-  private void answered(Attempt attempt, Signal signal, double millis, boolean failed) {
+  private void recordResponse(Attempt attempt, Signal signal, double millis, boolean failed) {
     rollouts.answered(service, route.name(), version(attempt), signal, millis, failed);
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
@@ -11,7 +11,7 @@
   private final ConfigurationHolder keeper = world.keeper;
 
   private Object refusal(String path, Optional<String> key) {
-    return keeper.find("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
+    return keeper.lookUp("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
         ? denied.refusal()
         : "allowed";
   }
@@ -52,7 +52,8 @@
     world.context.noteLost(3_000);
 
     assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+    assertEquals(
+        Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
@@ -66,8 +67,8 @@
 
   @Test
   void neverGoesBackToAnEarlierVersion() {
-    keeper.learn(ForwardWorld.configuration(5).build(), world.context.now());
-    keeper.learn(ForwardWorld.configuration(4).build(), world.context.now());
+    keeper.update(ForwardWorld.configuration(5).build(), world.context.now());
+    keeper.update(ForwardWorld.configuration(4).build(), world.context.now());
 
     assertEquals(5, keeper.version());
   }
@@ -88,7 +89,8 @@
     world.pass(2_000);
 
     assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+    assertEquals(
+        Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
@@ -98,12 +100,12 @@
             .add(ForwardWorld.route("/a/", RouteKind.ONCE, ForwardWorld.COUNTERS, 1))
             .add(ForwardWorld.route("/a/b/", RouteKind.REPEATABLE, ForwardWorld.COUNTERS, 1))
             .build();
-    keeper.learn(configuration, world.context.now());
+    keeper.update(configuration, world.context.now());
 
     ConfigurationHolder.Lookup.Allowed found =
         assertInstanceOf(
             ConfigurationHolder.Lookup.Allowed.class,
-            keeper.find("example", "/a/b/c", Optional.empty()));
+            keeper.lookUp("example", "/a/b/c", Optional.empty()));
 
     assertEquals("/a/b/", found.route().pathPrefix());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
@@ -52,12 +52,12 @@
     private Consumer<Optional<List<PeerDocument>>> peer;
 
     @Override
-    public void askStore(DocumentKind kind, Consumer<StoreResponse> answer) {
+    public void readStore(DocumentKind kind, Consumer<StoreResponse> answer) {
       store.put(kind, answer);
     }
 
     @Override
-    public void askPeer(
+    public void queryPeer(
         Address address, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
       peers.add(address);
       peer = answer;
@@ -79,7 +79,7 @@
   /** Makes the other host the reader of a data centre: the first of many names that ranks so. */
   private void knowReader(DataCentre dataCentre) {
     for (int number = 0; directory.reader(context.now()).isEmpty() && number < 50; number++) {
-      directory.learn(
+      directory.update(
           List.of(
               new Entry("self", NORTH, SELF, 0), new Entry("peer" + number, dataCentre, PEER, 0)),
           0);
@@ -97,7 +97,7 @@
     sources.answerStore(new StoreResponse.Read("text", "digest", 7));
     assertEquals(Optional.empty(), settled);
     assertEquals(3, taken.size());
-    assertTrue(taken.stream().allMatch(document -> document.provenAt() == 100));
+    assertTrue(taken.stream().allMatch(document -> document.confirmedAt() == 100));
     assertEquals(600, refresher.intervalMillis());
   }
 
@@ -114,7 +114,7 @@
                 reading(DocumentKind.CONFIGURATION, 7, 300),
                 reading(DocumentKind.TARGETS, 7, 300))));
     assertEquals(Optional.empty(), settled);
-    assertEquals(700, taken.get(0).provenAt());
+    assertEquals(700, taken.get(0).confirmedAt());
     assertEquals(400, refresher.intervalMillis());
   }
 
@@ -136,7 +136,7 @@
     do {
       number++;
       Entry far = new Entry("far" + number, SOUTH, PEER, 0);
-      directory.learn(List.of(new Entry("self", NORTH, SELF, 0), far), 0);
+      directory.update(List.of(new Entry("self", NORTH, SELF, 0), far), 0);
     } while (directory.reader(0).isPresent());
   }
 
@@ -149,7 +149,7 @@
     context.moveTo(1_200);
     sources.peer.accept(Optional.of(List.of(reading(DocumentKind.CONFIGURATION, 7, 100))));
     assertTrue(settled.orElseThrow().contains("status 503"));
-    assertEquals(900, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
+    assertEquals(900, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
   }
 
   @Test
@@ -160,8 +160,8 @@
     refresh(1_000);
     PeerDocument same = new PeerDocument(DocumentKind.TARGETS, Optional.empty(), "digest9", 9, 20);
     sources.peer.accept(Optional.of(List.of(same, reading(DocumentKind.CONFIGURATION, 8, 10))));
-    assertEquals(980, cache.find(DocumentKind.TARGETS).orElseThrow().provenAt());
-    assertEquals(100, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
+    assertEquals(980, cache.find(DocumentKind.TARGETS).orElseThrow().confirmedAt());
+    assertEquals(100, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
     assertEquals("digest9", cache.find(DocumentKind.CONFIGURATION).orElseThrow().digest());
   }
 
@@ -185,7 +185,7 @@
     }
     assertTrue(asked - provenAt <= 0.75 * BOUND_MILLIS, "the store was asked after " + asked);
     sources.answerStore(new StoreResponse.Read("text", "digest8", 8));
-    assertEquals(asked, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
+    assertEquals(asked, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
   }
 
   private void readerIsBehind(long now) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -79,18 +79,18 @@
     }
 
     SentCall accepted() {
-      listener.sent();
+      listener.onSent();
       return this;
     }
 
     SentCall head(int status, boolean stream) {
-      listener.answered(new Head(status, false, true, stream));
+      listener.onHead(new Head(status, false, true, stream));
       return this;
     }
 
     SentCall notRun(int status) {
       accepted();
-      listener.answered(new Head(status, true, true, false));
+      listener.onHead(new Head(status, true, true, false));
       return this;
     }
 
@@ -99,15 +99,15 @@
     }
 
     SentCall text(String text) {
-      listener.received(text.getBytes(StandardCharsets.UTF_8));
+      listener.onBody(text.getBytes(StandardCharsets.UTF_8));
       return this;
     }
 
     SentCall answer(int status, String body) {
       accepted();
       head(status, false);
-      listener.received(body.getBytes(StandardCharsets.UTF_8));
-      listener.ended(ResponseEnd.LAST_CHUNK);
+      listener.onBody(body.getBytes(StandardCharsets.UTF_8));
+      listener.onEnd(ResponseEnd.LAST_CHUNK);
       return this;
     }
   }
@@ -125,10 +125,10 @@
 
   record Head(
       int status,
-      boolean declaresNotRun,
+      boolean declaresNotExecuted,
       boolean isAuthentic,
       boolean isEventStream,
-      Statements statements)
+      Statements announcements)
       implements ResponseHead {
     Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
       this(status, declaresNotRun, isAuthentic, isEventStream, Statements.NONE);
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public void refuse(Rejection reason, long retryAfterMillis) {
+    public void reject(Rejection reason, long retryAfterMillis) {
       checkOpen();
       refusal = reason;
       this.retryAfterMillis = retryAfterMillis;
@@ -260,7 +260,7 @@
             loads,
             rollouts,
             poison);
-    keeper.learn(configuration(1).build(), context.now());
+    keeper.update(configuration(1).build(), context.now());
     list(
         target("e1", ENGINES, "north"),
         target("e2", ENGINES, "south"),
@@ -281,13 +281,13 @@
 
   private static final class IgnoringObserver implements ForwardObserver {
     @Override
-    public void answered(Route route, long millis) {}
+    public void recordResponse(Route route, long millis) {}
 
     @Override
-    public void refused(Rejection refusal) {}
+    public void recordRejection(Rejection refusal) {}
 
     @Override
-    public void interrupted(Route route) {}
+    public void recordInterruption(Route route) {}
   }
 
   static Configuration.Builder configuration(long version) {
@@ -295,7 +295,11 @@
         .add(route("/stream/", RouteKind.STREAM, ENGINES, 5))
         .add(route("/safe/", RouteKind.REPEATABLE, COUNTERS, 2))
         .add(route("/once/", RouteKind.ONCE, COUNTERS, 3))
-        .add(new ServiceConfiguration(ENGINES, 100, Optional.of(new ServiceConfiguration.EngineConfiguration(88_000, true))))
+        .add(
+            new ServiceConfiguration(
+                ENGINES,
+                100,
+                Optional.of(new ServiceConfiguration.EngineConfiguration(88_000, true))))
         .add(new AccountConfiguration(new AccountId("a1"), Set.of(KEY), 1));
   }
 
@@ -384,7 +388,7 @@
   }
 
   void fail(SentCall call, TargetFailure failure) {
-    call.listener.failed(failure);
+    call.listener.onFailure(failure);
   }
 
   static String eventText(long id) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
@@ -133,7 +133,7 @@
     for (Told told : requests) {
       assertTrue(told.isOver(), "a request was never answered");
     }
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
     for (ForwardWorld.SentCall call : works.keySet()) {
       assertTrue(call.cancelled || works.get(call).over, "a connection was left open");
     }
@@ -316,7 +316,7 @@
     if (isStreaming(call)) {
       works.get(call).over = true;
       call.text("id: 9");
-      call.listener.ended(end);
+      call.listener.onEnd(end);
     }
   }
 
@@ -339,7 +339,7 @@
     }
     if (!call.cancelled) {
       work.over = true;
-      call.listener.ended(end);
+      call.listener.onEnd(end);
     }
   }
 
@@ -352,10 +352,10 @@
     works.get(call).over = true;
     gone.add(call.dispatch.target().id());
     if (!isStream(call)) {
-      call.listener.answered(PLAIN_HEAD);
+      call.listener.onHead(PLAIN_HEAD);
       call.text(WHOLE_BODY.substring(1));
     }
-    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /** Answers without a stream; a target that has begun one can't any more. */
@@ -367,9 +367,9 @@
       take(call);
     }
     works.get(call).over = true;
-    call.listener.answered(head);
+    call.listener.onHead(head);
     call.text(WHOLE_BODY);
-    call.listener.ended(end);
+    call.listener.onEnd(end);
   }
 
   /** What still comes of attempts that were given up, or have ended, must change nothing. */
@@ -382,9 +382,9 @@
         call.event(works.get(call).lastEvent + 1);
         call.head(500, false);
         call.text(WHOLE_BODY);
-        call.listener.ended(ResponseEnd.LAST_CHUNK);
-        call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
-        call.listener.failed(TargetFailure.RESET);
+        call.listener.onEnd(ResponseEnd.LAST_CHUNK);
+        call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
+        call.listener.onFailure(TargetFailure.RESET);
       }
     }
     assertEquals(before, seen(), "something late of a given-up attempt was taken in");
@@ -419,7 +419,7 @@
     Told told = requests.get(number % requests.size());
     if (!told.isOver() && told.exchange.isPresent()) {
       told.gone = true;
-      told.exchange.get().callerGone();
+      told.exchange.get().onCallerDisconnected();
     }
   }
 
@@ -429,7 +429,7 @@
       ForwardWorld.SentProbe probe = world.probes.remove(0);
       boolean reached = reaching.getOrDefault(probe, !isGone(probe.target()));
       ProbeResult ofTheLiving = alive ? ProbeResult.ALIVE : ProbeResult.UNKNOWN;
-      probe.listener().probed(reached ? ofTheLiving : ProbeResult.GONE);
+      probe.listener().onResult(reached ? ofTheLiving : ProbeResult.GONE);
     }
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
@@ -45,30 +45,30 @@
 
   private static void learnOften(HostDirectory directory, List<Entry> entries) {
     for (int reading = 0; reading < 3; reading++) {
-      directory.learn(entries, NOW);
+      directory.update(entries, NOW);
     }
   }
 
   @Test
   void writesItsOwnEntryUntilItSeesAYoungOne() {
     HostDirectory directory = directory(1);
-    assertEquals(entry(1, NORTH, NOW), directory.learn(List.of(), NOW).orElseThrow().own());
-    assertTrue(directory.learn(young(1, NORTH), NOW + 59_000).isEmpty());
-    assertTrue(directory.learn(young(1, NORTH), NOW + 60_000).isPresent());
+    assertEquals(entry(1, NORTH, NOW), directory.update(List.of(), NOW).orElseThrow().own());
+    assertTrue(directory.update(young(1, NORTH), NOW + 59_000).isEmpty());
+    assertTrue(directory.update(young(1, NORTH), NOW + 60_000).isPresent());
   }
 
   @Test
   void doesNotWriteAgainBeforeItsEntryCanHaveBeenRead() {
     HostDirectory directory = directory(1);
-    assertTrue(directory.learn(List.of(), NOW).isPresent());
-    assertTrue(directory.learn(young(0, NORTH), NOW + 8_000).isEmpty());
-    assertTrue(directory.learn(young(0, NORTH), NOW + 9_000).isPresent());
+    assertTrue(directory.update(List.of(), NOW).isPresent());
+    assertTrue(directory.update(young(0, NORTH), NOW + 8_000).isEmpty());
+    assertTrue(directory.update(young(0, NORTH), NOW + 9_000).isPresent());
   }
 
   @Test
   void writesItsEntryAnewWhenItHasAnotherAddress() {
     HostDirectory directory = new HostDirectory(context("h1"), address(9));
-    assertTrue(directory.learn(young(1, NORTH), NOW).isPresent());
+    assertTrue(directory.update(young(1, NORTH), NOW).isPresent());
   }
 
   @Test
@@ -78,7 +78,7 @@
             entry(1, NORTH, NOW - 700_000),
             entry(2, NORTH, NOW - 700_000),
             entry(3, NORTH, NOW - 500_000));
-    assertEquals(List.of("h2"), directory(1).learn(entries, NOW).orElseThrow().outdated());
+    assertEquals(List.of("h2"), directory(1).update(entries, NOW).orElseThrow().expiredHosts());
   }
 
   @Test
@@ -86,7 +86,7 @@
     HostDirectory directory = directory(1);
     List<Entry> entries = new ArrayList<>(young(4, NORTH));
     entries.add(entry(5, SOUTH, NOW - 200_000));
-    directory.learn(entries, NOW);
+    directory.update(entries, NOW);
     assertEquals(16, directory.hosts());
     learnOften(directory, entries);
     assertEquals(4, directory.hosts());
@@ -98,7 +98,7 @@
     List<Optional<Address>> readers = new ArrayList<>();
     for (int number = 1; number <= 5; number++) {
       HostDirectory directory = directory(number);
-      directory.learn(young(5, NORTH), NOW);
+      directory.update(young(5, NORTH), NOW);
       readers.add(directory.reader(0));
     }
     assertEquals(1, readers.stream().filter(Optional::isEmpty).count());
@@ -109,18 +109,18 @@
   void tellsOnceOfAChangeOfItsHosts() {
     CoreContext context = context("h1");
     HostDirectory directory = new HostDirectory(context, address(1));
-    directory.learn(young(3, NORTH), NOW);
-    directory.learn(young(3, NORTH), NOW + 1);
-    directory.learn(young(2, NORTH), NOW + 2);
+    directory.update(young(3, NORTH), NOW);
+    directory.update(young(3, NORTH), NOW + 1);
+    directory.update(young(2, NORTH), NOW + 2);
     assertEquals(2, context.takeActions().size());
   }
 
   @Test
   void whereHostsAreManyAHostOfAnotherDataCentreIsNoReader() {
     HostDirectory directory = directory(99);
-    directory.learn(young(25, SOUTH), NOW);
+    directory.update(young(25, SOUTH), NOW);
     assertEquals(Optional.empty(), directory.reader(0));
-    assertTrue(directory.anyOther(new SplittableRandom(1)).isPresent());
+    assertTrue(directory.anyOtherHost(new SplittableRandom(1)).isPresent());
   }
 
   @Test
@@ -130,7 +130,7 @@
     List<Optional<Address>> readers =
         entries.stream()
             .map(entry -> directory(Integer.parseInt(entry.host().substring(1))))
-            .peek(directory -> directory.learn(entries, NOW))
+            .peek(directory -> directory.update(entries, NOW))
             .map(directory -> directory.reader(0))
             .toList();
     assertEquals(1, readers.stream().filter(Optional::isEmpty).count());
@@ -140,9 +140,9 @@
   @Test
   void aSilentReaderOfAllIsReplacedByTheFirstOfTheOwnDataCentreAndLendsNothingElsewhere() {
     HostDirectory directory = directory(99);
-    directory.learn(young(5, SOUTH), NOW);
+    directory.update(young(5, SOUTH), NOW);
     Address far = directory.reader(0).orElseThrow();
-    assertEquals(Optional.empty(), directory.lender(0));
+    assertEquals(Optional.empty(), directory.issuer(0));
     directory.avoid(far, 100);
     assertEquals(Optional.empty(), directory.reader(99));
     assertEquals(Optional.of(far), directory.reader(100));
@@ -154,7 +154,7 @@
     HostDirectory last =
         entries.stream()
             .map(entry -> directory(Integer.parseInt(entry.host().substring(1))))
-            .peek(directory -> directory.learn(entries, NOW))
+            .peek(directory -> directory.update(entries, NOW))
             .filter(directory -> directory.reader(0).isPresent())
             .findFirst()
             .orElseThrow();
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
@@ -37,20 +37,20 @@
           call -> call.event(2),
           call -> call.text("data: without id\n\n"),
           call -> call.text("id: 2\ndata: half"),
-          call -> call.listener.ended(ResponseEnd.LAST_CHUNK),
-          call -> call.listener.ended(ResponseEnd.LENGTH_REACHED),
-          call -> call.listener.ended(ResponseEnd.CONNECTION_CLOSED),
-          call -> call.listener.failed(TargetFailure.RESET),
-          call -> call.listener.failed(TargetFailure.NOT_CONNECTED),
-          call -> call.listener.failed(TargetFailure.FULL));
+          call -> call.listener.onEnd(ResponseEnd.LAST_CHUNK),
+          call -> call.listener.onEnd(ResponseEnd.LENGTH_REACHED),
+          call -> call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED),
+          call -> call.listener.onFailure(TargetFailure.RESET),
+          call -> call.listener.onFailure(TargetFailure.NOT_CONNECTED),
+          call -> call.listener.onFailure(TargetFailure.FULL));
 
   /** How an attempt may be given up so that another one starts. */
   private static final List<BiConsumer<Exchange, SentCall>> GIVING_UP =
       List.of(
-          (exchange, call) -> exchange.targetLost(TargetFailure.TIMEOUT),
-          (exchange, call) -> call.listener.failed(TargetFailure.RESET),
+          (exchange, call) -> exchange.onTargetLost(TargetFailure.TIMEOUT),
+          (exchange, call) -> call.listener.onFailure(TargetFailure.RESET),
           (exchange, call) -> call.event(7),
-          (exchange, call) -> call.text("id: 2\ndata: ha").listener.ended(ResponseEnd.LAST_CHUNK));
+          (exchange, call) -> call.text("id: 2\ndata: ha").listener.onEnd(ResponseEnd.LAST_CHUNK));
 
   /** How far the next attempt has come when something is heard of the last one. */
   private static final List<Consumer<SentCall>> NEXT =
@@ -83,7 +83,7 @@
         if (next == NEXT.get(0) || next == NEXT.get(1)) {
           second.accepted().head(200, true);
         }
-        second.event(2).listener.ended(ResponseEnd.LAST_CHUNK);
+        second.event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
         assertTrue(asking.finished);
         assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), asking.body.toString());
       }
@@ -98,7 +98,7 @@
   private static final List<BiConsumer<ForwardWorld, Exchange>> OVER =
       List.of(
           (fresh, exchange) -> fresh.pass(ForwardWorld.TIMEOUT_MILLIS),
-          (fresh, exchange) -> exchange.callerGone(),
+          (fresh, exchange) -> exchange.onCallerDisconnected(),
           (fresh, exchange) -> fresh.forwarder.stopAll());
 
   @Test
@@ -118,7 +118,7 @@
         assertEquals(sent, fresh.sent.size());
         assertEquals(body, asking.body.toString());
         assertFalse(asking.finished);
-        assertEquals(0, fresh.forwarder.openExchanges());
+        assertEquals(0, fresh.forwarder.openExchangeCount());
       }
     }
   }
@@ -128,14 +128,14 @@
   void nothingIsHeardOfAnAttemptWhoseEndIsInDoubt() {
     world.ask("/stream/x", caller);
     SentCall call = world.last().accepted().head(200, true).event(1);
-    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
 
     LATE.forEach(late -> late.accept(call));
 
     assertFalse(caller.isOver());
     assertEquals(1, world.sent.size());
     assertEquals(1, world.probes.size());
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     assertTrue(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
   }
@@ -145,12 +145,12 @@
   void aSecondAnswerOfAProbeChangesNothing() {
     world.ask("/stream/x", caller);
     SentCall first = world.last().accepted().head(200, true).event(1);
-    first.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    first.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     ForwardWorld.SentProbe probe = world.lastProbe();
 
-    probe.listener().probed(ProbeResult.GONE);
-    probe.listener().probed(ProbeResult.ALIVE);
-    probe.listener().probed(ProbeResult.GONE);
+    probe.listener().onResult(ProbeResult.GONE);
+    probe.listener().onResult(ProbeResult.ALIVE);
+    probe.listener().onResult(ProbeResult.GONE);
 
     assertEquals(2, world.sent.size());
     assertFalse(caller.isOver());
@@ -165,7 +165,7 @@
               "peer" + number, new DataCentre("north"), new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(entries, 0);
+      world.directory.update(entries, 0);
     }
     while (true) {
       Caller asking = new Caller();
@@ -176,7 +176,7 @@
         waiting = asking;
         return exchange;
       }
-      world.last().accepted().head(200, true).listener.ended(ResponseEnd.LAST_CHUNK);
+      world.last().accepted().head(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
       assertTrue(world.sent.size() < 100, "the own part never ends");
     }
   }
@@ -210,7 +210,7 @@
 
       assertEquals(sent, fresh.world.sent.size());
       assertFalse(fresh.waiting.finished);
-      assertEquals(0, fresh.world.forwarder.openExchanges());
+      assertEquals(0, fresh.world.forwarder.openExchangeCount());
     }
   }
 
@@ -227,7 +227,7 @@
       fresh.promptQuestions.forEach(question -> question.answer().accept(Optional.of(Set.of())));
 
       assertTrue(fresh.sent.isEmpty());
-      assertEquals(0, fresh.forwarder.openExchanges());
+      assertEquals(0, fresh.forwarder.openExchangeCount());
     }
   }
 
@@ -239,7 +239,7 @@
           @Override
           public void write(byte[] bytes) {
             super.write(bytes);
-            latest.callerGone();
+            latest.onCallerDisconnected();
           }
         };
     latest = world.ask("/stream/x", leaving).orElseThrow();
@@ -249,6 +249,6 @@
 
     assertEquals(ForwardWorld.eventText(1), leaving.body.toString());
     assertTrue(call.cancelled);
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -42,7 +42,7 @@
           new HostDirectory.Entry("peer" + number, place, new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(entries, 0);
+      world.directory.update(entries, 0);
     }
   }
 
@@ -95,10 +95,10 @@
     ask("/safe/x");
     String target = world.last().target();
     SentCall call = world.last().accepted();
-    call.listener.answered(
+    call.listener.onHead(
         new ForwardWorld.Head(
             200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
-    call.listener.ended(ResponseEnd.LAST_CHUNK);
+    call.listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
@@ -112,7 +112,7 @@
     ask("/safe/x");
     SentCall call = world.last().accepted();
 
-    call.listener.answered(
+    call.listener.onHead(
         new ForwardWorld.Head(
             503, true, false, false, Statements.NONE.withLimit(Statement.number(0.5))));
 
@@ -132,7 +132,7 @@
         .last()
         .accepted()
         .listener
-        .answered(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
+        .onHead(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
 
     assertEquals(5, world.forwarder.limits().book().perSecond(new TargetId(target)));
   }
@@ -191,7 +191,7 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     String target = questioned();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
 
     answer(ONE);
 
@@ -208,7 +208,7 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     String target = questioned();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
     answer(ONE);
 
     world.pass(501);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
@@ -46,7 +46,7 @@
 
   @Test
   void refusesNewRequestsOnceTheBalancerHasHadTimeToTurnAway() {
-    world.forwarder.beginStop(world.context.now() + 2_600, world.context.now() + 7_500);
+    world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_500);
     assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
 
     world.pass(2_600);
@@ -57,7 +57,7 @@
 
   @Test
   void takesNoStreamWhileStoppingIfItIsNotKnownHowLongStreamsLast() {
-    world.forwarder.beginStop(world.context.now() + 2_600, world.context.now() + 7_100);
+    world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_100);
 
     world.ask("/stream/x", caller);
     assertEquals(Rejection.STOPPING, caller.refusal);
@@ -72,10 +72,10 @@
       stream.event(id);
       world.pass(100);
     }
-    stream.listener.ended(ResponseEnd.LAST_CHUNK);
+    stream.listener.onEnd(ResponseEnd.LAST_CHUNK);
     world.keeper.confirm(1, world.context.now());
 
-    world.forwarder.beginStop(world.context.now() + 2_600, world.context.now() + 7_499);
+    world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_499);
 
     world.ask("/stream/x", caller);
     assertEquals(Rejection.STOPPING, caller.refusal);
@@ -182,7 +182,7 @@
   void passesALongAnswerOnBeforeItIsWholeAndThenNeverStartsAnother() {
     world.ask("/stream/x", caller);
     ForwardWorld.SentCall call = world.last().accepted().head(200, false);
-    call.listener.received(new byte[ForwardPolicy.STANDARD.bufferBytes() + 1]);
+    call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     world.fail(call, TargetFailure.RESET);
 
@@ -193,8 +193,8 @@
   private ForwardWorld.SentCall closedAfter(String path, int status) {
     world.ask(path, caller);
     ForwardWorld.SentCall call = world.last().accepted().head(status, false);
-    call.listener.received("part".getBytes(StandardCharsets.UTF_8));
-    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    call.listener.onBody("part".getBytes(StandardCharsets.UTF_8));
+    call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     assertFalse(caller.isOver());
     return call;
   }
@@ -207,7 +207,7 @@
   void repeatsASafeRequestWhenTheTargetOfAClosedConnectionIsGone() {
     ForwardWorld.SentCall first = closedAfter("/safe/x", 200);
 
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertNotEquals(first.target(), world.last().target());
     world.last().answer(200, "whole");
@@ -218,7 +218,7 @@
   void refusesARequestThatMayRunOnceWhenTheTargetOfAClosedConnectionIsGone() {
     closedAfter("/once/x", 200);
 
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertEquals(Rejection.TARGET_FAILED, caller.refusal);
     assertEquals(1, world.sent.size());
@@ -228,7 +228,7 @@
   void passesAnAnswerWithoutLengthOnOnceItsTargetAnswersAProbe() {
     closedAfter("/once/x", 200);
 
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     assertEquals("part", caller.body.toString());
     assertTrue(caller.finished);
@@ -239,7 +239,7 @@
   void passesNoErrorOnWhoseTargetIsGone() {
     closedAfter("/once/x", 500);
 
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
@@ -247,7 +247,7 @@
   @Test
   void keepsNoErrorBackWhoseTargetIsGone() {
     closedAfter("/safe/x", 500);
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     world.last().accepted();
     world.fail(world.last(), TargetFailure.RESET);
@@ -262,7 +262,7 @@
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
     assertEquals(Rejection.TIMED_OUT, caller.refusal);
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     assertFalse(caller.finished);
   }
 
@@ -274,13 +274,13 @@
   void asksABusyTargetUntilItAnswers() {
     closedAfter("/once/x", 200);
     for (int unanswered = 0; unanswered < 4; unanswered++) {
-      world.pass(ForwardPolicy.STANDARD.unreachableMillis() << unanswered);
-      world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+      world.pass(ForwardPolicy.STANDARD.probeTimeoutMillis() << unanswered);
+      world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
       assertFalse(caller.isOver());
     }
     world.pass(1);
 
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     assertTrue(caller.finished);
     assertEquals(5, world.probes.size());
@@ -296,7 +296,7 @@
     long asked = world.context.now();
     while (world.context.now() - asked < 10_000) {
       int before = world.probes.size();
-      world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+      world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
       assertEquals(before, world.probes.size());
       while (world.probes.size() == before) {
         world.pass(1);
@@ -309,11 +309,11 @@
   @Test
   void repeatsASafeRequestWhoseTargetLeavesTwoProbesUnanswered() {
     closedAfter("/safe/x", 200);
-    world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+    world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
     assertEquals(1, world.sent.size());
-    world.pass(ForwardPolicy.STANDARD.unreachableMillis());
+    world.pass(ForwardPolicy.STANDARD.probeTimeoutMillis());
 
-    world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+    world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
 
     assertEquals(2, world.sent.size());
     assertEquals(2, world.probes.size());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -58,7 +58,7 @@
     int before = world.probes.size();
     world.fail(call, TargetFailure.RESET);
     if (world.probes.size() > before) {
-      world.lastProbe().listener().probed(result);
+      world.lastProbe().listener().onResult(result);
     }
   }
 
@@ -93,7 +93,7 @@
 
     assertEquals(0, sentFor("/stream/x", "fatal"));
     assertEquals(Rejection.HELD_BACK, caller.refusal);
-    assertTrue(Rejection.HELD_BACK.invitesRetry());
+    assertTrue(Rejection.HELD_BACK.allowsRetry());
     assertEquals(60_000, Rejection.HELD_BACK.retryAfterMillis(700));
   }
 
@@ -145,9 +145,9 @@
   @Test
   void aTargetThatIsGoneAfterItsAnswerWithoutALengthHasEnded() {
     SentCall call = ask("/once/x", "fatal").accepted().head(200, false);
-    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     int probes = world.probes.size();
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertEquals(1, world.poison.suspected());
     assertEquals(probes, world.probes.size());
@@ -206,7 +206,7 @@
     world.fail(world.last().accepted().head(200, true), TargetFailure.RESET);
     assertEquals(3, world.sent.size());
 
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertEquals(3, world.sent.size());
     assertEquals(Rejection.TARGET_FAILED, caller.refusal);
@@ -217,7 +217,7 @@
     endsTarget(ask("/stream/x", "sound"));
     endsTarget(world.last());
     world.fail(world.last().accepted(), TargetFailure.RESET);
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     assertEquals(4, world.sent.size());
   }
@@ -227,7 +227,7 @@
     endsTarget(ask("/stream/x", "sound"));
     endsTarget(world.last());
     world.fail(world.last().accepted(), TargetFailure.RESET);
-    world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+    world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
 
     assertEquals(4, world.sent.size());
   }
@@ -235,11 +235,11 @@
   @Test
   void aSilentTargetThatIsAnotherRunLaterHadEnded() {
     world.fail(ask("/stream/x", "fatal").accepted(), TargetFailure.TIMEOUT);
-    world.lastProbe().listener().probed(ProbeResult.UNKNOWN);
+    world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
     int probes = world.probes.size();
     world.pass(200);
     assertEquals(probes + 1, world.probes.size());
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertEquals(1, world.poison.suspected());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
@@ -37,12 +37,12 @@
   void asksAgainAnIntervalAfterItAskedAndSoonerAfterAFailure() {
     poller.start();
     passTo(300);
-    replies.get(0).settled(Optional.empty());
+    replies.get(0).complete(Optional.empty());
     passTo(1_000);
     assertEquals(List.of(0L, 1_000L), askedAt);
-    replies.get(1).settled(Optional.of("no answer"));
+    replies.get(1).complete(Optional.of("no answer"));
     passTo(1_200);
-    replies.get(2).settled(Optional.of("no answer"));
+    replies.get(2).complete(Optional.of("no answer"));
     passTo(1_600);
     assertEquals(List.of(0L, 1_000L, 1_200L, 1_600L), askedAt);
   }
@@ -52,10 +52,10 @@
     poller.start();
     passTo(6_200);
     assertEquals(List.of(0L, 6_200L), askedAt);
-    replies.get(0).settled(Optional.empty());
+    replies.get(0).complete(Optional.empty());
     passTo(7_199);
     assertEquals(2, askedAt.size());
-    replies.get(1).settled(Optional.empty());
+    replies.get(1).complete(Optional.empty());
     passTo(7_200);
     assertEquals(3, askedAt.size());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
@@ -81,7 +81,7 @@
     world.promptPart = Optional.of(PART);
     world.lastEventId = OptionalLong.of(7);
     Exchange exchange = world.ask("/stream/x", new ForwardWorld.Caller()).orElseThrow();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
     answer(world, "e2", Optional.of(Set.of(PART)));
 
     assertTrue(world.sent.isEmpty());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
@@ -28,7 +28,7 @@
               "peer" + number, new DataCentre("north"), new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(entries, 0);
+      world.directory.update(entries, 0);
     }
   }
 
@@ -71,7 +71,7 @@
   void sendsNothingForACallerWhoLeftMeanwhile() {
     waitForRepeat();
     int before = world.sent.size();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
 
     world.borrowing.get(0).accept(1);
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
@@ -52,7 +52,7 @@
       ServiceName service = ((LoanSubject.Repeats) subject).service();
       IntConsumer given = lent -> answer.accept(Optional.of(new Loan(lent, 0)));
       if (lendersAnswer) {
-        given.accept(hosts.get(lender).budgets.lend(service, count));
+        given.accept(hosts.get(lender).budgets.issue(service, count));
       } else {
         unanswered.add(given);
       }
@@ -62,7 +62,7 @@
     private int take(int most) {
       int[] granted = new int[1];
       for (int index = 0; index < most; index++) {
-        budgets.take(SERVICE, yes -> granted[0] += yes ? 1 : 0);
+        budgets.acquire(SERVICE, yes -> granted[0] += yes ? 1 : 0);
       }
       return granted[0];
     }
@@ -76,7 +76,7 @@
     }
     for (Host host : hosts.values()) {
       for (int reading = 0; reading < 3; reading++) {
-        host.directory.learn(entries, 0);
+        host.directory.update(entries, 0);
       }
     }
   }
@@ -102,7 +102,7 @@
     int granted = 0;
     for (Host host : hosts.values()) {
       for (int request = 0; request < 3; request++) {
-        host.budgets.earn(SERVICE);
+        host.budgets.recordRequest(SERVICE);
         requests++;
       }
     }
@@ -120,8 +120,8 @@
   void aHostThatReachesNoLenderHasItsOwnPart() {
     lendersAnswer = false;
     Host host = borrower();
-    host.budgets.earn(SERVICE);
-    host.budgets.earn(SERVICE);
+    host.budgets.recordRequest(SERVICE);
+    host.budgets.recordRequest(SERVICE);
 
     assertEquals(2, host.take(5));
     unanswered.get(0).accept(0);
@@ -135,7 +135,7 @@
     assertEquals(1, host.take(1), "its own part");
     List<Boolean> answers = new ArrayList<>();
     for (int index = 0; index < 4; index++) {
-      host.budgets.take(SERVICE, answers::add);
+      host.budgets.acquire(SERVICE, answers::add);
     }
     assertEquals(1, unanswered.size());
     assertEquals(List.of(), answers);
@@ -154,14 +154,14 @@
     Host host = borrower();
     assertEquals(1, host.take(1), "its own part");
     List<Boolean> answers = new ArrayList<>();
-    host.budgets.take(SERVICE, answers::add);
-    host.budgets.take(
+    host.budgets.acquire(SERVICE, answers::add);
+    host.budgets.acquire(
         SERVICE,
         granted -> {
           answers.add(granted);
-          host.budgets.take(SERVICE, answers::add);
+          host.budgets.acquire(SERVICE, answers::add);
         });
-    host.budgets.take(SERVICE, answers::add);
+    host.budgets.acquire(SERVICE, answers::add);
 
     for (int asked = 0; asked < unanswered.size(); asked++) {
       unanswered.get(asked).accept(1);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryWindowTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryWindowTest.java
@@ -16,7 +16,7 @@
     RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0);
     for (int repeat = 0; repeat < 3; repeat++) {
       assertTrue(window.hasRoom(0, 0.5, 3));
-      window.countRepeat(0);
+      window.recordRetry(0);
     }
     assertFalse(window.hasRoom(WINDOW_MILLIS, 0.5, 3));
     assertTrue(window.hasRoom(WINDOW_MILLIS + 1_000, 0.5, 3));
@@ -25,9 +25,9 @@
   @Test
   void requestsEarnTheirShare() {
     RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0);
-    window.countRequest(0);
+    window.recordRequest(0);
     assertFalse(window.hasRoom(0, 0.5, 0));
-    window.countRequest(0);
+    window.recordRequest(0);
     assertTrue(window.hasRoom(0, 0.5, 0));
   }
 
@@ -41,10 +41,10 @@
     for (int step = 0; step < 5_000; step++) {
       now += random.nextInt(step % 500 < 50 ? 10 : 120);
       if (random.nextInt(3) == 0) {
-        window.countRequest(now);
+        window.recordRequest(now);
         requests.add(now);
       } else if (window.hasRoom(now, 0.8, 5)) {
-        window.countRepeat(now);
+        window.recordRetry(now);
         repeats.add(now);
         assertTrue(within(repeats, now) <= 0.8 * within(requests, now) + 5, "at " + now);
       }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -113,7 +113,7 @@
   private void knowAnotherHost() {
     Address address = new Address("10.0.2.1", 7);
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(
+      world.directory.update(
           List.of(new HostDirectory.Entry("peer", new DataCentre("north"), address, 0)), 0);
     }
   }
@@ -168,7 +168,7 @@
         assertEquals(0, sentToNew(before));
         broken++;
       }
-      exchange.ifPresent(Exchange::callerGone);
+      exchange.ifPresent(Exchange::onCallerDisconnected);
     }
     assertTrue(broken > 0);
   }
