--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -59,9 +59,9 @@
   /** Has the first target that is chosen answer; returns its name. */
   private String told(ForwardWorld.Head head) {
     SentCall call = ask("/safe/x").accepted();
-    call.listener.answered(head);
-    if (!head.declaresNotRun()) {
-      call.listener.ended(ResponseEnd.LAST_CHUNK);
+    call.listener.onHead(head);
+    if (!head.declaresNotExecuted()) {
+      call.listener.onEnd(ResponseEnd.LAST_CHUNK);
     }
     return call.target();
   }
@@ -122,7 +122,7 @@
   void whoeverAnswersInPlaceOfTheTargetSaysNothingOfItsRest() {
     String gone = told(head(421, true, RESTS));
 
-    assertEquals(0, world.forwarder.rests().millisTo(new TargetId(gone)));
+    assertEquals(0, world.forwarder.backoffs().millisTo(new TargetId(gone)));
   }
 
   @Test
@@ -185,7 +185,7 @@
     events();
     early.answer(200, "ok");
     assertFalse(events().contains(EventCode.LEAVING_CONTRADICTED), "it was sent before");
-    world.forwarder.statements().heard(description("c1"), Statements.NONE, 0);
+    world.forwarder.announcements().receive(description("c1"), Statements.NONE, 0);
     assertFalse(
         events().contains(EventCode.LEAVING_CONTRADICTED), "nobody says whose answer it is");
     late.answer(200, "ok");
@@ -252,12 +252,12 @@
     SentCall waiting = world.last();
     world.targets.leaving(new TargetId(waiting.target()));
 
-    assertFalse(waiting.listener.mayBeSent());
-    waiting.listener.failed(TargetFailure.WITHDRAWN);
+    assertFalse(waiting.listener.maySend());
+    waiting.listener.onFailure(TargetFailure.WITHDRAWN);
 
     assertEquals(2, world.sent.size());
     assertNotEquals(waiting.target(), world.last().target());
-    assertTrue(world.last().listener.mayBeSent());
+    assertTrue(world.last().listener.maySend());
     world.last().answer(200, "ok");
     assertTrue(caller.finished);
   }
@@ -266,7 +266,7 @@
   void aStreamGoesOnWhereItRunsAndNotFromACopyThere() {
     world.ask("/stream/x", caller);
     SentCall run = world.last().accepted();
-    run.listener.answered(stream(LEAVES));
+    run.listener.onHead(stream(LEAVES));
     run.event(1).event(2);
     assertFalse(run.cancelled);
     TargetDescription holder =
@@ -288,7 +288,7 @@
   @Test
   void aCallerWhoComesBackIsNotSentThere() {
     String leaving = ask("/stream/x").accepted().target();
-    world.last().listener.answered(stream(LEAVES));
+    world.last().listener.onHead(stream(LEAVES));
     world.lastEventId = OptionalLong.of(7);
 
     for (int number = 0; number < REQUESTS; number++) {
@@ -311,7 +311,7 @@
     TargetDescription target = description("c1");
     world.forwarder.port().probe(target, 100, result -> {});
 
-    world.lastProbe().listener().heard(LEAVES);
+    world.lastProbe().listener().onAnnouncements(LEAVES);
 
     assertFalse(chosen("/safe/x").contains("c1"));
   }
@@ -349,12 +349,12 @@
     SentCall early = ask("/safe/x").accepted();
     listOnly(early.target());
     SentCall next = ask("/safe/x").accepted();
-    next.listener.answered(head(503, true, RESTS));
+    next.listener.onHead(head(503, true, RESTS));
     early.answer(200, "ok");
 
     world.pass(REST_MILLIS - 1);
 
-    assertTrue(world.forwarder.rests().isResting(new TargetId(early.target())));
+    assertTrue(world.forwarder.backoffs().isResting(new TargetId(early.target())));
   }
 
   @Test
@@ -369,9 +369,9 @@
     SentCall first = ask("/safe/x");
     listOnly(first.target());
     SentCall second = ask("/safe/x");
-    first.accepted().listener.answered(head(503, true, RESTS));
+    first.accepted().listener.onHead(head(503, true, RESTS));
 
-    assertFalse(second.listener.mayBeSent());
+    assertFalse(second.listener.maySend());
   }
 
   /** A request that can wait for the end is held, and one that cannot is told when to return. */
@@ -401,7 +401,7 @@
     world.ask("/safe/x", caller);
     Statements shortRest = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
 
-    world.last().accepted().listener.answered(head(503, true, shortRest));
+    world.last().accepted().listener.onHead(head(503, true, shortRest));
 
     assertEquals(Rejection.OVERLOADED, caller.refusal);
     assertTrue(caller.retryAfterMillis >= 1);
@@ -419,7 +419,7 @@
       world.ask("/safe/x", new Caller());
     }
     assertEquals(before + 1, world.sent.size());
-    world.last().accepted().listener.answered(head(503, true, RESTS));
+    world.last().accepted().listener.onHead(head(503, true, RESTS));
     world.pass(500);
 
     assertEquals(before + 1, world.sent.size());
@@ -435,7 +435,7 @@
             .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.forwarder.rests().hear(holder.id(), REST_MILLIS);
+    world.forwarder.backoffs().hear(holder.id(), REST_MILLIS);
 
     world.fail(run, TargetFailure.RESET);
 
@@ -447,7 +447,7 @@
   void noTokenIsAskedForATargetThatRests() {
     for (String counter : new String[] {"c1", "c2", "c3"}) {
       world.forwarder.limits().book().hear(new TargetId(counter), 5, 0);
-      world.forwarder.rests().hear(new TargetId(counter), REST_MILLIS);
+      world.forwarder.backoffs().hear(new TargetId(counter), REST_MILLIS);
     }
 
     world.ask("/safe/x", caller);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -64,7 +64,7 @@
       second.event(id);
     }
     world.pass(250);
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
     ForwardWorld.SentCall third = world.last();
     assertTrue(third.dispatch.continueFrom().isPresent());
 
@@ -73,7 +73,7 @@
     assertFalse(caller.isOver());
     assertEquals(eventsUpTo(110), caller.body.toString());
     assertEquals(OptionalLong.of(110), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(111).listener.ended(ResponseEnd.LAST_CHUNK);
+    world.last().accepted().head(200, true).event(111).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(111), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -92,7 +92,7 @@
       assertFalse(asking.isOver(), "status " + status);
       assertEquals(3, fresh.sent.size());
       assertEquals(OptionalLong.of(1), fresh.last().dispatch.lastEventId());
-      fresh.last().accepted().head(200, true).event(2).listener.ended(ResponseEnd.LAST_CHUNK);
+      fresh.last().accepted().head(200, true).event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
       assertEquals(eventsUpTo(2), asking.body.toString());
       assertTrue(asking.finished);
     }
@@ -102,7 +102,7 @@
   void passesNoLongBodyOfAnotherKindOnInsideABegunStream() {
     ForwardWorld.SentCall second = resumedAfterABreak().accepted().head(200, false);
 
-    second.listener.received(new byte[ForwardPolicy.STANDARD.bufferBytes() + 1]);
+    second.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     assertEquals(eventsUpTo(2), caller.body.toString());
     assertTrue(second.cancelled);
@@ -139,7 +139,7 @@
 
   /** Has a target end its answer by closing the connection, with neither length nor last chunk. */
   private static void close(ForwardWorld.SentCall call) {
-    call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+    call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /**
@@ -153,12 +153,12 @@
     close(first);
     assertFalse(caller.isOver());
     assertEquals(first.target(), world.lastProbe().target().id().value());
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertFalse(caller.isOver());
     assertEquals(2, world.sent.size());
     assertEquals(OptionalLong.of(2), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(3).listener.ended(ResponseEnd.LAST_CHUNK);
+    world.last().accepted().head(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(3), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -168,11 +168,11 @@
     close(running(2));
     assertFalse(caller.isOver());
 
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     assertTrue(caller.finished);
     assertEquals(1, world.sent.size());
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   /** An answer that was on its way before the connection was closed tells of the time before. */
@@ -183,11 +183,11 @@
     ForwardWorld.SentProbe early = world.lastProbe();
 
     close(first);
-    early.listener().probed(ProbeResult.ALIVE);
+    early.listener().onResult(ProbeResult.ALIVE);
 
     assertFalse(caller.isOver());
     assertEquals(2, world.probes.size());
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
     assertEquals(2, world.sent.size());
   }
 
@@ -195,10 +195,10 @@
   void breaksAStreamOffThatNobodyCanGoOnWithWhenTheTargetOfAClosedConnectionIsGone() {
     world.ask("/stream/x", caller);
     ForwardWorld.SentCall call = world.last().accepted().head(200, false);
-    call.listener.received(new byte[ForwardPolicy.STANDARD.bufferBytes() + 1]);
+    call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     close(call);
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertTrue(caller.aborted);
     assertEquals(1, world.sent.size());
@@ -220,30 +220,30 @@
       assertTrue(call.cancelled);
       String body = asking.body.toString();
       boolean wasOver = asking.isOver();
-      probe.listener().probed(ProbeResult.ALIVE);
-      probe.listener().probed(ProbeResult.GONE);
+      probe.listener().onResult(ProbeResult.ALIVE);
+      probe.listener().onResult(ProbeResult.GONE);
       assertEquals(body, asking.body.toString());
       assertFalse(asking.finished);
       assertEquals(wasOver, asking.isOver());
       assertTrue(world.sent.size() <= before + 1);
-      latest.callerGone();
+      latest.onCallerDisconnected();
     }
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   private List<Runnable> whatMayComeWhileAnEndIsInDoubt() {
     return List.of(
         () -> world.pass(ForwardWorld.TIMEOUT_MILLIS),
-        () -> latest.callerGone(),
+        () -> latest.onCallerDisconnected(),
         () -> world.forwarder.stopAll(),
-        () -> latest.targetLost(TargetFailure.TIMEOUT));
+        () -> latest.onTargetLost(TargetFailure.TIMEOUT));
   }
 
   @Test
   void logsAnEndInDoubtAndWhatBecameOfIt() {
     close(running(2));
     world.pass(3);
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     List<String> logged = logged(EventCode.ANSWER_ENDED);
     assertEquals(2, logged.size());
@@ -302,11 +302,11 @@
         Caller asking = new Caller();
         ForwardWorld.SentCall call = begin(start, fresh, asking);
 
-        call.listener.ended(end);
-        fresh.probes.forEach(probe -> probe.listener().probed(ProbeResult.ALIVE));
+        call.listener.onEnd(end);
+        fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-        assertEquals(end.isTargetsWord(), asking.finished, start + " " + end);
-        assertEquals(!end.isTargetsWord(), fresh.last() != call, start + " " + end);
+        assertEquals(end.isConfirmedByTarget(), asking.finished, start + " " + end);
+        assertEquals(!end.isConfirmedByTarget(), fresh.last() != call, start + " " + end);
         assertFalse(asking.aborted);
       }
     }
@@ -320,8 +320,8 @@
       Caller asking = new Caller();
       ForwardWorld.SentCall call = begin(start, fresh, asking);
 
-      call.text(": still here\n\n").listener.ended(ResponseEnd.CONNECTION_CLOSED);
-      fresh.probes.forEach(probe -> probe.listener().probed(ProbeResult.ALIVE));
+      call.text(": still here\n\n").listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
+      fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
       assertFalse(asking.isOver(), start.toString());
       assertTrue(fresh.last() != call, start.toString());
@@ -337,9 +337,9 @@
       ForwardWorld.SentCall call = begin(start, fresh, asking);
 
       call.event(start == Start.FRESH ? 1 : HAD_BY_CALLER);
-      call.listener.ended(ResponseEnd.CONNECTION_CLOSED);
+      call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
       assertFalse(asking.isOver());
-      fresh.lastProbe().listener().probed(ProbeResult.ALIVE);
+      fresh.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
       assertTrue(asking.finished, start.toString());
     }
@@ -354,8 +354,8 @@
         Caller asking = new Caller();
         ForwardWorld.SentCall call = begin(start, fresh, asking);
 
-        call.event(1).listener.ended(end);
-        fresh.probes.forEach(probe -> probe.listener().probed(ProbeResult.ALIVE));
+        call.event(1).listener.onEnd(end);
+        fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
         assertFalse(asking.isOver(), start + " " + end);
         assertTrue(fresh.last() != call, start + " " + end);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void passesEventsOnAndEndsWithTheTarget() {
-    running(2).listener.ended(ResponseEnd.LAST_CHUNK);
+    running(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), caller.body.toString());
     assertTrue(caller.finished);
@@ -55,7 +55,7 @@
     assertEquals(copyTo, Optional.of(second.dispatch.target().address()));
     assertEquals(Optional.of("r1"), second.dispatch.continueFrom());
     assertEquals(OptionalLong.of(2), second.dispatch.lastEventId());
-    second.accepted().head(200, true).event(3).listener.ended(ResponseEnd.LAST_CHUNK);
+    second.accepted().head(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertTrue(caller.body.toString().endsWith(ForwardWorld.eventText(3)));
   }
@@ -86,8 +86,8 @@
   void passesNoHalfEventOn() {
     ForwardWorld.SentCall call = running(1);
 
-    call.listener.received("id: 2\ndata: ha".getBytes(StandardCharsets.UTF_8));
-    call.listener.ended(ResponseEnd.LAST_CHUNK);
+    call.listener.onBody("id: 2\ndata: ha".getBytes(StandardCharsets.UTF_8));
+    call.listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertFalse(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
@@ -129,7 +129,7 @@
 
     world.pass(250);
     assertEquals(1, world.probes.size());
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertTrue(first.cancelled);
     assertEquals(2, world.sent.size());
@@ -141,7 +141,7 @@
     ForwardWorld.SentCall first = running(2);
 
     world.pass(250);
-    world.lastProbe().listener().probed(ProbeResult.ALIVE);
+    world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     world.pass(100);
 
     assertFalse(first.cancelled);
@@ -154,7 +154,7 @@
 
     world.pass(250);
     first.event(3);
-    world.lastProbe().listener().probed(ProbeResult.GONE);
+    world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertFalse(first.cancelled);
   }
@@ -164,10 +164,10 @@
     Exchange exchange = world.ask("/stream/x", caller).orElseThrow();
     ForwardWorld.SentCall call = world.last().accepted().head(200, true).event(1);
 
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
 
     assertTrue(call.cancelled);
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   @Test
@@ -308,19 +308,19 @@
   @Test
   void nothingOfAStreamIsSentWhoseCallerLeftWhileItWaited() {
     overload();
-    world.ask("/stream/x", caller).orElseThrow().callerGone();
+    world.ask("/stream/x", caller).orElseThrow().onCallerDisconnected();
 
     world.pass(5_000);
 
     assertTrue(world.sent.isEmpty());
-    assertEquals(0, world.forwarder.openExchanges());
+    assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   @Test
   void whatWaitsAtAHostThatStopsIsRefusedAtOnce() {
     overload();
     world.ask("/stream/x", caller);
-    world.forwarder.beginStop(world.context.now() + 1, world.context.now() + 8_000);
+    world.forwarder.beginShutdown(world.context.now() + 1, world.context.now() + 8_000);
 
     world.pass(500);
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamJoinTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamJoinTest.java
@@ -77,7 +77,7 @@
 
   @Test
   void endsAStreamWithoutIdsByItsTargetsWord() {
-    running(0).text(WITHOUT_ID).text(WITHOUT_ID).listener.ended(ResponseEnd.LAST_CHUNK);
+    running(0).text(WITHOUT_ID).text(WITHOUT_ID).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertTrue(caller.finished);
     assertEquals(WITHOUT_ID + WITHOUT_ID, caller.body.toString());
@@ -94,7 +94,7 @@
         .text(COMMENT)
         .event(2)
         .listener
-        .ended(ResponseEnd.LAST_CHUNK);
+        .onEnd(ResponseEnd.LAST_CHUNK);
 
     assertTrue(caller.finished);
     assertEquals(
@@ -106,7 +106,7 @@
     world.fail(running(0).text(COMMENT), TargetFailure.RESET);
 
     assertEquals(OptionalLong.empty(), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(1).listener.ended(ResponseEnd.LAST_CHUNK);
+    world.last().accepted().head(200, true).event(1).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertEquals(COMMENT + eventsUpTo(1), caller.body.toString());
   }
@@ -182,7 +182,7 @@
   /** Where ids begin is the target's affair: to refuse a stream for it would refuse whole ones. */
   @Test
   void passesAFirstRunOnWhereverItsIdsBegin() {
-    running(0).text(COMMENT).event(7).event(8).listener.ended(ResponseEnd.LAST_CHUNK);
+    running(0).text(COMMENT).event(7).event(8).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertEquals(
         COMMENT + ForwardWorld.eventText(7) + ForwardWorld.eventText(8), caller.body.toString());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
@@ -50,27 +50,27 @@
 
   @Test
   void aMissingEntryMeansThatTheTargetIsGone() {
-    keeper.learn(list("e1", "e2"), 0);
-    keeper.learn(list("e1", "e2"), 1_000);
-    keeper.learn(list("e1"), 2_000);
-    keeper.learn(list("e1"), 2_600);
+    keeper.update(list("e1", "e2"), 0);
+    keeper.update(list("e1", "e2"), 1_000);
+    keeper.update(list("e1"), 2_000);
+    keeper.update(list("e1"), 2_600);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
   void entriesThatLapsedWhileTheStoreWasAwayAreWaitedFor() {
-    keeper.learn(list("e1", "e2", "e3"), 0);
-    keeper.learn(list("e1"), 5_000);
-    keeper.learn(list("e1", "e2"), 6_900);
+    keeper.update(list("e1", "e2", "e3"), 0);
+    keeper.update(list("e1"), 5_000);
+    keeper.update(list("e1", "e2"), 6_900);
     assertEquals(Set.of("e1", "e2", "e3"), usable());
-    keeper.learn(list("e1", "e2"), 7_000);
+    keeper.update(list("e1", "e2"), 7_000);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 
   @Test
   void aTargetThatIsListedAsLeavingWhenTheStoreReturnsIsLeft() {
-    keeper.learn(list("e1", "e2"), 0);
-    keeper.learn(
+    keeper.update(list("e1", "e2"), 0);
+    keeper.update(
         new HostList(++version, List.of(), List.of(target("e2", LifeState.LEAVING))), 5_000);
     assertEquals(Set.of("e1"), usable());
   }
@@ -79,17 +79,17 @@
   @Test
   void listsThatComeRarelyBecauseTheBoundIsLongAreNotTakenForAStoreThatWasAway() {
     TargetListUpdater rare = new TargetListUpdater(registry, 12_000);
-    rare.learn(list("e1", "e2"), 0);
-    rare.learn(list("e1", "e2"), 3_600);
-    rare.learn(list("e1"), 7_200);
+    rare.update(list("e1", "e2"), 0);
+    rare.update(list("e1", "e2"), 3_600);
+    rare.update(list("e1"), 7_200);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
   void anOlderListChangesNothing() {
-    keeper.learn(list("e1", "e2"), 5_000);
-    keeper.learn(list("e1", "e2"), 7_500);
-    keeper.learn(list("e1"), 7_400);
+    keeper.update(list("e1", "e2"), 5_000);
+    keeper.update(list("e1", "e2"), 7_500);
+    keeper.update(list("e1"), 7_400);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -164,7 +164,7 @@
                     new HostDirectory.Entry(
                         host.name, new DataCentre(host.dataCentre), host.address, now))
             .toList();
-    hosts.values().forEach(host -> host.directory.learn(entries, now));
+    hosts.values().forEach(host -> host.directory.update(entries, now));
   }
 
   Host host(String name) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -129,7 +129,7 @@
         new StatusServer(loop)
             .page("/metrics", () -> new StatusServer.Page(200, metrics.scrape()))
             .page("/rollouts", this::describeRollouts);
-    metrics.gauge("open_requests", forwarder::openExchanges);
+    metrics.gauge("open_requests", forwarder::openExchangeCount);
     metrics.gauge("caller_connections", callers::openConnections);
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
@@ -139,7 +139,7 @@
     metrics.gauge("poison_requests_suspected", poison::suspected);
     metrics.gauge("poison_requests_held", poison::held);
     metrics.gauge("limited_targets", forwarder.limits().book()::size);
-    metrics.gauge("resting_targets", forwarder.rests()::size);
+    metrics.gauge("resting_targets", forwarder.backoffs()::size);
     metrics.gauge("leaving_targets", () -> targets.leavingTargets().size());
     metrics.gauge("limit_tokens_granted", forwarder.limits()::granted);
     metrics.gauge("limit_tokens_denied", forwarder.limits()::denied);
@@ -149,12 +149,12 @@
   private static ForwardPolicy policy(ForwardSettings.Bounds bounds) {
     ForwardPolicy standard = ForwardPolicy.STANDARD;
     return new ForwardPolicy(
-        standard.unreachableMillis(),
+        standard.probeTimeoutMillis(),
         standard.firstEventProbeMillis(),
         new ForwardPolicy.RetryLimit(
             bounds.retryRatio(), bounds.retrySlack(), bounds.retryWindowMillis()),
         standard.retryAfterMillis(),
-        standard.bufferBytes());
+        standard.maxBufferedBytes());
   }
 
   public ControlThread control() {
@@ -245,7 +245,7 @@
 
   private StatusServer.Page readiness() {
     control.moveClocks();
-    boolean ready = !stopping && configuration.takesKeys();
+    boolean ready = !stopping && configuration.acceptsKeys();
     return ready
         ? new StatusServer.Page(200, "ready\n")
         : new StatusServer.Page(503, "not ready\n");
@@ -274,9 +274,9 @@
               log.event(
                   EventCode.HOST_DRAINING,
                   settings.host(),
-                  "openRequests=" + forwarder.openExchanges());
+                  "openRequests=" + forwarder.openExchangeCount());
               long restUntil = ControlThread.nowMillis() + BALANCER_MILLIS;
-              forwarder.beginStop(restUntil, deadline);
+              forwarder.beginShutdown(restUntil, deadline);
               checkDrained(restUntil, deadline);
             });
     drained.await(settings.bounds().graceMillis(), TimeUnit.MILLISECONDS);
@@ -287,7 +287,7 @@
     if (now >= restUntil) {
       callers.closeResting();
     }
-    boolean done = now >= restUntil && forwarder.openExchanges() == 0;
+    boolean done = now >= restUntil && forwarder.openExchangeCount() == 0;
     if (done || now >= deadline) {
       callers.stopListening();
       control.run(forwarder::stopAll);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
@@ -63,17 +63,17 @@
   }
 
   @Override
-  public void answered(Route route, long millis) {
+  public void recordResponse(Route route, long millis) {
     answered.get(route.kind()).record(millis, TimeUnit.MILLISECONDS);
   }
 
   @Override
-  public void refused(Rejection refusal) {
+  public void recordRejection(Rejection refusal) {
     refused.get(refusal).increment();
   }
 
   @Override
-  public void interrupted(Route route) {
+  public void recordInterruption(Route route) {
     interrupted.get(route.kind()).increment();
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnswerFraming.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnswerFraming.java
@@ -60,7 +60,9 @@
       return isJustChunks(codings) ? Optional.of(ResponseEnd.LAST_CHUNK) : Optional.empty();
     }
     return Optional.of(
-        HttpUtil.isContentLengthSet(head) ? ResponseEnd.LENGTH_REACHED : ResponseEnd.CONNECTION_CLOSED);
+        HttpUtil.isContentLengthSet(head)
+            ? ResponseEnd.LENGTH_REACHED
+            : ResponseEnd.CONNECTION_CLOSED);
   }
 
   /** Returns whether other heads will follow this one before the answer. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerAnswer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerAnswer.java
@@ -21,9 +21,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Set;
-import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
 import org.gatereel.core.forward.Rejection;
+import org.gatereel.core.forward.ResponseHead;
 
 /**
  * Writes the answer to one request of a connection.
@@ -194,7 +194,7 @@
   }
 
   @Override
-  public void refuse(Rejection refusal, long retryAfterMillis) {
+  public void reject(Rejection refusal, long retryAfterMillis) {
     if (over) {
       return;
     }
@@ -215,7 +215,7 @@
     HttpHeaders headers = response.headers();
     headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-    if (refusal.invitesRetry()) {
+    if (refusal.allowsRetry()) {
       headers.set(
           HttpHeaderNames.RETRY_AFTER, Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -60,19 +60,19 @@
     guard.holdBack();
     CallerAnswer mine = new CallerAnswer(this, channel, request, mayStayOpen(request));
     if (request.decoderResult().isFailure()) {
-      mine.refuse(refusal(request.decoderResult().cause()), 0);
+      mine.reject(refusal(request.decoderResult().cause()), 0);
       return;
     }
     if (request.method().equals(HttpMethod.CONNECT)) {
       // What follows a success is a tunnel's bytes, without a frame that would show a cut.
-      mine.refuse(Rejection.MALFORMED, 0);
+      mine.reject(Rejection.MALFORMED, 0);
       return;
     }
     try {
       IncomingRequest incoming = IncomingRequest.read(request, server.names());
       server.control().run(() -> exchange = accept(incoming, mine));
     } catch (MalformedRequestException e) {
-      mine.refuse(Rejection.MALFORMED, 0);
+      mine.reject(Rejection.MALFORMED, 0);
     }
   }
 
@@ -157,7 +157,7 @@
 
   private void startIdleTimer() {
     stopIdleTimer();
-    long millis = server.limits().idleMillis();
+    long millis = server.limits().idleTimeoutMillis();
     idleTimer = channel.eventLoop().schedule(this::closeIfResting, millis, TimeUnit.MILLISECONDS);
   }
 
@@ -173,7 +173,7 @@
     stopIdleTimer();
     server.closed(this);
     requests.drain().forEach(FullHttpRequest::release);
-    exchange.ifPresent(open -> server.control().run(open::callerGone));
+    exchange.ifPresent(open -> server.control().run(open::onCallerDisconnected));
     exchange = Optional.empty();
     super.channelInactive(context);
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
@@ -80,15 +80,15 @@
 
   private void accept(Channel channel) {
     InboundLimits limits = limits();
-    SlowHeadGuard guard = new SlowHeadGuard(limits.headMillis());
+    SlowHeadGuard guard = new SlowHeadGuard(limits.headTimeoutMillis());
     CallerConnection connection = new CallerConnection(this, channel, guard);
     connections.add(connection);
     channel
         .pipeline()
         .addLast(guard)
-        .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), LARGEST_CHUNK))
+        .addLast(new HttpServerCodec(limits.maxHeadBytes(), limits.maxHeadBytes(), LARGEST_CHUNK))
         .addLast(new SlowHeadGuard.HeadSeen())
-        .addLast(new RequestAggregator(limits.bodyBytes(), connection::isAnswering))
+        .addLast(new RequestAggregator(limits.maxBodyBytes(), connection::isAnswering))
         .addLast(connection);
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -8,8 +8,8 @@
 import java.net.ConnectException;
 import java.util.OptionalLong;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.ProbeResult;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.statement.Statement;
@@ -73,7 +73,7 @@
     answered = true;
     said = StatementHeaders.read(head, dialect.headers());
     if (isKnownByName()) {
-      listener.heard(said);
+      listener.onAnnouncements(said);
       conclude(ProbeResult.ALIVE);
     }
   }
@@ -94,21 +94,22 @@
     boolean same = report.born().equals(OptionalLong.of(probed.born()));
     if (same) {
       Statements all = said.withUnknownFields(report.unknown());
-      listener.heard(report.leaving() ? all.withLeaving(new Statement.Said<>(true)) : all);
+      listener.onAnnouncements(
+          report.leaving() ? all.withLeaving(new Statement.Said<>(true)) : all);
     }
     if (report.born().isEmpty()) {
-      listener.probed(ProbeResult.ANSWERED);
+      listener.onResult(ProbeResult.ANSWERED);
     } else {
-      listener.probed(same ? ProbeResult.ALIVE : ProbeResult.GONE);
+      listener.onResult(same ? ProbeResult.ALIVE : ProbeResult.GONE);
     }
   }
 
   @Override
   void onFailure(TargetFailure failure) {
     if (answered) {
-      listener.probed(ProbeResult.ANSWERED);
+      listener.onResult(ProbeResult.ANSWERED);
     } else {
-      listener.probed(refused ? ProbeResult.GONE : ProbeResult.UNKNOWN);
+      listener.onResult(refused ? ProbeResult.GONE : ProbeResult.UNKNOWN);
     }
   }
 
@@ -118,6 +119,6 @@
 
   private void conclude(ProbeResult result) {
     forget();
-    listener.probed(result);
+    listener.onResult(result);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
@@ -25,31 +25,31 @@
 
   @Override
   boolean mayBeSent() {
-    return listener.mayBeSent();
+    return listener.maySend();
   }
 
   @Override
   void onConnected() {
-    listener.sent();
+    listener.onSent();
   }
 
   @Override
   void onHead(HttpResponse head) {
-    listener.answered(reader.apply(head));
+    listener.onHead(reader.apply(head));
   }
 
   @Override
   void onBody(byte[] bytes) {
-    listener.received(bytes);
+    listener.onBody(bytes);
   }
 
   @Override
   void onEnd(ResponseEnd end) {
-    listener.ended(end);
+    listener.onEnd(end);
   }
 
   @Override
   void onFailure(TargetFailure failure) {
-    listener.failed(failure);
+    listener.onFailure(failure);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
@@ -13,10 +13,10 @@
 record TargetHead(
     HttpResponseStatus line,
     HttpHeaders headers,
-    boolean declaresNotRun,
+    boolean declaresNotExecuted,
     boolean isAuthentic,
     boolean isEventStream,
-    Statements statements)
+    Statements announcements)
     implements ResponseHead {
   private static final String EVENT_STREAM = "text/event-stream";
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
@@ -25,7 +25,8 @@
   }
 
   /** Asks a host for what it has; the answer is empty if there is none in time. */
-  public void ask(Address host, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
+  public void ask(
+      Address host, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
     if (!host.equals(peer)) {
       close();
       client = new DocumentClient(loop, host);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
@@ -62,7 +62,7 @@
         had ? Optional.empty() : Optional.of(document.content()),
         document.digest(),
         document.version(),
-        now - document.provenAt());
+        now - document.confirmedAt());
   }
 
   /** Reads an answer; empty if it is none. */
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
@@ -96,7 +96,7 @@
     answer.abort();
     answer.write(bytes("id: 2\n\n"));
     answer.finish();
-    answer.refuse(Rejection.TIMED_OUT, 0);
+    answer.reject(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
@@ -106,7 +106,7 @@
   void breaksOffInPlaceOfARefusalAfterAHead() {
     CallerAnswer answer = beginStream();
     written();
-    answer.refuse(Rejection.TIMED_OUT, 0);
+    answer.reject(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
@@ -117,7 +117,7 @@
     CallerAnswer answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, false));
     answer.write(bytes("half"));
-    answer.refuse(Rejection.TARGET_FAILED, 0);
+    answer.reject(Rejection.TARGET_FAILED, 0);
     answer.finish();
     String text = written();
 
@@ -133,7 +133,7 @@
     written();
     answer.write(bytes("id: 2\n\n"));
     answer.finish();
-    answer.refuse(Rejection.TIMED_OUT, 0);
+    answer.reject(Rejection.TIMED_OUT, 0);
 
     assertEquals("", written());
   }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
@@ -21,10 +21,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.ResponseEnd;
-import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.Dispatch;
 import org.gatereel.core.forward.ProbeResult;
+import org.gatereel.core.forward.ResponseEnd;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.Address;
@@ -115,28 +115,28 @@
     }
 
     @Override
-    public boolean mayBeSent() {
+    public boolean maySend() {
       return wanted;
     }
 
     @Override
-    public void sent() {}
+    public void onSent() {}
 
     @Override
-    public void answered(ResponseHead head) {
+    public void onHead(ResponseHead head) {
       answered.countDown();
     }
 
     @Override
-    public void received(byte[] bytes) {}
+    public void onBody(byte[] bytes) {}
 
     @Override
-    public void ended(ResponseEnd end) {
+    public void onEnd(ResponseEnd end) {
       outcome.complete(end.name());
     }
 
     @Override
-    public void failed(TargetFailure failure) {
+    public void onFailure(TargetFailure failure) {
       outcome.complete(failure.name());
     }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
@@ -20,8 +20,8 @@
   @Test
   void aCutAnswerOfAnotherHostIsNone() {
     DocumentCache known = new DocumentCache();
-    known.take(new SharedDocument(DocumentKind.CONFIGURATION, "{\"values\":{}}", "d1", 3, NOW));
-    known.take(new SharedDocument(DocumentKind.TARGETS, "{\"values\":{}}", "d2", 4, NOW));
+    known.update(new SharedDocument(DocumentKind.CONFIGURATION, "{\"values\":{}}", "d1", 3, NOW));
+    known.update(new SharedDocument(DocumentKind.TARGETS, "{\"values\":{}}", "d2", 4, NOW));
     byte[] answer =
         PeerDocuments.answer(PeerDocuments.PATH, known, NOW).getBytes(StandardCharsets.UTF_8);
     assertEquals(2, PeerDocuments.read(answer).orElseThrow().size());
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/CallerModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/CallerModel.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
 import org.gatereel.core.forward.Exchange;
 import org.gatereel.core.forward.ForwardRequest;
 import org.gatereel.core.forward.Rejection;
+import org.gatereel.core.forward.ResponseHead;
 
 /** One caller with one request: it comes back once, at another host of its data centre. */
 final class CallerModel {
@@ -212,11 +212,11 @@
     }
 
     @Override
-    public void refuse(Rejection refusal, long retryAfterMillis) {
+    public void reject(Rejection refusal, long retryAfterMillis) {
       ended = true;
       refusals++;
       heldBack |= refusal == Rejection.HELD_BACK;
-      if (refusal.invitesRetry()) {
+      if (refusal.allowsRetry()) {
         comeBack(retryAfterMillis);
       } else {
         over = true;
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -8,8 +8,6 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.ResponseEnd;
-import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.CallerPort;
 import org.gatereel.core.forward.Configuration;
 import org.gatereel.core.forward.ConfigurationHolder;
@@ -22,6 +20,8 @@
 import org.gatereel.core.forward.HostDirectory;
 import org.gatereel.core.forward.ProbeResult;
 import org.gatereel.core.forward.Rejection;
+import org.gatereel.core.forward.ResponseEnd;
+import org.gatereel.core.forward.ResponseHead;
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.internal.CoreContext;
@@ -106,9 +106,9 @@
   void start(Configuration configuration, List<HostDirectory.Entry> hosts, HostList list) {
     step(
         () -> {
-          keeper.learn(configuration, context.now());
+          keeper.update(configuration, context.now());
           for (int reading = 0; reading < 3; reading++) {
-            directory.learn(hosts, context.now());
+            directory.update(hosts, context.now());
           }
           targets.see(list);
           loads.start();
@@ -127,7 +127,7 @@
   }
 
   void callerGone(Exchange exchange) {
-    step(exchange::callerGone);
+    step(exchange::onCallerDisconnected);
   }
 
   private static final class Holder<T> {
@@ -207,13 +207,13 @@
 
   private static final class Observer implements ForwardObserver {
     @Override
-    public void answered(Route route, long millis) {}
+    public void recordResponse(Route route, long millis) {}
 
     @Override
-    public void refused(Rejection refusal) {}
+    public void recordRejection(Rejection refusal) {}
 
     @Override
-    public void interrupted(Route route) {}
+    public void recordInterruption(Route route) {}
   }
 
   /** The way to the modelled engines. */
@@ -235,7 +235,7 @@
           result == ProbeResult.UNKNOWN
               ? timeoutMillis * 1_000
               : 2 * world.network().delayMicros(dataCentre(), target.dataCentre());
-      time.after(delay, () -> step(() -> listener.probed(result)));
+      time.after(delay, () -> step(() -> listener.onResult(result)));
     }
 
     /** Where nobody listens a connection is reset, and another run says that it is another. */
@@ -263,7 +263,7 @@
   }
 
   private record Head(
-      int status, boolean declaresNotRun, boolean isEventStream, Statements statements)
+      int status, boolean declaresNotExecuted, boolean isEventStream, Statements announcements)
       implements ResponseHead {
     @Override
     public boolean isAuthentic() {
@@ -313,7 +313,7 @@
     private void resetIfUnreachable() {
       if (!over && !isReached()) {
         cancel();
-        step(() -> listener.failed(sent ? TargetFailure.RESET : TargetFailure.NOT_CONNECTED));
+        step(() -> listener.onFailure(sent ? TargetFailure.RESET : TargetFailure.NOT_CONNECTED));
       }
     }
 
@@ -338,14 +338,14 @@
     }
 
     private void sendIfWanted() {
-      if (!listener.mayBeSent()) {
+      if (!listener.maySend()) {
         over = true;
-        listener.failed(TargetFailure.WITHDRAWN);
+        listener.onFailure(TargetFailure.WITHDRAWN);
         return;
       }
       sent = true;
       sentAt = time.millis();
-      listener.sent();
+      listener.onSent();
       time.after(delay(), this::arrive);
     }
 
@@ -397,7 +397,7 @@
     private void fail(TargetFailure failure) {
       if (!over) {
         over = true;
-        step(() -> listener.failed(failure));
+        step(() -> listener.onFailure(failure));
       }
     }
 
@@ -414,14 +414,14 @@
           () -> {
             limit.ifPresent(named -> named.told(address, time.millis()));
             saying.ifPresent(word -> word.told(address, time.millis()));
-            listener.answered(new Head(status, notRun, stream, said));
+            listener.onHead(new Head(status, notRun, stream, said));
           });
     }
 
     @Override
     public void event(long id) {
       byte[] bytes = ReplayWorld.eventBytes(id);
-      back(() -> listener.received(bytes));
+      back(() -> listener.onBody(bytes));
     }
 
     @Override
@@ -429,7 +429,7 @@
       back(
           () -> {
             over = true;
-            listener.ended(ResponseEnd.LAST_CHUNK);
+            listener.onEnd(ResponseEnd.LAST_CHUNK);
           });
     }
 
@@ -438,7 +438,7 @@
       back(
           () -> {
             over = true;
-            listener.failed(TargetFailure.RESET);
+            listener.onFailure(TargetFailure.RESET);
           });
     }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
@@ -143,7 +143,8 @@
                     Optional.of(new ServiceConfiguration.EngineConfiguration(CACHE_TOKENS, true))));
     for (int account = 0; account < script.accounts(); account++) {
       builder.add(
-          new AccountConfiguration(new AccountId("account-" + account), Set.of(key(account)), PRIORITY));
+          new AccountConfiguration(
+              new AccountId("account-" + account), Set.of(key(account)), PRIORITY));
     }
     return builder.build();
   }
