--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
@@ -36,7 +36,7 @@
     record Allowed(Configuration configuration, Route route, Optional<AccountId> account)
         implements Lookup {}
 
-    record Denied(Rejection refusal) implements Lookup {}
+    record Denied(Rejection rejection) implements Lookup {}
   }
 
   public ConfigurationHolder(CoreContext context, Bounds bounds) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -127,7 +127,7 @@
       exchange.start();
       return Optional.of(exchange);
     }
-    reject(request, caller, ((ConfigurationHolder.Lookup.Denied) found).refusal());
+    reject(request, caller, ((ConfigurationHolder.Lookup.Denied) found).rejection());
     return Optional.empty();
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
@@ -12,7 +12,7 @@
 
   private Object refusal(String path, Optional<String> key) {
     return keeper.lookUp("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
-        ? denied.refusal()
+        ? denied.rejection()
         : "allowed";
   }
 
