--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -54,7 +54,7 @@
     return continuation;
   }
 
-  /** Returns whether the request may have reached the target. */
+  /** Returns whether the target may have started to execute the request. */
   boolean mayHaveExecuted() {
     return sent;
   }
@@ -177,7 +177,7 @@
     return taken;
   }
 
-  /** Returns when the target last sent data of this attempt. */
+  /** Returns when the target last sent data of this attempt, or when the attempt started. */
   long lastDataAt() {
     return lastDataAt;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
@@ -4,8 +4,10 @@
  * Sends the response of one request to its caller. Each request ends with exactly one final call.
  */
 public interface CallerPort {
+  /** Starts the response by sending its head. */
   void begin(ResponseHead head);
 
+  /** Sends part of the body. */
   void write(byte[] bytes);
 
   /** Ends the response as complete. Final. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Starts a configuration of the given version. */
+  /** Returns a builder for a configuration of the given version. */
   public static Builder builder(long version) {
     return new Builder(version);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
@@ -47,7 +47,7 @@
 
   /** Returns the copy that the last attempt left, if its holder accepts requests, and clears it. */
   Optional<MemoryCopy> takeCopy() {
-    Optional<MemoryCopy> taken =
+    Optional<MemoryCopy> copy =
         leftCopyAddress
             .flatMap(address -> forwarder.targets().at(service, address))
             .filter(state -> state.seenAt() <= leftCopyAt)
@@ -55,7 +55,7 @@
             .filter(state -> forwarder.backoffs().millisTo(state.description().id()) == 0)
             .map(state -> new MemoryCopy(state, request.id()));
     leftCopyAddress = Optional.empty();
-    return taken;
+    return copy;
   }
 
   /** Stops counting the copy at its holder. */
@@ -63,9 +63,9 @@
     setHolder(Optional.empty());
   }
 
-  private void setHolder(Optional<TargetState> next) {
+  private void setHolder(Optional<TargetState> newHolder) {
     holder.ifPresent(state -> state.noteCopies(-1));
-    next.ifPresent(state -> state.noteCopies(1));
-    holder = next;
+    newHolder.ifPresent(state -> state.noteCopies(1));
+    holder = newHolder;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentCache.java
@@ -21,6 +21,10 @@
     OUTDATED
   }
 
+  /**
+   * Stores a document unless a newer version is known. If the content is known, only the version
+   * and the confirmation time are updated.
+   */
   public UpdateResult update(SharedDocument document) {
     SharedDocument known = documents.get(document.kind());
     if (known != null && known.digest().equals(document.digest())) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -73,9 +73,9 @@
     private final Set<DocumentKind> requestedOnDemand = EnumSet.noneOf(DocumentKind.class);
     private String problem = "";
 
-    private Round(long queriedAt, Poller.Completion reply) {
+    private Round(long queriedAt, Poller.Completion completion) {
       this.queriedAt = queriedAt;
-      this.completion = reply;
+      this.completion = completion;
     }
 
     private void start() {
@@ -226,12 +226,12 @@
       DocumentCache cache,
       DocumentSources sources,
       long boundMillis,
-      BiConsumer<SharedDocument, DocumentCache.UpdateResult> taken) {
+      BiConsumer<SharedDocument, DocumentCache.UpdateResult> updateListener) {
     this.context = context;
     this.directory = directory;
     this.cache = cache;
     this.sources = sources;
-    this.updateListener = taken;
+    this.updateListener = updateListener;
     this.freshMillis = (long) (FRESHNESS_RATIO * boundMillis);
     this.readerIntervalMillis = (long) (READER_INTERVAL_RATIO * boundMillis);
     this.followerIntervalMillis = (long) (FOLLOWER_INTERVAL_RATIO * boundMillis);
@@ -247,8 +247,8 @@
   }
 
   /** Refreshes all documents; to be called by a {@link Poller}. */
-  public void refresh(long queriedAt, Poller.Completion reply) {
-    new Round(queriedAt, reply).start();
+  public void refresh(long queriedAt, Poller.Completion completion) {
+    new Round(queriedAt, completion).start();
   }
 
   /** Returns the interval from the start of one refresh to the next. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -17,7 +17,7 @@
  * One request from its admission to the end of its response.
  *
  * <p>At most one attempt is open at a time; its connection is closed before the next attempt
- * starts. Only this class decides whether a request is retried.
+ * starts. {@link RetryController} decides whether a request is retried.
  */
 public final class Exchange {
   private final Forwarder forwarder;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ForwardPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ForwardPolicy.java
@@ -33,8 +33,8 @@
   private static final double PROBE_DELAY_RATIO = 0.3;
 
   /**
-   * A stream that is silent for this multiple of that pause is moved even if the target responds to
-   * probes.
+   * A stream that pauses for this multiple of the longest pause that meets the objective is moved,
+   * even if the target responds to probes.
    */
   private static final double STALL_TIMEOUT_RATIO = 3;
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -204,8 +204,9 @@
   }
 
   /**
-   * Returns the host that grants retries to the hosts of this data centre, and reads the store for
-   * them after the common reader; empty if it is this one. Avoided hosts are skipped.
+   * Returns the host that grants retries to the hosts of this data centre, and that reads the store
+   * for them if the global reader does not respond; empty if it is this one. Avoided hosts are
+   * skipped.
    */
   public Optional<Address> issuer(long now) {
     return before().stream().filter(address -> !isAvoided(address, now)).findFirst();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
@@ -14,12 +14,13 @@
 final class ObservingTargetPort implements TargetPort {
   private final CoreContext context;
   private final TargetPort port;
-  private final AnnouncementReceiver statements;
+  private final AnnouncementReceiver announcementReceiver;
 
-  ObservingTargetPort(CoreContext context, TargetPort port, AnnouncementReceiver statements) {
+  ObservingTargetPort(
+      CoreContext context, TargetPort port, AnnouncementReceiver announcementReceiver) {
     this.context = context;
     this.port = port;
-    this.statements = statements;
+    this.announcementReceiver = announcementReceiver;
   }
 
   @Override
@@ -36,7 +37,7 @@
         new ProbeListener() {
           @Override
           public void onAnnouncements(Statements announcements) {
-            statements.receive(target, announcements, sentAt);
+            announcementReceiver.receive(target, announcements, sentAt);
           }
 
           @Override
@@ -57,7 +58,7 @@
         target,
         timeoutMillis,
         announcements -> {
-          statements.receive(target, announcements, sentAt);
+          announcementReceiver.receive(target, announcements, sentAt);
           announcementListener.accept(announcements);
         },
         callback);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -9,10 +9,10 @@
  * Finds the target of each attempt of one request, and acquires a token for targets that limit
  * their request rate.
  *
- * <p>Acquiring a token may involve another host. When the result arrives, the caller may have
- * left, or the target may no longer be usable; the token is then returned. Targets
- * without tokens and targets that are backing off are skipped. If none is left, the
- * request waits for a limited time and is then rejected.
+ * <p>Acquiring a token may involve another host. When the result arrives, the caller may have left,
+ * or the target may no longer be usable; the token is then returned. Targets without tokens and
+ * targets that are backing off are skipped. If none is left, the request waits for a limited time
+ * and is then rejected.
  */
 final class Placement {
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
@@ -101,9 +101,9 @@
    * Runs a step now; but if one more crash could quarantine the request, only after a probe of the
    * last target.
    */
-  void beforeNextAttempt(Attempt last, Runnable step) {
+  void beforeNextAttempt(Attempt lastAttempt, Runnable step) {
     if (poison.isInDoubt(fingerprint)) {
-      forwarder.exitDetector().afterFirstProbe(last.target(), step);
+      forwarder.exitDetector().afterFirstProbe(lastAttempt.target(), step);
     } else {
       step.run();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -48,12 +48,11 @@
    *
    * @param intervalMillis returns the interval from the start of one query to the next
    */
-  public Poller(
-      CoreContext context, String dependency, LongSupplier intervalMillis, Query question) {
+  public Poller(CoreContext context, String dependency, LongSupplier intervalMillis, Query query) {
     this.context = context;
     this.dependency = dependency;
     this.intervalMillis = intervalMillis;
-    this.query = question;
+    this.query = query;
   }
 
   /** Sends the first query. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
@@ -96,8 +96,9 @@
   }
 
   /**
-   * Probes again, at the earliest when the last probe's timeout is over. If the request can move to
-   * another target, only a limited number of probes are sent.
+   * Probes again, but not before the last probe's timeout is over. If the request can move to
+   * another target, the number of probes is limited; otherwise they continue until the request's
+   * deadline.
    */
   private void probeAgainOrFail(Attempt from, int number, long nextAt) {
     if (exchange.canMove() && number >= MAX_PROBES_OF_MOVABLE) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
@@ -8,6 +8,7 @@
   /** The status of a target that was not the intended recipient. */
   int MISDIRECTED = 421;
 
+  /** Returns the HTTP status. */
   int status();
 
   /** Returns whether the target declares that it did not execute the request and never will. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -77,12 +77,12 @@
       directory
           .issuer(context.now())
           .ifPresentOrElse(
-              lender ->
+              issuer ->
                   port.borrow(
-                      lender,
+                      issuer,
                       new LoanSubject.Repeats(service),
                       count,
-                      loan -> onTokensGranted(count, loan.orElse(Loan.NONE).granted())),
+                      grant -> onTokensGranted(count, grant.orElse(Loan.NONE).granted())),
               () -> onTokensGranted(count, issue(count)));
     }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryController.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryController.java
@@ -10,7 +10,7 @@
   private final ExchangeLog log;
   private final Route route;
   private final ServiceName service;
-  private final CallerResponse reply;
+  private final CallerResponse callerResponse;
   private final StreamRelay relay;
   private final long deadline;
   private final AttemptCounter attemptCounter = new AttemptCounter();
@@ -27,7 +27,7 @@
       ExchangeLog log,
       Route route,
       ServiceName service,
-      CallerResponse reply,
+      CallerResponse callerResponse,
       StreamRelay relay,
       long deadline) {
     this.forwarder = forwarder;
@@ -35,7 +35,7 @@
     this.log = log;
     this.route = route;
     this.service = service;
-    this.reply = reply;
+    this.callerResponse = callerResponse;
     this.relay = relay;
     this.deadline = deadline;
   }
@@ -53,7 +53,7 @@
   /** Returns whether another target can resume the stream that the caller has part of. */
   boolean isResumableStream() {
     boolean resumable = route.kind() == RouteKind.STREAM && route.resumable();
-    return resumable && !reply.isCommitted() && relay.canResumeElsewhere();
+    return resumable && !callerResponse.isCommitted() && relay.canResumeElsewhere();
   }
 
   /** Retries after a failed attempt if allowed, otherwise ends the request. */
@@ -61,7 +61,7 @@
     if (exchange.isFinished()) {
       return;
     }
-    if (reply.hasBegun() && !isResumableStream()) {
+    if (callerResponse.hasBegun() && !isResumableStream()) {
       exchange.abortResponse("ANSWER_BROKEN");
     } else if (mayHaveExecuted && !mayExecuteAgain()) {
       exchange.failRequest(Rejection.TARGET_FAILED);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryWindow.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryWindow.java
@@ -6,8 +6,8 @@
  * Counts the requests and the retries of one service over a sliding window.
  *
  * <p>The window is divided into slices, the newest of which is incomplete. Retries are counted over
- * at least the window and requests over at most the window, each off by at most one slice, so the
- * bound holds for every interval of the window's length.
+ * up to one slice more than the window, requests over up to one slice less, so the bound holds for
+ * every interval of the window's length.
  */
 final class RetryWindow {
   private static final int SLICES = 20;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -7,9 +7,9 @@
 /**
  * Forwards the events of a stream to the caller, each once and in order, across attempts.
  *
- * <p>Event ids increase by one, from any first id. Events that an attempt repeats are dropped. An
- * event out of sequence, or after a gap for the caller, fails the attempt. After an event without
- * an id the stream cannot be resumed.
+ * <p>Event ids increase by one, starting at any id. Events that the caller already has are dropped.
+ * An event that is out of sequence, or that would leave a gap for the caller, fails the attempt.
+ * After an event without an id the stream cannot be resumed.
  */
 final class StreamRelay {
   private static final int MAX_EVENT_BYTES = 1 << 20;
@@ -17,7 +17,7 @@
   private final Exchange exchange;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final CallerResponse reply;
+  private final CallerResponse callerResponse;
   private final Route route;
   private OptionalLong lastEventId;
   private boolean hasForwarded;
@@ -28,12 +28,12 @@
       Exchange exchange,
       CoreContext context,
       ForwardRequest request,
-      CallerResponse reply,
+      CallerResponse callerResponse,
       Route route) {
     this.exchange = exchange;
     this.context = context;
     this.request = request;
-    this.reply = reply;
+    this.callerResponse = callerResponse;
     this.route = route;
     this.lastEventId = request.lastEventId();
   }
@@ -44,16 +44,16 @@
 
   /** Returns whether another target could resume the stream without a lost or repeated event. */
   boolean canResumeElsewhere() {
-    boolean hasNoEventsYet = reply.hasBegun() && !hasForwarded;
+    boolean hasNoEventsYet = callerResponse.hasBegun() && !hasForwarded;
     return !hasEventWithoutId && (lastEventId.isPresent() || hasNoEventsYet);
   }
 
   /** Returns whether an attempt's events end before the last event that the caller has. */
   boolean isCallerAheadOf(Attempt attempt) {
-    OptionalLong last = attempt.lastReceivedEventId();
-    return last.isPresent()
+    OptionalLong lastReceived = attempt.lastReceivedEventId();
+    return lastReceived.isPresent()
         && lastEventId.isPresent()
-        && last.getAsLong() < lastEventId.getAsLong();
+        && lastReceived.getAsLong() < lastEventId.getAsLong();
   }
 
   /**
@@ -121,9 +121,9 @@
   }
 
   private void forward(Attempt from, StreamEvent event) {
-    boolean first = !from.hasForwardedEvents();
+    boolean isFirst = !from.hasForwardedEvents();
     from.recordForwarded();
-    if (first) {
+    if (isFirst) {
       exchange.onFirstEvent(from);
     }
     if (event.id().isPresent()) {
@@ -140,21 +140,21 @@
   }
 
   private void write(Attempt from, StreamEvent event) {
-    reply.begin(from.head());
-    reply.write(event.bytes());
+    callerResponse.begin(from.head());
+    callerResponse.write(event.bytes());
   }
 
   /** Logs a pause that exceeds the route's objective, with its probable causes. */
   private void logPause(Attempt from) {
-    long pause = context.now() - forwardedAt;
-    if (route.gapObjectiveMillis() <= 0 || pause <= route.gapObjectiveMillis()) {
+    long pauseMillis = context.now() - forwardedAt;
+    if (route.gapObjectiveMillis() <= 0 || pauseMillis <= route.gapObjectiveMillis()) {
       return;
     }
     context.note(
         EventCode.STREAM_PAUSED,
         request.id(),
         "pauseMillis="
-            + pause
+            + pauseMillis
             + " moved="
             + (from.startedAt() > forwardedAt)
             + " fromCopy="
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
@@ -83,11 +83,11 @@
    * @param probeTimeoutMillis the timeout of a probe
    */
   TargetExitDetector(
-      CoreContext context, TargetPort port, PoisonControl poison, long patienceMillis) {
+      CoreContext context, TargetPort port, PoisonControl poison, long probeTimeoutMillis) {
     this.context = context;
     this.port = port;
     this.poison = poison;
-    this.probeTimeoutMillis = patienceMillis;
+    this.probeTimeoutMillis = probeTimeoutMillis;
   }
 
   /** Records that an execution sent at {@code sentAt} failed just after its start. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
@@ -42,8 +42,10 @@
     /** The connection is open and the request is being sent, so the target may execute it. */
     void onSent();
 
+    /** The response head was received. */
     void onHead(ResponseHead head);
 
+    /** Part of the response body was received. */
     void onBody(byte[] bytes);
 
     /** The response has ended; {@code end} is how the transport detected it. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -45,7 +45,9 @@
         route.kind() == RouteKind.STREAM
             && engine.map(ServiceConfiguration.EngineConfiguration::copiesMemory).orElse(false);
     int fitting =
-        engine.map(plan -> plan.fittingRequests(request.promptTokens())).orElse(Integer.MAX_VALUE);
+        engine
+            .map(configuration -> configuration.fittingRequests(request.promptTokens()))
+            .orElse(Integer.MAX_VALUE);
     this.query = new TargetQuery(service, Optional.empty(), fitting);
   }
 
