--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -6,8 +6,8 @@
 import org.gatereel.core.overload.OverloadControl;
 import org.gatereel.core.overload.Verdict;
 
-/** One request's way through the {@link OverloadControl}, before anything of it is sent. */
-final class Turn {
+/** Submits one request to {@link OverloadControl} and waits until it is admitted or rejected. */
+final class AdmissionWait {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final ExchangeLog log;
@@ -15,7 +15,7 @@
   private TimerQueue.Timer timer;
   private boolean waiting;
 
-  Turn(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
+  AdmissionWait(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.log = log;
@@ -23,42 +23,43 @@
   }
 
   /**
-   * Asks for a turn.
+   * Submits the request.
    *
-   * @param resumed whether the caller has part of the answer; such a request goes before all others
+   * @param resumed whether the caller already has part of the stream; such a request is sent
+   *     without waiting
    */
   void begin(boolean resumed) {
     Verdict verdict = forwarder.overload().arrive(arrival);
     if (verdict instanceof Verdict.Wait wait) {
       waiting = true;
-      log.note(EventCode.REQUEST_QUEUED, wait.inputs());
+      log.log(EventCode.REQUEST_QUEUED, wait.inputs());
     }
-    follow(resumed ? new Verdict.Send() : verdict);
+    apply(resumed ? new Verdict.Send() : verdict);
   }
 
-  private void follow(Verdict verdict) {
+  private void apply(Verdict verdict) {
     if (verdict instanceof Verdict.Wait wait) {
-      timer = forwarder.context().after(wait.retryMillis(), this::askAgain);
+      timer = forwarder.context().after(wait.retryMillis(), this::recheck);
       return;
     }
     end();
     if (verdict instanceof Verdict.Refuse refuse) {
-      exchange.refuse(Refusal.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
+      exchange.reject(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
     } else {
-      exchange.admitted();
+      exchange.onAdmitted();
     }
   }
 
-  private void askAgain() {
+  private void recheck() {
     if (forwarder.isStopping()) {
       end();
-      exchange.stop();
+      exchange.endForShutdown();
     } else {
-      follow(forwarder.overload().askAgain(arrival));
+      apply(forwarder.overload().askAgain(arrival));
     }
   }
 
-  /** Waits no longer; harmless when repeated. */
+  /** Ends the wait; safe to call more than once. */
   void end() {
     if (waiting) {
       waiting = false;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.target.TargetState;
 
-/** One try of an exchange at one target, as far as it has come. */
+/** One attempt of an exchange: one request sent to one target, and its progress. */
 final class Attempt implements TargetPort.Listener {
   private static final int OK_STATUS = 200;
 
@@ -16,29 +16,29 @@
   private final EventStreamReader events = new EventStreamReader();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private TargetPort.Call call;
-  private AnswerHead head;
+  private ResponseHead head;
   private OptionalLong headAt = OptionalLong.empty();
-  private AnswerEnd end;
+  private ResponseEnd end;
   private long endedAt;
   private boolean probed;
   private boolean sent;
   private boolean closed;
-  private long eventCount;
-  private OptionalLong lastOfRun = OptionalLong.empty();
-  private boolean reading;
-  private long lastSignAt;
-  private OptionalLong paceFrom = OptionalLong.empty();
+  private long forwardedEventCount;
+  private OptionalLong lastReceivedEventId = OptionalLong.empty();
+  private boolean prefilling;
+  private long lastDataAt;
+  private OptionalLong paceStartedAt = OptionalLong.empty();
 
   Attempt(Exchange exchange, TargetState target, boolean continuation, long now) {
     this.exchange = exchange;
     this.startedAt = now;
     this.target = target;
     this.continuation = continuation;
-    this.lastSignAt = now;
+    this.lastDataAt = now;
   }
 
-  void started(TargetPort.Call started) {
-    call = started;
+  void setCall(TargetPort.Call newCall) {
+    call = newCall;
   }
 
   long startedAt() {
@@ -49,13 +49,13 @@
     return target;
   }
 
-  /** Returns whether this attempt goes on from a copy of an earlier run's memory. */
+  /** Returns whether this attempt continues from a copy of an earlier execution's memory. */
   boolean isContinuation() {
     return continuation;
   }
 
-  /** Returns whether the target may have begun to run the request. */
-  boolean mayHaveRun() {
+  /** Returns whether the target may have started to execute the request. */
+  boolean mayHaveExecuted() {
     return sent;
   }
 
@@ -63,28 +63,26 @@
     return closed;
   }
 
-  AnswerHead head() {
+  ResponseHead head() {
     return head;
   }
 
-  /** Notes that the answer's head is here. */
-  void noteHead(long now) {
+  void recordHead(long now) {
     headAt = OptionalLong.of(now);
   }
 
-  /** Returns when the answer's head came, by which a run had begun. */
+  /** Returns when the response head arrived, which shows that execution had started. */
   OptionalLong headAt() {
     return headAt;
   }
 
-  /** Notes that the answer is at its end. */
-  void noteEnd(AnswerEnd how, long now) {
-    end = how;
+  void recordEnd(ResponseEnd responseEnd, long now) {
+    end = responseEnd;
     endedAt = now;
   }
 
-  /** Notes that the target was probed for whether the end of its connection was its own. */
-  void noteProbed() {
+  /** Records that the target was probed after the response's connection closed. */
+  void recordProbed() {
     probed = true;
   }
 
@@ -92,8 +90,7 @@
     return probed;
   }
 
-  /** Returns how the transport knew that the answer was at its end. */
-  AnswerEnd end() {
+  ResponseEnd end() {
     return end;
   }
 
@@ -109,143 +106,145 @@
     return body;
   }
 
-  /** Hands over the head, and what has come of the body since the last call. */
-  Answer takeAnswer() {
+  /** Returns the head and the buffered part of the body, and clears the buffer. */
+  TargetResponse takeResponse() {
     byte[] taken = body.toByteArray();
     body.reset();
-    return new Answer(head, taken);
+    return new TargetResponse(head, taken);
   }
 
-  /** Returns whether the target's answer is a stream of events. */
-  boolean answersWithStream() {
+  /** Returns whether the response is a successful event stream. */
+  boolean isEventStream() {
     return head.isEventStream() && head.status() == OK_STATUS;
   }
 
-  /** Returns whether the target has made events of the stream in this attempt. */
-  boolean hasEvents() {
-    return eventCount > 0;
+  /** Returns whether events of this attempt were forwarded to the caller. */
+  boolean hasForwardedEvents() {
+    return forwardedEventCount > 0;
   }
 
-  /** Returns whether any event came in this attempt, also one that the caller had. */
-  boolean hasCome() {
-    return lastOfRun.isPresent() || hasEvents();
+  /** Returns whether any event was received, including those that the caller already had. */
+  boolean hasReceivedEvents() {
+    return lastReceivedEventId.isPresent() || hasForwardedEvents();
   }
 
-  /** Returns how many events of this attempt the caller was given. */
-  long eventCount() {
-    return eventCount;
+  long forwardedEventCount() {
+    return forwardedEventCount;
   }
 
-  /** Returns the id of the last event that came in this attempt, also if the caller had it. */
-  OptionalLong lastOfRun() {
-    return lastOfRun;
+  /** Returns the id of the last event received, even if the caller already had it. */
+  OptionalLong lastReceivedEventId() {
+    return lastReceivedEventId;
   }
 
-  /** Notes an event of this attempt that has an id. */
-  void noteCame(long id) {
-    lastOfRun = OptionalLong.of(id);
+  /** Records an event that has an id. */
+  void recordReceived(long id) {
+    lastReceivedEventId = OptionalLong.of(id);
   }
 
-  void notePassed() {
-    eventCount++;
-    endReading();
+  void recordForwarded() {
+    forwardedEventCount++;
+    endPrefill();
   }
 
-  /** Notes that the target has a prompt to read before it answers, unless it has it in a copy. */
-  void beginReading() {
+  /**
+   * Records that the target must process the prompt first, unless this attempt continues from a
+   * copy.
+   */
+  void beginPrefill() {
     if (!continuation) {
-      reading = true;
+      prefilling = true;
       target.noteReading(1);
     }
   }
 
-  private void endReading() {
-    if (reading) {
-      reading = false;
+  private void endPrefill() {
+    if (prefilling) {
+      prefilling = false;
       target.noteReading(-1);
     }
   }
 
-  /** Notes when the first event came, from which the pace of the others is taken. */
-  void notePaceFrom(long now) {
-    paceFrom = OptionalLong.of(now);
+  /** Records the arrival of the first event, from which the event pace is measured. */
+  void startPaceMeasurement(long now) {
+    paceStartedAt = OptionalLong.of(now);
   }
 
-  /** Returns when the first event came; once, so that the pace is told once. */
-  OptionalLong takePaceFrom() {
-    OptionalLong taken = paceFrom;
-    paceFrom = OptionalLong.empty();
+  /** Returns when the first event arrived and clears it, so that the pace is reported once. */
+  OptionalLong takePaceStart() {
+    OptionalLong taken = paceStartedAt;
+    paceStartedAt = OptionalLong.empty();
     return taken;
   }
 
-  /** Returns when the target last showed that it works on this attempt. */
-  long lastSignAt() {
-    return lastSignAt;
+  /** Returns when the target last sent data of this attempt, or when the attempt started. */
+  long lastDataAt() {
+    return lastDataAt;
   }
 
-  void noteSign(long now) {
-    lastSignAt = now;
+  void recordDataReceived(long now) {
+    lastDataAt = now;
     target.noteSign(now);
   }
 
-  /** Marks the end; returns whether it had not ended before. */
+  /** Marks the attempt as closed; returns whether it was open before. */
   boolean close() {
-    boolean first = !closed;
+    boolean wasOpen = !closed;
     closed = true;
-    endReading();
-    return first;
+    endPrefill();
+    return wasOpen;
   }
 
-  /** Closes the connection to the target, if there is one. */
+  /** Closes the connection to the target, if one exists. */
   void cancel() {
     if (call != null) {
       call.cancel();
     }
   }
 
-  /** Nothing that comes after an attempt's end, or after it was given up, is taken in. */
-  private boolean isHeard() {
+  /** Callbacks after the end of the response or after the attempt was closed are ignored. */
+  private boolean acceptsCallbacks() {
     return !closed && end == null;
   }
 
   @Override
-  public boolean mayBeSent() {
-    return isHeard() && exchange.mayStillHave(target);
+  public boolean maySend() {
+    return acceptsCallbacks() && exchange.mayStillReceive(target);
   }
 
   @Override
-  public void sent() {
-    if (isHeard()) {
+  public void onSent() {
+    if (acceptsCallbacks()) {
       sent = true;
     }
   }
 
   @Override
-  public void answered(AnswerHead answer) {
-    if (isHeard()) {
-      head = answer;
-      exchange.answered(this);
+  public void onHead(ResponseHead responseHead) {
+    if (acceptsCallbacks()) {
+      head = responseHead;
+      exchange.onResponseHead(this);
     }
   }
 
   @Override
-  public void received(byte[] bytes) {
-    if (isHeard()) {
-      exchange.received(this, bytes);
+  public void onBody(byte[] bytes) {
+    if (acceptsCallbacks()) {
+      exchange.onBody(this, bytes);
     }
   }
 
   @Override
-  public void ended(AnswerEnd how) {
-    if (isHeard()) {
-      exchange.ended(this, how);
+  public void onEnd(ResponseEnd responseEnd) {
+    if (acceptsCallbacks()) {
+      exchange.onResponseEnd(this, responseEnd);
     }
   }
 
   @Override
-  public void failed(TargetFailure failure) {
-    if (isHeard()) {
-      exchange.failed(this, failure);
+  public void onFailure(TargetFailure failure) {
+    if (acceptsCallbacks()) {
+      exchange.onAttemptFailed(this, failure);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CallerPort.java
@@ -1,21 +1,26 @@
 package org.gatereel.core.forward;
 
-/** The way back to the caller of one request. Each request ends with exactly one final call. */
+/**
+ * Sends the response of one request to its caller. Each request ends with exactly one final call.
+ */
 public interface CallerPort {
-  /** Sends the head of a target's answer. */
-  void begin(AnswerHead head);
+  /** Starts the response by sending its head. */
+  void begin(ResponseHead head);
 
-  /** Sends bytes of the body. */
+  /** Sends part of the body. */
   void write(byte[] bytes);
 
-  /** Ends the answer as complete. Final. */
+  /** Ends the response as complete. Final. */
   void finish();
 
-  /** Breaks the answer off, so that it cannot be taken for a complete one. Final. */
+  /** Aborts the response, so that the caller does not take it for complete. Final. */
   void abort();
 
   /**
-   * Sends an answer of this host's own; {@code retryAfterMillis} only counts where invited. Final.
+   * Sends an error response of this host. Final.
+   *
+   * @param retryAfterMillis the {@code Retry-After} delay; ignored unless {@link
+   *     Rejection#allowsRetry}
    */
-  void refuse(Refusal refusal, long retryAfterMillis);
+  void reject(Rejection rejection, long retryAfterMillis);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Configuration.java
@@ -8,22 +8,22 @@
 import java.util.Optional;
 import org.gatereel.core.model.ServiceName;
 
-/** One version of the operators' configuration, indexed for look-ups; immutable. */
+/** One version of the operators' configuration, indexed for lookups; immutable. */
 public final class Configuration {
   private static final Comparator<Route> LONGEST_PREFIX_FIRST =
       Comparator.comparingInt((Route route) -> route.pathPrefix().length()).reversed();
 
   private final long version;
-  private final Limits limits;
-  private final boolean keysNeeded;
+  private final InboundLimits limits;
+  private final boolean requiresKeys;
   private final Map<String, List<Route>> routesByHostName;
-  private final Map<ServiceName, ServicePlan> services;
-  private final Map<String, AccountPlan> accountsByKey;
+  private final Map<ServiceName, ServiceConfiguration> services;
+  private final Map<String, AccountConfiguration> accountsByKey;
 
   private Configuration(Builder builder) {
     version = builder.version;
     limits = builder.limits;
-    keysNeeded = builder.keysNeeded;
+    requiresKeys = builder.requiresKeys;
     routesByHostName = new HashMap<>();
     for (Route route : builder.routes) {
       routesByHostName.computeIfAbsent(route.hostName(), host -> new ArrayList<>()).add(route);
@@ -31,12 +31,12 @@
     routesByHostName.values().forEach(routes -> routes.sort(LONGEST_PREFIX_FIRST));
     services = Map.copyOf(builder.services);
     accountsByKey = new HashMap<>();
-    for (AccountPlan account : builder.accounts) {
+    for (AccountConfiguration account : builder.accounts) {
       account.keys().forEach(key -> accountsByKey.put(key, account));
     }
   }
 
-  /** Begins a configuration of the given version. */
+  /** Returns a builder for a configuration of the given version. */
   public static Builder builder(long version) {
     return new Builder(version);
   }
@@ -45,45 +45,45 @@
     return version;
   }
 
-  public Limits limits() {
+  public InboundLimits limits() {
     return limits;
   }
 
-  /** Returns whether routes that are not open ask for a key. */
-  public boolean keysNeeded() {
-    return keysNeeded;
+  /** Returns whether routes that are not anonymous require a key. */
+  public boolean requiresKeys() {
+    return requiresKeys;
   }
 
-  /** Returns the route with the longest prefix of {@code path} for a host name. */
+  /** Returns the route with the longest path prefix of {@code path} for a host name. */
   public Optional<Route> route(String hostName, String path) {
     return routesByHostName.getOrDefault(hostName, List.of()).stream()
         .filter(route -> path.startsWith(route.pathPrefix()))
         .findFirst();
   }
 
-  /** Returns the account that holds a key. */
-  public Optional<AccountPlan> account(String key) {
+  /** Returns the client account that holds a key. */
+  public Optional<AccountConfiguration> account(String key) {
     return Optional.ofNullable(accountsByKey.get(key));
   }
 
-  public Optional<ServicePlan> service(ServiceName name) {
+  public Optional<ServiceConfiguration> service(ServiceName name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** Collects the parts of a configuration. */
+  /** Builds a configuration. */
   public static final class Builder {
     private final long version;
-    private Limits limits = Limits.STANDARD;
-    private boolean keysNeeded;
+    private InboundLimits limits = InboundLimits.STANDARD;
+    private boolean requiresKeys;
     private final List<Route> routes = new ArrayList<>();
-    private final Map<ServiceName, ServicePlan> services = new HashMap<>();
-    private final List<AccountPlan> accounts = new ArrayList<>();
+    private final Map<ServiceName, ServiceConfiguration> services = new HashMap<>();
+    private final List<AccountConfiguration> accounts = new ArrayList<>();
 
     private Builder(long version) {
       this.version = version;
     }
 
-    public Builder limits(Limits value) {
+    public Builder limits(InboundLimits value) {
       limits = value;
       return this;
     }
@@ -93,20 +93,20 @@
       return this;
     }
 
-    public Builder add(ServicePlan service) {
+    public Builder add(ServiceConfiguration service) {
       services.put(service.name(), service);
       return this;
     }
 
-    /** Adds an account; from then on routes that are not open need a key. */
-    public Builder add(AccountPlan account) {
+    /** Adds a client account and requires keys on routes that are not anonymous. */
+    public Builder add(AccountConfiguration account) {
       accounts.add(account);
-      return needKeys();
+      return requireKeys();
     }
 
-    /** Has routes that are not open need a key, even if no account has one. */
-    public Builder needKeys() {
-      keysNeeded = true;
+    /** Requires keys on routes that are not anonymous, even if no account has one. */
+    public Builder requireKeys() {
+      requiresKeys = true;
       return this;
     }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -13,205 +13,212 @@
 import org.gatereel.core.model.Address;
 
 /**
- * Keeps the documents of the store fresh without every host reading the store.
+ * Keeps the store's documents fresh without every host reading the store.
  *
- * <p>In each data centre one host reads the store, and the others ask it. A host whose knowledge
- * grows old because its reader is silent, or is behind itself, asks the store; if the store does
- * not answer either, it asks any other host, since the store may turn away some hosts and not
- * others, and leaves the store alone for a while. Who reads is a matter of cost only: whatever way
- * a document comes, its proof is as old as the reading of it.
+ * <p>In each data centre one host reads the store, and the others query it. If the reader does not
+ * respond, or has outdated documents, a host reads the store itself. If the store does not respond
+ * either, the host queries any other host and stops reading the store for a while, since some hosts
+ * may reach the store when others do not. The choice of the reader only affects the load: in any
+ * case a document's confirmation time is the time at which the store was queried.
  */
 public final class DocumentRefresher {
-  /** A reader's interval and an asker's, one after the other, take half of the bound. */
-  private static final double READER_PART_OF_BOUND = 0.3;
+  /** The intervals of a reader and of a host that queries it add up to half of the bound. */
+  private static final double READER_INTERVAL_RATIO = 0.3;
 
-  private static final double ASKER_PART_OF_BOUND = 0.2;
-  private static final long HOSTS_MILLIS = 8_000;
+  private static final double FOLLOWER_INTERVAL_RATIO = 0.2;
+  private static final long HOSTS_INTERVAL_MILLIS = 8_000;
 
-  /** Hosts that start together do not find each other in the first readings. */
-  private static final long FIRST_HOSTS_MILLIS = 1_500;
+  /** Shorter at first, since hosts that start together are missing from the first readings. */
+  private static final long INITIAL_HOSTS_INTERVAL_MILLIS = 1_500;
 
-  private static final int FIRST_READINGS = 4;
-  private static final long AVOID_MILLIS = 10_000;
+  private static final int INITIAL_HOSTS_READINGS = 4;
+  private static final long READER_AVOIDANCE_MILLIS = 10_000;
 
   /**
-   * A reader's proof may be older by half an interval than it is while all goes well. This and an
-   * asker's interval, one after the other, leave a third of the bound for the way to the store.
+   * The maximum age of a reader's documents before a host reads the store itself. Together with one
+   * follower interval it leaves a third of the bound for reading the store.
    */
-  private static final double FRESH_PART_OF_BOUND = 0.45;
+  private static final double FRESHNESS_RATIO = 0.45;
 
   /**
-   * How long a host that has a reader leaves the store alone after it did not answer: first half of
-   * the bound, then all of it. Readers go on asking, and their word is passed on.
+   * Initial backoff from the store after a failed read, for hosts that have a reader; it doubles up
+   * to the whole bound. Readers do not back off.
    */
-  private static final double REST_PART_OF_BOUND = 0.5;
+  private static final double MIN_STORE_BACKOFF_RATIO = 0.5;
 
   private final CoreContext context;
   private final HostDirectory directory;
   private final DocumentCache cache;
   private final DocumentSources sources;
-  private final BiConsumer<SharedDocument, DocumentCache.Taken> taken;
+  private final BiConsumer<SharedDocument, DocumentCache.UpdateResult> updateListener;
   private final long freshMillis;
-  private final long readerMillis;
-  private final long askerMillis;
-  private final long shortestRestMillis;
-  private final long longestRestMillis;
-  private long restMillis;
-  private long storeRestsUntil = Long.MIN_VALUE;
+  private final long readerIntervalMillis;
+  private final long followerIntervalMillis;
+  private final long minStoreBackoffMillis;
+  private final long maxStoreBackoffMillis;
+  private long storeBackoffMillis;
+  private long storeBackoffUntil = Long.MIN_VALUE;
   private long intervalMillis;
   private int hostsReadings;
-  private long hostsAskedAt = Long.MIN_VALUE / 2;
-  private final Map<DocumentKind, BooleanSupplier> needed = new EnumMap<>(DocumentKind.class);
+  private long hostsReadAt = Long.MIN_VALUE / 2;
+  private final Map<DocumentKind, BooleanSupplier> onDemand = new EnumMap<>(DocumentKind.class);
 
-  /** One attempt to learn everything anew. */
+  /** One refresh of all documents. */
   private final class Round {
-    private final long askedAt;
-    private final Poller.Reply reply;
-    private final Set<DocumentKind> open = EnumSet.noneOf(DocumentKind.class);
+    private final long queriedAt;
+    private final Poller.Completion completion;
+    private final Set<DocumentKind> pendingReads = EnumSet.noneOf(DocumentKind.class);
     private Optional<Address> reader = Optional.empty();
-    private boolean readerAnswered;
-    private final Set<DocumentKind> asked = EnumSet.noneOf(DocumentKind.class);
+    private boolean readerResponded;
+    private final Set<DocumentKind> requestedOnDemand = EnumSet.noneOf(DocumentKind.class);
     private String problem = "";
 
-    private Round(long askedAt, Poller.Reply reply) {
-      this.askedAt = askedAt;
-      this.reply = reply;
+    private Round(long queriedAt, Poller.Completion completion) {
+      this.queriedAt = queriedAt;
+      this.completion = completion;
     }
 
     private void start() {
       reader = directory.reader(context.now());
       if (reader.isEmpty()) {
-        intervalMillis = readerMillis;
-        askStore();
+        intervalMillis = readerIntervalMillis;
+        readStore();
         return;
       }
-      sources.askPeer(reader.get(), cache, this::readerAnswered);
+      sources.queryPeer(reader.get(), cache, this::onReaderResponse);
     }
 
-    private void readerAnswered(Optional<List<DocumentSources.PeerReading>> answer) {
-      intervalMillis = askerMillis;
-      readerAnswered = answer.isPresent();
-      takeAll(answer, askedAt);
-      if (cache.isProvedSince(askedAt - freshMillis)) {
-        reply.settled(Optional.empty());
+    private void onReaderResponse(Optional<List<DocumentSources.PeerDocument>> response) {
+      intervalMillis = followerIntervalMillis;
+      readerResponded = response.isPresent();
+      updateAll(response, queriedAt);
+      if (cache.isConfirmedSince(queriedAt - freshMillis)) {
+        completion.complete(Optional.empty());
         return;
       }
-      intervalMillis = readerMillis;
-      if (!readerAnswered) {
-        passReaderOver();
+      intervalMillis = readerIntervalMillis;
+      if (!readerResponded) {
+        avoidReader();
       }
-      if (context.now() < storeRestsUntil) {
-        problem = "the store did not answer";
-        askAnother();
+      if (context.now() < storeBackoffUntil) {
+        problem = "no response from the store";
+        queryOtherHost();
       } else {
-        askStore();
+        readStore();
       }
     }
 
-    private void passReaderOver() {
-      Address lost = reader.orElseThrow();
-      directory.avoid(lost, context.now() + AVOID_MILLIS);
+    private void avoidReader() {
+      Address avoided = reader.orElseThrow();
+      directory.avoid(avoided, context.now() + READER_AVOIDANCE_MILLIS);
       context.note(
-          EventCode.READER_LOST, lost.toString(), readerAnswered ? "it is behind" : "no answer");
+          EventCode.READER_LOST,
+          avoided.toString(),
+          readerResponded ? "documents are outdated" : "no response");
     }
 
-    private void askStore() {
-      open.add(DocumentKind.CONFIGURATION);
-      open.add(DocumentKind.TARGETS);
-      long hostsMillis = hostsReadings < FIRST_READINGS ? FIRST_HOSTS_MILLIS : HOSTS_MILLIS;
-      if (context.now() - hostsAskedAt >= hostsMillis) {
-        hostsAskedAt = context.now();
+    private void readStore() {
+      pendingReads.add(DocumentKind.CONFIGURATION);
+      pendingReads.add(DocumentKind.TARGETS);
+      long hostsMillis =
+          hostsReadings < INITIAL_HOSTS_READINGS
+              ? INITIAL_HOSTS_INTERVAL_MILLIS
+              : HOSTS_INTERVAL_MILLIS;
+      if (context.now() - hostsReadAt >= hostsMillis) {
+        hostsReadAt = context.now();
         hostsReadings++;
-        open.add(DocumentKind.HOSTS);
+        pendingReads.add(DocumentKind.HOSTS);
       }
-      for (DocumentKind kind : EnumSet.copyOf(open)) {
-        askStore(kind);
+      for (DocumentKind kind : EnumSet.copyOf(pendingReads)) {
+        readStore(kind);
       }
-      askForNeeded();
+      readOnDemand();
     }
 
-    private void askStore(DocumentKind kind) {
-      sources.askStore(kind, answer -> storeAnswered(kind, answer));
+    private void readStore(DocumentKind kind) {
+      sources.readStore(kind, response -> onStoreResponse(kind, response));
     }
 
-    /** What has just turned out to be needed is asked for in this round, not in the next. */
-    private void askForNeeded() {
-      needed.forEach(
+    /** Reads documents on demand in this round if an earlier read showed that they are needed. */
+    private void readOnDemand() {
+      onDemand.forEach(
           (kind, isNeeded) -> {
-            if (isNeeded.getAsBoolean() && asked.add(kind)) {
-              open.add(kind);
-              askStore(kind);
+            if (isNeeded.getAsBoolean() && requestedOnDemand.add(kind)) {
+              pendingReads.add(kind);
+              readStore(kind);
             }
           });
     }
 
-    private void storeAnswered(DocumentKind kind, DocumentSources.StoreAnswer answer) {
-      open.remove(kind);
-      if (answer instanceof DocumentSources.StoreAnswer.Read read) {
-        DocumentRefresher.this.take(kind, read, askedAt);
-      } else if (answer instanceof DocumentSources.StoreAnswer.Failed failed && kind.isUrgent()) {
+    private void onStoreResponse(DocumentKind kind, DocumentSources.StoreResponse response) {
+      pendingReads.remove(kind);
+      if (response instanceof DocumentSources.StoreResponse.Read read) {
+        DocumentRefresher.this.update(kind, read, queriedAt);
+      } else if (response instanceof DocumentSources.StoreResponse.Failed failed
+          && kind.isUrgent()) {
         problem = kind + ": " + failed.problem();
       }
-      askForNeeded();
-      if (open.isEmpty()) {
-        storeSettled();
+      readOnDemand();
+      if (pendingReads.isEmpty()) {
+        onStoreReadsComplete();
       }
     }
 
-    private void storeSettled() {
+    private void onStoreReadsComplete() {
       if (problem.isEmpty()) {
-        storeAnswered();
-        reply.settled(Optional.empty());
+        onStoreSuccess();
+        completion.complete(Optional.empty());
         return;
       }
-      storeFailed();
-      askAnother();
+      backOffStore();
+      queryOtherHost();
     }
 
-    private void storeAnswered() {
-      restMillis = shortestRestMillis;
-      if (readerAnswered) {
-        passReaderOver();
+    private void onStoreSuccess() {
+      storeBackoffMillis = minStoreBackoffMillis;
+      if (readerResponded) {
+        avoidReader();
       }
     }
 
     /**
-     * A reader that is behind because the store answers nobody is kept, and the store left alone;
-     * else each host would pass reader after reader over until it reads for itself.
+     * Backs off from the store but keeps the reader, whose documents are outdated because the store
+     * does not respond. Otherwise each host would avoid reader after reader until it reads the
+     * store itself.
      */
-    private void storeFailed() {
+    private void backOffStore() {
       if (reader.isPresent()) {
-        storeRestsUntil = context.now() + restMillis;
-        restMillis = Math.min(longestRestMillis, 2 * restMillis);
+        storeBackoffUntil = context.now() + storeBackoffMillis;
+        storeBackoffMillis = Math.min(maxStoreBackoffMillis, 2 * storeBackoffMillis);
       }
     }
 
-    private void askAnother() {
-      Optional<Address> other = directory.anyOther(context.random());
-      if (other.isEmpty()) {
-        reply.settled(Optional.of(problem));
+    private void queryOtherHost() {
+      Optional<Address> otherHost = directory.anyOtherHost(context.random());
+      if (otherHost.isEmpty()) {
+        completion.complete(Optional.of(problem));
         return;
       }
-      long secondAskedAt = context.knowledgeTime();
-      sources.askPeer(
-          other.get(),
+      long secondQueriedAt = context.knowledgeTime();
+      sources.queryPeer(
+          otherHost.get(),
           cache,
-          answer -> {
-            takeAll(answer, secondAskedAt);
-            reply.settled(Optional.of(problem));
+          response -> {
+            updateAll(response, secondQueriedAt);
+            completion.complete(Optional.of(problem));
           });
     }
 
-    private void takeAll(Optional<List<DocumentSources.PeerReading>> answer, long sentAt) {
-      answer.orElse(List.of()).forEach(reading -> takeFromPeer(reading, sentAt));
+    private void updateAll(Optional<List<DocumentSources.PeerDocument>> response, long sentAt) {
+      response.orElse(List.of()).forEach(document -> updateFromPeer(document, sentAt));
     }
   }
 
   /**
-   * Makes a refresher.
+   * Creates a refresher.
    *
-   * @param boundMillis within which a change must be known
-   * @param taken is told of each reading that is not outdated
+   * @param boundMillis the time within which a change must be known
+   * @param updateListener called for each update that is not outdated
    */
   public DocumentRefresher(
       CoreContext context,
@@ -219,66 +226,66 @@
       DocumentCache cache,
       DocumentSources sources,
       long boundMillis,
-      BiConsumer<SharedDocument, DocumentCache.Taken> taken) {
+      BiConsumer<SharedDocument, DocumentCache.UpdateResult> updateListener) {
     this.context = context;
     this.directory = directory;
     this.cache = cache;
     this.sources = sources;
-    this.taken = taken;
-    this.freshMillis = (long) (FRESH_PART_OF_BOUND * boundMillis);
-    this.readerMillis = (long) (READER_PART_OF_BOUND * boundMillis);
-    this.askerMillis = (long) (ASKER_PART_OF_BOUND * boundMillis);
-    this.shortestRestMillis = (long) (REST_PART_OF_BOUND * boundMillis);
-    this.longestRestMillis = boundMillis;
-    this.restMillis = shortestRestMillis;
-    this.intervalMillis = readerMillis;
+    this.updateListener = updateListener;
+    this.freshMillis = (long) (FRESHNESS_RATIO * boundMillis);
+    this.readerIntervalMillis = (long) (READER_INTERVAL_RATIO * boundMillis);
+    this.followerIntervalMillis = (long) (FOLLOWER_INTERVAL_RATIO * boundMillis);
+    this.minStoreBackoffMillis = (long) (MIN_STORE_BACKOFF_RATIO * boundMillis);
+    this.maxStoreBackoffMillis = boundMillis;
+    this.storeBackoffMillis = minStoreBackoffMillis;
+    this.intervalMillis = readerIntervalMillis;
   }
 
-  /** Says when a document has to be known that is not read all the time. */
+  /** Reads a document only while {@code isNeeded} returns true. */
   public void readWhile(DocumentKind kind, BooleanSupplier isNeeded) {
-    needed.put(kind, isNeeded);
+    onDemand.put(kind, isNeeded);
   }
 
-  /** Learns everything anew; to be called by a {@link Poller}. */
-  public void refresh(long askedAt, Poller.Reply reply) {
-    new Round(askedAt, reply).start();
+  /** Refreshes all documents; to be called by a {@link Poller}. */
+  public void refresh(long queriedAt, Poller.Completion completion) {
+    new Round(queriedAt, completion).start();
   }
 
-  /** Returns how long after a question the next one is due. */
+  /** Returns the interval from the start of one refresh to the next. */
   public long intervalMillis() {
     return intervalMillis;
   }
 
-  private void takeFromPeer(DocumentSources.PeerReading reading, long sentAt) {
-    Optional<SharedDocument> known = cache.find(reading.kind());
+  private void updateFromPeer(DocumentSources.PeerDocument document, long sentAt) {
+    Optional<SharedDocument> known = cache.find(document.kind());
     Optional<String> content =
-        reading
+        document
             .content()
             .or(
                 () ->
                     known
-                        .filter(document -> document.digest().equals(reading.digest()))
+                        .filter(cached -> cached.digest().equals(document.digest()))
                         .map(SharedDocument::content));
     content.ifPresent(
         text ->
-            take(
+            update(
                 new SharedDocument(
-                    reading.kind(),
+                    document.kind(),
                     text,
-                    reading.digest(),
-                    reading.version(),
-                    sentAt - reading.ageMillis())));
+                    document.digest(),
+                    document.version(),
+                    sentAt - document.ageMillis())));
   }
 
-  /** Takes in what the store said to a question beside the usual ones. */
-  public void take(DocumentKind kind, DocumentSources.StoreAnswer.Read read, long askedAt) {
-    take(new SharedDocument(kind, read.content(), read.digest(), read.version(), askedAt));
+  /** Updates the cache from a store response that was read outside the regular refreshes. */
+  public void update(DocumentKind kind, DocumentSources.StoreResponse.Read read, long queriedAt) {
+    update(new SharedDocument(kind, read.content(), read.digest(), read.version(), queriedAt));
   }
 
-  private void take(SharedDocument document) {
-    DocumentCache.Taken outcome = cache.take(document);
-    if (outcome != DocumentCache.Taken.OUTDATED) {
-      taken.accept(document, outcome);
+  private void update(SharedDocument document) {
+    DocumentCache.UpdateResult result = cache.update(document);
+    if (result != DocumentCache.UpdateResult.OUTDATED) {
+      updateListener.accept(document, result);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -14,16 +14,16 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * One request from its admission to its final answer.
+ * One request from its admission to the end of its response.
  *
- * <p>At most one attempt is open at a time; before the next one starts, the connection of the last
- * one is closed. Whether a request may be tried again is decided here and nowhere else.
+ * <p>At most one attempt is open at a time; its connection is closed before the next attempt
+ * starts. {@link RetryController} decides whether a request is retried.
  */
 public final class Exchange {
   private final Forwarder forwarder;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final Reply reply;
+  private final CallerResponse callerResponse;
   private final Route route;
   private final ServiceName service;
   private final Optional<AccountId> account;
@@ -31,33 +31,33 @@
   private final long deadline;
   private final TimerQueue.Timer deadlineTimer;
   private final TargetSearch search;
-  private final SilenceWatch silence;
-  private final Turn turn;
+  private final StallDetector stallDetector;
+  private final AdmissionWait admissionWait;
   private final Placement placement;
   private final ExchangeLog log;
-  private final EndCheck ends;
+  private final ResponseEndCheck endCheck;
   private final StreamRelay relay;
-  private final VersionWitness witness;
-  private final Retries retries;
-  private final TryCount tries;
-  private final PoisonWatch poison;
+  private final VersionObserver versions;
+  private final RetryController retries;
+  private final AttemptCounter attemptCounter;
+  private final PoisonDetector poison;
   private Attempt attempt;
-  private boolean mayHaveRun;
-  private boolean over;
+  private boolean mayHaveExecuted;
+  private boolean finished;
 
   Exchange(
       Forwarder forwarder,
       ForwardRequest request,
       CallerPort caller,
-      ConfigurationKeeper.Lookup.Allowed allowed) {
+      ConfigurationHolder.Lookup.Allowed allowed) {
     this.forwarder = forwarder;
     this.context = forwarder.context();
     this.request = request;
-    this.reply = new Reply(caller);
+    this.callerResponse = new CallerResponse(caller);
     this.route = allowed.route();
     this.account = allowed.account();
     this.poison =
-        new PoisonWatch(forwarder, () -> Fingerprint.of(account, request.contentDigest()));
+        new PoisonDetector(forwarder, () -> Fingerprint.of(account, request.contentDigest()));
     this.service = route.chooseService(context.random().nextDouble());
     this.search =
         new TargetSearch(
@@ -65,150 +65,153 @@
             request,
             route,
             service,
-            allowed.configuration().service(service).flatMap(ServicePlan::engine));
+            allowed.configuration().service(service).flatMap(ServiceConfiguration::engine));
     this.startedAt = context.now();
     this.deadline =
         startedAt
             + Math.min(route.timeoutMillis(), request.remainingMillis().orElse(Long.MAX_VALUE));
-    this.relay = new StreamRelay(this, context, request, reply, route);
-    this.witness = new VersionWitness(forwarder.rollouts(), service, route);
+    this.relay = new StreamRelay(this, context, request, callerResponse, route);
+    this.versions = new VersionObserver(forwarder.rollouts(), service, route);
     this.log = new ExchangeLog(forwarder, this, request);
-    this.retries = new Retries(forwarder, this, log, route, service, reply, relay, deadline);
-    this.tries = retries.tries();
-    this.ends = new EndCheck(forwarder, this, relay, log);
+    this.retries =
+        new RetryController(forwarder, this, log, route, service, callerResponse, relay, deadline);
+    this.attemptCounter = retries.attemptCounter();
+    this.endCheck = new ResponseEndCheck(forwarder, this, relay, log);
     this.placement = new Placement(forwarder, this, search, retries, route, log, deadline);
-    this.deadlineTimer = context.timers().add(deadline, this::deadlinePassed);
-    this.silence = new SilenceWatch(forwarder, this, route);
-    this.turn =
-        new Turn(
+    this.deadlineTimer = context.timers().add(deadline, this::onDeadline);
+    this.stallDetector = new StallDetector(forwarder, this, route);
+    this.admissionWait =
+        new AdmissionWait(
             forwarder,
             this,
             log,
-            new Arrival(service, route.priority(), account, route.aimMillis(), deadline));
+            new Arrival(service, route.priority(), account, route.objectiveMillis(), deadline));
   }
 
-  /** Begins to look for a target. */
+  /** Rejects a quarantined request; queues any other for admission. */
   void start() {
-    if (poison.isHeld()) {
-      refuse(Refusal.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
+    if (poison.isQuarantined()) {
+      reject(Rejection.HELD_BACK, forwarder.policy().retryAfterMillis(), poison.reason());
       return;
     }
-    forwarder.budgets().earn(service);
-    turn.begin(relay.lastEventId().isPresent());
+    forwarder.budgets().recordRequest(service);
+    admissionWait.begin(relay.lastEventId().isPresent());
   }
 
-  /** The request has its turn. */
-  void admitted() {
-    placement.locatePrompt(this::tryNext);
+  /** Called when admission control lets the request be sent. */
+  void onAdmitted() {
+    placement.locatePrompt(this::startNextAttempt);
   }
 
-  /** The caller closed its connection; nothing more is sent. */
-  public void callerGone() {
-    if (over) {
+  /** Cancels the request after the caller closed its connection. */
+  public void onCallerDisconnected() {
+    if (finished) {
       return;
     }
-    log.note(EventCode.CALLER_GONE, "");
+    log.log(EventCode.CALLER_GONE, "");
     closeAttempt();
     finish();
   }
 
-  /** Breaks the request off because this host stops. */
-  void stop() {
-    if (over) {
+  /** Ends the request because this host is shutting down. */
+  void endForShutdown() {
+    if (finished) {
       return;
     }
-    if (reply.hasBegun()) {
-      abort(Refusal.STOPPING.name());
+    if (callerResponse.hasBegun()) {
+      abortResponse(Rejection.STOPPING.name());
     } else {
-      giveUp(mayHaveRun || isRunning() ? Refusal.TARGET_FAILED : Refusal.STOPPING);
+      failRequest(mayHaveExecuted || isExecuting() ? Rejection.TARGET_FAILED : Rejection.STOPPING);
     }
   }
 
-  private boolean isRunning() {
-    return attempt != null && !attempt.isClosed() && attempt.mayHaveRun();
+  private boolean isExecuting() {
+    return attempt != null && !attempt.isClosed() && attempt.mayHaveExecuted();
   }
 
-  /** Returns the target that has the request now. */
+  /** Returns the target of the open attempt. */
   Optional<TargetState> currentTarget() {
     return attempt == null || attempt.isClosed() ? Optional.empty() : Optional.of(attempt.target());
   }
 
-  boolean isOver() {
-    return over;
+  boolean isFinished() {
+    return finished;
   }
 
-  /** Returns the refusal that is true of a request that no target can be tried for any more. */
-  Refusal unserved(Refusal ifNotRun) {
-    return mayHaveRun ? Refusal.TARGET_FAILED : ifNotRun;
+  /**
+   * Returns {@link Rejection#TARGET_FAILED} if the request may have executed, otherwise {@code
+   * ifNotExecuted}.
+   */
+  Rejection rejectionWhenUnserved(Rejection ifNotExecuted) {
+    return mayHaveExecuted ? Rejection.TARGET_FAILED : ifNotExecuted;
   }
 
   Attempt attempt() {
     return attempt;
   }
 
-  /** Returns what watches whether targets end under this request. */
-  PoisonWatch poison() {
+  PoisonDetector poison() {
     return poison;
   }
 
-  /** Returns whether the target may be left for another one without breaking a promise. */
-  boolean mayMove() {
-    return route.mayRepeat();
+  /** Returns whether the request may be moved to another target after it may have executed. */
+  boolean canMove() {
+    return route.mayRetry();
   }
 
-  /** The target that has the request does not work any more. */
-  void targetLost(TargetFailure failure) {
-    if (!over && attempt != null && !attempt.isClosed()) {
-      log.note(EventCode.ATTEMPT_SUSPECTED, "target=" + attempt.target().description().id());
-      failed(attempt, failure);
+  /** Fails the open attempt because its target stopped working. */
+  void onTargetLost(TargetFailure failure) {
+    if (!finished && attempt != null && !attempt.isClosed()) {
+      log.log(EventCode.ATTEMPT_SUSPECTED, "target=" + attempt.target().description().id());
+      onAttemptFailed(attempt, failure);
     }
   }
 
-  /** The request is held back from now on. */
-  void held() {
-    boolean runs = attempt != null && !attempt.isClosed() && attempt.hasEvents();
-    if (!over && !runs) {
-      giveUp(mayHaveRun || isRunning() ? Refusal.TARGET_FAILED : Refusal.HELD_BACK);
+  /** Ends a request that has been quarantined, unless its stream is already being delivered. */
+  void onQuarantined() {
+    boolean isDelivering = attempt != null && !attempt.isClosed() && attempt.hasForwardedEvents();
+    if (!finished && !isDelivering) {
+      failRequest(mayHaveExecuted || isExecuting() ? Rejection.TARGET_FAILED : Rejection.HELD_BACK);
     }
   }
 
-  void tryNext() {
-    if (poison.isHeld()) {
-      giveUp(unserved(Refusal.HELD_BACK));
+  void startNextAttempt() {
+    if (poison.isQuarantined()) {
+      failRequest(rejectionWhenUnserved(Rejection.HELD_BACK));
       return;
     }
-    if (tries.isUsedUp()) {
-      giveUp(unserved(Refusal.OVERLOADED));
+    if (attemptCounter.isExhausted()) {
+      failRequest(rejectionWhenUnserved(Rejection.OVERLOADED));
       return;
     }
-    placement.next();
+    placement.placeNextAttempt();
   }
 
-  /** Returns whether the caller has part of the answer. */
-  boolean isUnderWay() {
+  /** Returns whether the caller has received part of the stream. */
+  boolean hasPartialResponse() {
     return relay.lastEventId().isPresent();
   }
 
-  /** Returns whether the target of the present attempt may still be sent the request. */
-  boolean mayStillHave(TargetState target) {
-    return search.mayStillHave(target);
+  /** Returns whether the target of the open attempt may still be sent the request. */
+  boolean mayStillReceive(TargetState target) {
+    return search.mayStillReceive(target);
   }
 
   /**
    * Sends the request to a target.
    *
-   * @param from the name of the copy there that the run goes on from
+   * @param copyName the name of the memory copy at that target to continue from
    */
-  void send(TargetChoice choice, Optional<String> from) {
+  void send(TargetChoice choice, Optional<String> copyName) {
     TargetState target = choice.target();
-    tries.begin();
-    attempt = new Attempt(this, target, from.isPresent(), context.now());
+    attemptCounter.recordStart();
+    attempt = new Attempt(this, target, copyName.isPresent(), context.now());
     forwarder.targets().opened(target);
-    witness.sent(attempt);
-    if (route.kind() == RouteKind.STREAM && !search.hasPrompt(target)) {
-      attempt.beginReading();
+    versions.recordSent(attempt);
+    if (route.kind() == RouteKind.STREAM && !search.hasPromptCached(target)) {
+      attempt.beginPrefill();
     }
-    Optional<Address> copyTo = search.begin(target);
+    Optional<Address> copyTo = search.beginAttempt(target);
     Dispatch dispatch =
         new Dispatch(
             request,
@@ -217,181 +220,187 @@
             Math.max(1, deadline - context.now()),
             relay.lastEventId(),
             copyTo,
-            from,
-            reply.hasBegun());
-    log.forwarded(route, dispatch, choice, tries.begun());
+            copyName,
+            callerResponse.hasBegun());
+    log.logForwarded(route, dispatch, choice, attemptCounter.started());
     forwarder.loads().changed();
-    attempt.started(forwarder.port().send(dispatch, attempt));
-    silence.watch(attempt);
+    attempt.setCall(forwarder.port().send(dispatch, attempt));
+    stallDetector.watch(attempt);
   }
 
-  void answered(Attempt from) {
-    AnswerHead head = from.head();
-    from.noteHead(context.now());
-    from.noteSign(context.now());
-    forwarder.statements().heard(from);
-    if (head.declaresNotRun()) {
-      failed(from, head.refusal());
+  void onResponseHead(Attempt from) {
+    ResponseHead head = from.head();
+    from.recordHead(context.now());
+    from.recordDataReceived(context.now());
+    forwarder.announcements().receive(from);
+    if (head.declaresNotExecuted()) {
+      onAttemptFailed(from, head.failure());
       return;
     }
-    if (!head.mayReachCaller() || !reply.canGoOnWith(from)) {
-      failed(from, TargetFailure.ERROR);
+    if (!head.isForwardable() || !callerResponse.canContinueWith(from)) {
+      onAttemptFailed(from, TargetFailure.ERROR);
     }
   }
 
-  void received(Attempt from, byte[] bytes) {
-    from.noteSign(context.now());
-    if (from.answersWithStream()) {
-      if (relay.pass(from, bytes)) {
-        witness.event(from, context.now());
-        poison.goesOn(from);
+  void onBody(Attempt from, byte[] bytes) {
+    from.recordDataReceived(context.now());
+    if (from.isEventStream()) {
+      if (relay.forward(from, bytes)) {
+        versions.recordEvent(from, context.now());
+        poison.recordProgress(from);
       } else {
-        failed(from, TargetFailure.ERROR);
+        onAttemptFailed(from, TargetFailure.ERROR);
       }
       return;
     }
     from.body().writeBytes(bytes);
-    if (from.body().size() > forwarder.policy().bufferBytes()) {
-      // Too long to be held until it is whole: from now on there is no second attempt.
-      reply.commit(from.takeAnswer());
+    if (from.body().size() > forwarder.policy().maxBufferedBytes()) {
+      // The body exceeds the buffer; once part of it is sent, no other attempt can follow.
+      callerResponse.commit(from.takeResponse());
     }
   }
 
-  /** The first event of an attempt is here. */
-  void firstEvent(Attempt from) {
-    witness.firstEvent(from, context.now());
-    silence.watch(from);
+  /** Handles the first event of an attempt that the caller has not received before. */
+  void onFirstEvent(Attempt from) {
+    versions.recordFirstEvent(from, context.now());
+    stallDetector.watch(from);
     forwarder.loads().changed();
     if (!from.isContinuation()) {
       forwarder.overload().learn(service, context.now() - from.startedAt());
     }
-    log.note(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
+    log.log(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
   }
 
-  void ended(Attempt from, AnswerEnd end) {
-    ends.ended(from, end);
+  void onResponseEnd(Attempt from, ResponseEnd end) {
+    endCheck.onResponseEnd(from, end);
   }
 
-  /** The target's answer is at its end and nothing of it is missing. */
-  void whole(Attempt from) {
-    settle(from);
-    tries.ran();
+  /** Handles a complete response: holds an error back and retries if allowed, else delivers it. */
+  void onCompleteResponse(Attempt from) {
+    releaseAttempt(from);
+    attemptCounter.recordExecution();
     if (route.kind() != RouteKind.STREAM) {
       forwarder.overload().learn(service, from.endedAt() - from.startedAt());
     }
-    Answer answer = from.takeAnswer();
-    search.answered(from, answer);
-    witness.whole(from, answer);
-    poison.ranWell();
-    if (answer.isError() && !reply.hasBegun() && retries.mayRunAgain()) {
-      reply.keepBack(answer);
-      log.note(
+    TargetResponse response = from.takeResponse();
+    search.recordResponse(from, response);
+    versions.recordCompleteResponse(from, response);
+    poison.recordSuccess();
+    if (response.isError() && !callerResponse.hasBegun() && retries.mayExecuteAgain()) {
+      callerResponse.holdError(response);
+      log.log(
           EventCode.CALL_RETRIED,
-          "target=" + from.target().description().id() + " status=" + answer.head().status());
-      retries.repeat();
+          "target=" + from.target().description().id() + " status=" + response.head().status());
+      retries.retry();
       return;
     }
-    answer(answer);
+    respond(response);
   }
 
-  private void answer(Answer answer) {
-    reply.finish(answer);
-    log.note(EventCode.REQUEST_ANSWERED, "status=" + answer.head().status());
-    forwarder.answered(route, context.now() - startedAt);
+  private void respond(TargetResponse response) {
+    callerResponse.finish(response);
+    log.log(EventCode.REQUEST_ANSWERED, "status=" + response.head().status());
+    forwarder.recordResponse(route, context.now() - startedAt);
     finish();
   }
 
-  void failed(Attempt from, TargetFailure failure) {
-    boolean ran = from.mayHaveRun() && !failure.provesNotRun();
-    if (ran) {
-      search.copies().attemptBroke(from);
+  void onAttemptFailed(Attempt from, TargetFailure failure) {
+    boolean possiblyExecuted = from.mayHaveExecuted() && !failure.provesNotRun();
+    if (possiblyExecuted) {
+      search.copies().onAttemptBroken(from);
     }
-    settle(from);
+    releaseAttempt(from);
     from.cancel();
-    log.failed(from, failure, ran);
+    log.logAttemptFailed(from, failure, possiblyExecuted);
     if (failure.isUnsent()) {
-      tries.unreached();
+      attemptCounter.recordUnreachable();
     }
-    if (ran) {
-      mayHaveRun = true;
-      tries.ran();
+    if (possiblyExecuted) {
+      mayHaveExecuted = true;
+      attemptCounter.recordExecution();
     }
-    search.failed(from, failure);
-    poison.broke(from, failure, ran);
-    witness.failed(from, failure, context.now());
-    poison.beforeNextTry(from, () -> retries.goOn(from, ran));
+    search.recordFailure(from, failure);
+    poison.recordFailure(from, failure, possiblyExecuted);
+    versions.recordFailure(from, failure, context.now());
+    poison.beforeNextAttempt(from, () -> retries.retryOrFail(from, possiblyExecuted));
   }
 
-  private void deadlinePassed() {
-    if (over) {
+  private void onDeadline() {
+    if (finished) {
       return;
     }
-    boolean ran = mayHaveRun || isRunning();
-    giveUp(ran ? Refusal.TIMED_OUT : Refusal.NOT_STARTED_IN_TIME);
+    boolean possiblyExecuted = mayHaveExecuted || isExecuting();
+    failRequest(possiblyExecuted ? Rejection.TIMED_OUT : Rejection.NOT_STARTED_IN_TIME);
   }
 
-  /** Ends the request by what the caller has so far, by an error kept back, or by a refusal. */
-  void giveUp(Refusal refusal) {
-    giveUp(refusal, forwarder.policy().retryAfterMillis(), "");
+  /**
+   * Ends the request without success: aborts a started response, else delivers the held error, else
+   * rejects.
+   */
+  void failRequest(Rejection rejection) {
+    failRequest(rejection, forwarder.policy().retryAfterMillis(), "");
   }
 
-  void giveUp(Refusal refusal, long retryAfterMillis, String inputs) {
+  void failRequest(Rejection rejection, long retryAfterMillis, String inputs) {
     closeAttempt();
-    if (reply.hasBegun()) {
-      abort(refusal.name());
+    if (callerResponse.hasBegun()) {
+      abortResponse(rejection.name());
     } else {
-      reply
-          .keptBack()
-          .ifPresentOrElse(this::answer, () -> refuse(refusal, retryAfterMillis, inputs));
+      callerResponse
+          .heldError()
+          .ifPresentOrElse(this::respond, () -> reject(rejection, retryAfterMillis, inputs));
     }
   }
 
-  void refuse(Refusal refusal, long retryAfterMillis, String inputs) {
-    reply.refuse(refusal, refusal.retryAfterMillis(retryAfterMillis));
+  void reject(Rejection rejection, long retryAfterMillis, String inputs) {
+    callerResponse.reject(rejection, rejection.retryAfterMillis(retryAfterMillis));
     String separator = inputs.isEmpty() ? "" : " ";
-    log.note(EventCode.REQUEST_REFUSED, "reason=" + refusal + separator + inputs);
-    forwarder.refused(refusal);
+    log.log(EventCode.REQUEST_REFUSED, "reason=" + rejection + separator + inputs);
+    forwarder.recordRejection(rejection);
     finish();
   }
 
-  void abort(String reason) {
+  void abortResponse(String reason) {
     closeAttempt();
-    reply.abort();
-    log.note(EventCode.GENERATION_INTERRUPTED, "reason=" + reason);
-    forwarder.interrupted(route);
+    callerResponse.abort();
+    log.log(EventCode.GENERATION_INTERRUPTED, "reason=" + reason);
+    forwarder.recordInterruption(route);
     finish();
   }
 
   private void closeAttempt() {
     if (attempt != null && !attempt.isClosed()) {
-      witness.givenUp(attempt, context.now());
-      settle(attempt);
+      versions.recordAbandoned(attempt, context.now());
+      releaseAttempt(attempt);
       attempt.cancel();
     }
   }
 
-  /** Counts an attempt that has ended. */
-  private void settle(Attempt ended) {
-    if (!ended.close()) {
+  /** Closes an attempt and releases what it holds; does nothing when repeated. */
+  private void releaseAttempt(Attempt closing) {
+    if (!closing.close()) {
       return;
     }
-    silence.stop();
-    search.copies().stop();
-    forwarder.targets().closed(ended.target());
+    stallDetector.stop();
+    search.copies().release();
+    forwarder.targets().closed(closing.target());
     forwarder.loads().changed();
   }
 
   private void finish() {
-    over = true;
+    finished = true;
     deadlineTimer.cancel();
-    turn.end();
-    silence.stop();
-    forwarder.over(this);
+    admissionWait.end();
+    stallDetector.stop();
+    forwarder.onFinished(this);
   }
 
-  /** Returns how far the request has come, for the log. */
+  /** Returns the request's progress as {@code key=value} pairs for the log. */
   String progress() {
     return ExchangeLog.progress(
-        tries.begun(), relay.lastEventId(), context.now() - startedAt, deadline - context.now());
+        attemptCounter.started(),
+        relay.lastEventId(),
+        context.now() - startedAt,
+        deadline - context.now());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -7,7 +7,7 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.TargetId;
 
-/** The log lines of one request, each with what decided and how far the request had come. */
+/** Logs the events of one request, each with its inputs and the request's progress. */
 final class ExchangeLog {
   private final Forwarder forwarder;
   private final Exchange exchange;
@@ -19,15 +19,15 @@
     this.request = request;
   }
 
-  /** Logs a decision; {@code inputs} are pairs of the form name=value, or empty. */
-  void note(EventCode code, String inputs) {
+  /** Logs an event; {@code inputs} are {@code key=value} pairs separated by spaces, or empty. */
+  void log(EventCode code, String inputs) {
     String separator = inputs.isEmpty() ? "" : " ";
     forwarder.context().note(code, request.id(), inputs + separator + exchange.progress());
   }
 
-  static String progress(int tries, OptionalLong lastEvent, long millis, long leftMillis) {
+  static String progress(int attempts, OptionalLong lastEvent, long millis, long leftMillis) {
     return "tries="
-        + tries
+        + attempts
         + " lastEvent="
         + lastEvent.orElse(-1)
         + " millis="
@@ -36,13 +36,13 @@
         + leftMillis;
   }
 
-  void forwarded(Route route, Dispatch dispatch, TargetChoice choice, int tries) {
-    ConfigurationKeeper configuration = forwarder.configuration();
+  void logForwarded(Route route, Dispatch dispatch, TargetChoice choice, int attempts) {
+    ConfigurationHolder configuration = forwarder.configuration();
     String inputs =
         "route="
             + route.name()
             + " try="
-            + tries
+            + attempts
             + " target="
             + dispatch.target().id()
             + " costs="
@@ -57,38 +57,38 @@
             + configuration.version()
             + " ageMillis="
             + configuration.ageMillis();
-    note(EventCode.REQUEST_FORWARDED, inputs);
+    log(EventCode.REQUEST_FORWARDED, inputs);
   }
 
-  void located(PromptLocator.Located found) {
+  void logPromptLocated(PromptLocator.LookupResult found) {
     String inputs =
         "target="
             + found.target().map(TargetId::toString).orElse("-")
             + " answered="
-            + found.answered()
+            + found.responses()
             + " asked="
-            + found.asked();
-    note(EventCode.PROMPT_LOCATED, inputs);
+            + found.queries();
+    log(EventCode.PROMPT_LOCATED, inputs);
   }
 
-  void ended(Attempt attempt, EndVerdict verdict) {
+  void logResponseEnded(Attempt attempt, ResponseEndVerdict verdict) {
     String inputs =
         "target="
             + attempt.target().description().id()
             + " end="
             + attempt.end()
             + " events="
-            + attempt.eventCount()
+            + attempt.forwardedEventCount()
             + " lastOfRun="
-            + attempt.lastOfRun().orElse(-1)
+            + attempt.lastReceivedEventId().orElse(-1)
             + " verdict="
             + verdict
             + " probeMillis="
             + (forwarder.context().now() - attempt.endedAt());
-    note(EventCode.ANSWER_ENDED, inputs);
+    log(EventCode.ANSWER_ENDED, inputs);
   }
 
-  void failed(Attempt attempt, TargetFailure failure, boolean mayHaveRun) {
+  void logAttemptFailed(Attempt attempt, TargetFailure failure, boolean mayHaveRun) {
     String inputs =
         "target="
             + attempt.target().description().id()
@@ -96,21 +96,24 @@
             + failure
             + " mayHaveRun="
             + mayHaveRun;
-    note(EventCode.ATTEMPT_FAILED, mayHaveRun ? inputs + course(attempt) : inputs);
+    log(EventCode.ATTEMPT_FAILED, mayHaveRun ? inputs + executionDetails(attempt) : inputs);
   }
 
-  /** Tells how far a run had come, and of what content it was, so that its repeats are found. */
-  private String course(Attempt attempt) {
+  /**
+   * Returns the execution's progress, and the request's fingerprint, which links the retries of one
+   * request.
+   */
+  private String executionDetails(Attempt attempt) {
     long now = forwarder.context().now();
-    String sinceHead =
+    String sinceHeadMillis =
         attempt.headAt().isPresent() ? Long.toString(now - attempt.headAt().getAsLong()) : "-";
     return " request="
         + exchange.poison().fingerprint()
         + " sinceSentMillis="
         + (now - attempt.startedAt())
         + " sinceHeadMillis="
-        + sinceHead
+        + sinceHeadMillis
         + " events="
-        + attempt.eventCount();
+        + attempt.forwardedEventCount();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -29,11 +29,11 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** Forwards requests of callers to targets; the decisions, without any input or output. */
+/** Forwards requests of callers to targets; holds the decisions and performs no I/O itself. */
 public final class Forwarder implements Lender {
   private final CoreContext context;
   private final TargetRegistry targets;
-  private final ConfigurationKeeper configuration;
+  private final ConfigurationHolder configuration;
   private final ForwardPolicy policy;
   private final TargetPort port;
   private final ForwardObserver observer;
@@ -42,34 +42,34 @@
   private final TargetSelector selector;
   private final OverloadControl overload;
   private final RetryBudgets budgets;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
   private final PromptLocator prompts;
   private final PoisonControl poison;
-  private final TargetEnds targetEnds;
+  private final TargetExitDetector exitDetector;
   private final TargetLimits limits;
-  private final Rests rests;
-  private final StatementIntake statements;
-  private final Set<Exchange> open = new LinkedHashSet<>();
+  private final Rests backoffs;
+  private final AnnouncementReceiver announcements;
+  private final Set<Exchange> exchanges = new LinkedHashSet<>();
   private final Set<TargetId> probing = new HashSet<>();
 
   /**
-   * Makes a forwarder.
+   * Creates a forwarder.
    *
-   * @param directory the hosts that share the limits of all
-   * @param loans the way to those that lend what all hosts share
-   * @param loads what hosts tell each other of their load at targets
-   * @param rollouts which versions of targets requests may go to
-   * @param poison which requests are held back
+   * @param directory the known hosts, among which common limits are divided
+   * @param tokenPort requests tokens from other hosts
+   * @param loads exchanges the load at targets between hosts
+   * @param rollouts decides which versions of targets receive requests
+   * @param poison quarantines poison requests
    */
   public Forwarder(
       CoreContext context,
       TargetRegistry targets,
-      ConfigurationKeeper configuration,
+      ConfigurationHolder configuration,
       ForwardPolicy policy,
       TargetPort port,
       ForwardObserver observer,
       HostDirectory directory,
-      LoanPort loans,
+      LoanPort tokenPort,
       LoadExchange loads,
       RolloutControl rollouts,
       PoisonControl poison) {
@@ -81,162 +81,170 @@
     this.loads = loads;
     this.rollouts = rollouts;
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
-    this.limits = new TargetLimits(context, facts, directory, loans);
-    this.rests = new Rests(context, facts);
-    this.statements = new StatementIntake(context, facts, limits.book(), rests);
-    this.port = new ListeningPort(context, port, statements);
-    this.selector = new TargetSelector(context, targets, loads, directory, rests::restsElsewhere);
-    this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
-    this.stopPlan = new StopPlan(context);
-    this.prompts = new PromptLocator(context, targets, this.port, rests::isResting);
+    this.limits = new TargetLimits(context, facts, directory, tokenPort);
+    this.backoffs = new Rests(context, facts);
+    this.announcements = new AnnouncementReceiver(context, facts, limits.book(), backoffs);
+    this.port = new ObservingTargetPort(context, port, announcements);
+    this.selector =
+        new TargetSelector(context, targets, loads, directory, backoffs::restsElsewhere);
+    this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, tokenPort);
+    this.shutdownPolicy = new ShutdownPolicy(context);
+    this.prompts = new PromptLocator(context, targets, this.port, backoffs::isResting);
     this.poison = poison;
-    this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
+    this.exitDetector =
+        new TargetExitDetector(context, this.port, poison, policy.probeTimeoutMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
+        new OverloadControl(context, targets, loads, limits.book()::perSecond, backoffs::isResting);
     loads.exchangeTargetFacts(facts);
-    facts.onNews(this::hear);
-    poison.onHeld(this::hold);
+    facts.onNews(this::onTargetFact);
+    poison.onHeld(this::onQuarantined);
   }
 
-  /** A target has said something, here or to another host. */
-  private void hear(TargetFact fact) {
+  /** Handles an announcement of a target, received by this host or by another one. */
+  private void onTargetFact(TargetFact fact) {
     if (fact.kind() == FactKind.LEAVING) {
       targets.leaving(fact.target());
     }
     loads.changed();
   }
 
-  /** Takes a whole request in; it is answered through {@code caller}, perhaps at once. */
+  /**
+   * Accepts a complete request; the response is sent through {@code caller}, possibly before this
+   * returns.
+   *
+   * <p>Returns the exchange, or empty if the request was rejected before one was created.
+   */
   public Optional<Exchange> accept(ForwardRequest request, CallerPort caller) {
-    ConfigurationKeeper.Lookup found =
-        configuration.find(request.hostName(), request.path(), request.key());
-    if (found instanceof ConfigurationKeeper.Lookup.Allowed allowed) {
-      if (!stopPlan.takes(allowed.route().kind())) {
-        refuse(request, caller, Refusal.STOPPING);
+    ConfigurationHolder.Lookup found =
+        configuration.lookUp(request.hostName(), request.path(), request.key());
+    if (found instanceof ConfigurationHolder.Lookup.Allowed allowed) {
+      if (!shutdownPolicy.accepts(allowed.route().kind())) {
+        reject(request, caller, Rejection.STOPPING);
         return Optional.empty();
       }
       Exchange exchange = new Exchange(this, request, caller, allowed);
-      open.add(exchange);
+      exchanges.add(exchange);
       exchange.start();
       return Optional.of(exchange);
     }
-    refuse(request, caller, ((ConfigurationKeeper.Lookup.Denied) found).refusal());
+    reject(request, caller, ((ConfigurationHolder.Lookup.Denied) found).rejection());
     return Optional.empty();
   }
 
-  /** Refuses a request that this host has not taken up. */
-  private void refuse(ForwardRequest request, CallerPort caller, Refusal refusal) {
-    caller.refuse(refusal, policy.retryAfterMillis());
+  /** Rejects a request for which no exchange was created. */
+  private void reject(ForwardRequest request, CallerPort caller, Rejection rejection) {
+    caller.reject(rejection, policy.retryAfterMillis());
     context.note(
         EventCode.REQUEST_REFUSED,
         request.id(),
         "reason="
-            + refusal
+            + rejection
             + " configuration="
             + configuration.version()
             + " ageMillis="
             + configuration.ageMillis());
-    observer.refused(refusal);
+    observer.recordRejection(rejection);
   }
 
-  /** Returns how many requests are not answered yet. */
-  public int openExchanges() {
-    return open.size();
+  /** Returns how many requests are still open. */
+  public int openExchangeCount() {
+    return exchanges.size();
   }
 
   /**
-   * Begins to stop.
+   * Starts the shutdown.
    *
-   * @param lastTakenAt when the last new request is taken
-   * @param endAt when everything has to be over
+   * @param lastAcceptedAt when the last new request is accepted
+   * @param endAt when all requests must have ended
    */
-  public void beginStop(long lastTakenAt, long endAt) {
-    stopPlan.begin(lastTakenAt, endAt);
+  public void beginShutdown(long lastAcceptedAt, long endAt) {
+    shutdownPolicy.begin(lastAcceptedAt, endAt);
   }
 
-  /** Returns whether this host has begun to stop. */
   boolean isStopping() {
-    return stopPlan.isStopping();
+    return shutdownPolicy.isStopping();
   }
 
-  /** Breaks all open requests off because this host stops. */
+  /** Ends all open requests because this host is shutting down. */
   public void stopAll() {
-    List.copyOf(open).forEach(Exchange::stop);
+    List.copyOf(exchanges).forEach(Exchange::endForShutdown);
   }
 
-  /** Asks a target whether it works, unless it is being asked already. */
+  /** Probes a target, unless a probe of it is already pending. */
   void probe(TargetState target) {
     TargetId id = target.description().id();
     if (!probing.add(id)) {
       return;
     }
-    long askedAt = context.now();
+    long probedAt = context.now();
     port.probe(
         target.description(),
-        policy.unreachableMillis(),
+        policy.probeTimeoutMillis(),
         result -> {
           probing.remove(id);
-          if (result.isAnswer()) {
+          if (result.isResponse()) {
             targets.answered(target);
           } else {
-            lost(target, askedAt);
+            onTargetUnreachable(target, probedAt);
           }
         });
   }
 
-  /** Moves every stream that was silent since the probe began. */
-  private void lost(TargetState target, long askedAt) {
+  /** Moves every stream from the target that has received no data since the probe was sent. */
+  private void onTargetUnreachable(TargetState target, long probedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.failed(target, TargetFailure.TIMEOUT);
     loads.changed();
-    for (Exchange exchange : List.copyOf(open)) {
-      boolean concerned =
-          exchange.mayMove()
+    for (Exchange exchange : List.copyOf(exchanges)) {
+      boolean isAffected =
+          exchange.canMove()
               && exchange.currentTarget().isPresent()
-              && SilenceWatch.isSilent(exchange.attempt(), target, askedAt);
-      if (concerned) {
-        exchange.targetLost(TargetFailure.TIMEOUT);
+              && StallDetector.isSilentSince(exchange.attempt(), target, probedAt);
+      if (isAffected) {
+        exchange.onTargetLost(TargetFailure.TIMEOUT);
       }
     }
   }
 
-  /** A request is held back from now on; what of it has not shown that it runs is ended. */
-  private void hold(Fingerprint request) {
-    List.copyOf(open).stream()
+  /**
+   * Ends the exchanges of a quarantined request, except streams that are already being delivered.
+   */
+  private void onQuarantined(Fingerprint request) {
+    List.copyOf(exchanges).stream()
         .filter(exchange -> exchange.poison().fingerprint().equals(request))
-        .forEach(Exchange::held);
+        .forEach(Exchange::onQuarantined);
   }
 
   @Override
-  public void lend(LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+  public void lend(LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
     if (subject instanceof LoanSubject.Requests requests) {
-      limits.lend(requests, count, answer);
+      limits.lend(requests, count, callback);
     } else if (subject instanceof LoanSubject.Repeats repeats) {
-      answer.accept(Optional.of(new Loan(lendRepeats(repeats.service(), count), 0)));
+      callback.accept(Optional.of(new Loan(issueRetries(repeats.service(), count), 0)));
     }
   }
 
-  private int lendRepeats(ServiceName service, int count) {
-    int lent = budgets.lend(service, count);
-    context.note(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + lent);
-    return lent;
+  private int issueRetries(ServiceName service, int count) {
+    int granted = budgets.issue(service, count);
+    context.note(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + granted);
+    return granted;
   }
 
-  void over(Exchange exchange) {
-    open.remove(exchange);
+  void onFinished(Exchange exchange) {
+    exchanges.remove(exchange);
   }
 
-  void answered(Route route, long millis) {
-    stopPlan.lasted(route.kind(), millis);
-    observer.answered(route, millis);
+  void recordResponse(Route route, long millis) {
+    shutdownPolicy.recordDuration(route.kind(), millis);
+    observer.recordResponse(route, millis);
   }
 
-  void refused(Refusal refusal) {
-    observer.refused(refusal);
+  void recordRejection(Rejection rejection) {
+    observer.recordRejection(rejection);
   }
 
-  void interrupted(Route route) {
-    observer.interrupted(route);
+  void recordInterruption(Route route) {
+    observer.recordInterruption(route);
   }
 
   CoreContext context() {
@@ -247,7 +255,7 @@
     return targets;
   }
 
-  ConfigurationKeeper configuration() {
+  ConfigurationHolder configuration() {
     return configuration;
   }
 
@@ -279,23 +287,20 @@
     return poison;
   }
 
-  TargetEnds targetEnds() {
-    return targetEnds;
+  TargetExitDetector exitDetector() {
+    return exitDetector;
   }
 
-  /** Returns what keeps to the limits that targets name. */
   public TargetLimits limits() {
     return limits;
   }
 
-  /** Returns the targets that want nothing from this host for now. */
-  public Rests rests() {
-    return rests;
+  public Rests backoffs() {
+    return backoffs;
   }
 
-  /** Returns what takes in what targets say of themselves. */
-  StatementIntake statements() {
-    return statements;
+  AnnouncementReceiver announcements() {
+    return announcements;
   }
 
   OverloadControl overload() {
--- /dev/null
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
@@ -0,0 +1,119 @@
+package org.gatereel.core.forward;
+
+import com.google.common.base.Supplier;
+import com.google.common.base.Suppliers;
+import org.gatereel.core.event.TargetFailure;
+import org.gatereel.core.poison.Fingerprint;
+import org.gatereel.core.poison.PoisonControl;
+import org.gatereel.core.poison.PoisonFact;
+
+/**
+ * Reports to {@link PoisonControl} whether targets crash under one request.
+ *
+ * <p>An execution that fails just after its start, or before a response head, may have crashed its
+ * target; one that lasted has not. {@link PoisonControl} takes into account which other requests
+ * were at the same target.
+ */
+final class PoisonDetector {
+  /** A failure within this time after the response head may be a crash caused by the request. */
+  static final long MAX_CRASH_DELAY_MILLIS = 400;
+
+  /** A request that executes for this long after the response head is not a poison request. */
+  static final long MIN_HARMLESS_MILLIS = 1_000;
+
+  private final Forwarder forwarder;
+  private final PoisonControl poison;
+  private final Supplier<Fingerprint> fingerprint;
+  private boolean harmless;
+
+  /**
+   * Creates a detector.
+   *
+   * @param fingerprint computes the request's fingerprint; called at most once
+   */
+  PoisonDetector(Forwarder forwarder, Supplier<Fingerprint> fingerprint) {
+    this.forwarder = forwarder;
+    this.poison = forwarder.poison();
+    this.fingerprint = Suppliers.memoize(fingerprint);
+  }
+
+  Fingerprint fingerprint() {
+    return fingerprint.get();
+  }
+
+  boolean isQuarantined() {
+    return poison.isHeld(fingerprint);
+  }
+
+  /** Returns the reason for the quarantine as {@code key=value} pairs for the log. */
+  String reason() {
+    return "request=" + fingerprint() + " ends=" + poison.ends(fingerprint());
+  }
+
+  /** Records that an attempt has received another event. */
+  void recordProgress(Attempt attempt) {
+    if (!harmless && executionMillis(attempt, now()) >= MIN_HARMLESS_MILLIS) {
+      recordSuccess();
+    }
+  }
+
+  /** Records that the request is harmless to its targets. */
+  void recordSuccess() {
+    harmless = true;
+    poison.ranWell(fingerprint);
+  }
+
+  /**
+   * Records a failed attempt.
+   *
+   * @param mayHaveExecuted whether the target may have executed the request
+   */
+  void recordFailure(Attempt attempt, TargetFailure failure, boolean mayHaveExecuted) {
+    if (mayHaveExecuted && mayHaveCrashedTarget(attempt, failure)) {
+      forwarder.exitDetector().recordFailure(attempt.target(), fingerprint(), attempt.startedAt());
+    }
+  }
+
+  /** Records that a probe found the target's process ended after its connection closed. */
+  void recordTargetGone(Attempt attempt) {
+    if (!harmless && executionMillis(attempt, attempt.endedAt()) <= MAX_CRASH_DELAY_MILLIS) {
+      poison.ended(
+          PoisonFact.end(
+              fingerprint(),
+              attempt.target().description().id(),
+              attempt.startedAt(),
+              attempt.endedAt()));
+    }
+  }
+
+  /**
+   * Targets already probed at the end of the response are excluded: the probe's result was used.
+   */
+  private boolean mayHaveCrashedTarget(Attempt attempt, TargetFailure failure) {
+    boolean isTimeout = failure == TargetFailure.TIMEOUT;
+    boolean isBroken = isTimeout || failure == TargetFailure.RESET;
+    long until = isTimeout ? attempt.lastDataAt() : now();
+    boolean isJustStarted = !harmless && executionMillis(attempt, until) <= MAX_CRASH_DELAY_MILLIS;
+    return isBroken && isJustStarted && !attempt.wasProbed();
+  }
+
+  /**
+   * Runs a step now; but if one more crash could quarantine the request, only after a probe of the
+   * last target.
+   */
+  void beforeNextAttempt(Attempt lastAttempt, Runnable step) {
+    if (poison.isInDoubt(fingerprint)) {
+      forwarder.exitDetector().afterFirstProbe(lastAttempt.target(), step);
+    } else {
+      step.run();
+    }
+  }
+
+  private static long executionMillis(Attempt attempt, long until) {
+    return attempt.headAt().isPresent() ? until - attempt.headAt().getAsLong() : 0;
+  }
+
+  private long now() {
+    return forwarder.context().now();
+  }
+}
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -6,101 +6,101 @@
 import org.gatereel.core.internal.CoreContext;
 
 /**
- * Asks a dependency the same question again and again, and says when it is lost and regained.
+ * Queries a dependency repeatedly, and logs when it becomes unavailable and available again.
  *
- * <p>One question is open at a time. After a failure the next one follows sooner than usual, and
- * later with each further failure up to the usual interval, since refused questions cost as much as
- * others.
+ * <p>At most one query is open at a time. Retries after a failure start with a short delay that
+ * doubles up to the usual interval.
  */
 public final class Poller {
-  private static final long FIRST_RETRY_MILLIS = 200;
+  private static final long MIN_RETRY_DELAY_MILLIS = 200;
 
-  /** Questions have time-outs of their own; one that is never settled must not be the last. */
-  private static final long LONGEST_QUESTION_MILLIS = 6_000;
+  /** Limits a query whose own timeout fails to complete it. */
+  private static final long QUERY_TIMEOUT_MILLIS = 6_000;
 
   private final CoreContext context;
   private final String dependency;
   private final LongSupplier intervalMillis;
-  private final Question question;
-  private long retryMillis = FIRST_RETRY_MILLIS;
-  private long asked;
-  private long settled;
-  private boolean lost;
+  private final Query query;
+  private long retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+  private long queryCount;
+  private long completedQuery;
+  private boolean unavailable;
   private boolean stopped;
 
-  /** Puts the question. */
-  public interface Question {
+  /** Sends one query. */
+  public interface Query {
     /**
-     * Asks; {@code askedAt} is the present time, by which the answer's age will be taken. The reply
-     * is called exactly once, later.
+     * Sends the query and calls {@code completion} exactly once, later.
+     *
+     * @param queriedAt the current time, to which the response's age refers
      */
-    void ask(long askedAt, Reply reply);
+    void send(long queriedAt, Completion completion);
   }
 
-  /** Takes what came of a question. */
-  public interface Reply {
-    /** Takes the problem that made the answer useless, or nothing if it was taken in. */
-    void settled(Optional<String> problem);
+  /** Receives the result of a query. */
+  public interface Completion {
+    /** Completes the query; {@code problem} is empty if the response was accepted. */
+    void complete(Optional<String> problem);
   }
 
   /**
-   * Makes a poller.
+   * Creates a poller.
    *
-   * @param intervalMillis tells how long after a question the next one is due
+   * @param intervalMillis returns the interval from the start of one query to the next
    */
-  public Poller(
-      CoreContext context, String dependency, LongSupplier intervalMillis, Question question) {
+  public Poller(CoreContext context, String dependency, LongSupplier intervalMillis, Query query) {
     this.context = context;
     this.dependency = dependency;
     this.intervalMillis = intervalMillis;
-    this.question = question;
+    this.query = query;
   }
 
-  /** Asks for the first time now. */
+  /** Sends the first query. */
   public void start() {
-    ask();
+    sendQuery();
   }
 
-  /** Asks no more. */
+  /** Stops after the query that is open, if any. */
   public void stop() {
     stopped = true;
   }
 
-  private void ask() {
+  private void sendQuery() {
     if (stopped) {
       return;
     }
-    long askedAt = context.now();
-    asked++;
-    long number = asked;
+    long queriedAt = context.now();
+    queryCount++;
+    long number = queryCount;
     context.after(
-        LONGEST_QUESTION_MILLIS, () -> settle(number, askedAt, Optional.of("never settled")));
-    question.ask(context.knowledgeTime(), problem -> settle(number, askedAt, problem));
+        QUERY_TIMEOUT_MILLIS, () -> complete(number, queriedAt, Optional.of("no response")));
+    query.send(context.knowledgeTime(), problem -> complete(number, queriedAt, problem));
   }
 
-  private void settle(long number, long askedAt, Optional<String> problem) {
-    if (number != asked || number == settled) {
+  private void complete(long number, long queriedAt, Optional<String> problem) {
+    if (number != queryCount || number == completedQuery) {
       return;
     }
-    settled = number;
+    completedQuery = number;
     if (problem.isPresent()) {
-      failed(problem.get());
+      onFailure(problem.get());
       return;
     }
-    retryMillis = FIRST_RETRY_MILLIS;
-    if (lost) {
-      lost = false;
+    retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
+    if (unavailable) {
+      unavailable = false;
       context.note(EventCode.PLATFORM_REACHED, dependency, "");
     }
-    context.after(Math.max(0, askedAt + intervalMillis.getAsLong() - context.now()), this::ask);
+    context.after(
+        Math.max(0, queriedAt + intervalMillis.getAsLong() - context.now()), this::sendQuery);
   }
 
-  private void failed(String problem) {
-    if (!lost) {
-      lost = true;
+  private void onFailure(String problem) {
+    if (!unavailable) {
+      unavailable = true;
       context.note(EventCode.PLATFORM_LOST, dependency, problem);
     }
-    context.after(retryMillis, this::ask);
-    retryMillis = Math.min(intervalMillis.getAsLong(), retryMillis * 2);
+    context.after(retryDelayMillis, this::sendQuery);
+    retryDelayMillis = Math.min(intervalMillis.getAsLong(), retryDelayMillis * 2);
   }
 }
--- /dev/null
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
@@ -0,0 +1,122 @@
+package org.gatereel.core.forward;
+
+/**
+ * Decides whether a target's response has ended completely.
+ *
+ * <p>A response whose end the target marked is complete. After a closed connection the target is
+ * probed, since the crash of its process looks the same; the attempt stays open until the probe
+ * shows whether the target is alive. Each end gets a probe of its own, because the result of an
+ * earlier probe is outdated. A stream without events that ends by a closed connection has failed: a
+ * live process does not show that the request executed.
+ */
+final class ResponseEndCheck {
+  private static final int FIRST_PROBE = 1;
+
+  /**
+   * Two probes take three times the probe timeout, a pause that a stream may have without being
+   * late.
+   */
+  private static final int MAX_PROBES_OF_MOVABLE = 2;
+
+  /** Limits the timeout of one probe, so that several fit into a request's deadline. */
+  private static final int MAX_TIMEOUT_DOUBLINGS = 5;
+
+  private final Forwarder forwarder;
+  private final Exchange exchange;
+  private final StreamRelay relay;
+  private final ExchangeLog log;
+
+  ResponseEndCheck(Forwarder forwarder, Exchange exchange, StreamRelay relay, ExchangeLog log) {
+    this.forwarder = forwarder;
+    this.exchange = exchange;
+    this.relay = relay;
+    this.log = log;
+  }
+
+  /** Evaluates the end of an attempt's response and reports the result to the exchange. */
+  void onResponseEnd(Attempt from, ResponseEnd end) {
+    from.recordEnd(end, forwarder.context().now());
+    ResponseEndVerdict verdict = verdict(from);
+    apply(from, verdict);
+    if (verdict == ResponseEndVerdict.IN_DOUBT) {
+      probe(from, FIRST_PROBE);
+    }
+  }
+
+  private ResponseEndVerdict verdict(Attempt from) {
+    if (from.isEventStream()) {
+      if (from.events().isWithinEvent()) {
+        return ResponseEndVerdict.WITHIN_EVENT;
+      }
+      if (relay.isCallerAheadOf(from)) {
+        return ResponseEndVerdict.BEHIND_CALLER;
+      }
+      if (!from.end().isConfirmedByTarget() && !from.hasReceivedEvents()) {
+        return ResponseEndVerdict.WITHOUT_EVENT;
+      }
+    }
+    return from.end().isConfirmedByTarget()
+        ? ResponseEndVerdict.TARGETS_WORD
+        : ResponseEndVerdict.IN_DOUBT;
+  }
+
+  /** The attempt may have been closed since the probe was scheduled. */
+  private void probe(Attempt from, int number) {
+    if (from.isClosed()) {
+      return;
+    }
+    from.recordProbed();
+    long nextAt = forwarder.context().now() + probeTimeoutMillis(number);
+    forwarder
+        .port()
+        .probe(
+            from.target().description(),
+            probeTimeoutMillis(number),
+            result -> onProbeResult(from, number, nextAt, result));
+  }
+
+  /** Doubles the timeout with each probe, since a busy target responds slowly. */
+  private long probeTimeoutMillis(int number) {
+    return forwarder.policy().probeTimeoutMillis()
+        << Math.min(number - FIRST_PROBE, MAX_TIMEOUT_DOUBLINGS);
+  }
+
+  private void onProbeResult(Attempt from, int number, long nextAt, ProbeResult result) {
+    if (from.isClosed()) {
+      return;
+    }
+    switch (result) {
+      case ALIVE -> apply(from, ResponseEndVerdict.TARGET_ALIVE);
+      case GONE -> {
+        exchange.poison().recordTargetGone(from);
+        apply(from, ResponseEndVerdict.TARGET_GONE);
+      }
+      case ANSWERED, UNKNOWN -> probeAgainOrFail(from, number, nextAt);
+    }
+  }
+
+  /**
+   * Probes again, but not before the last probe's timeout is over. If the request can move to
+   * another target, the number of probes is limited; otherwise they continue until the request's
+   * deadline.
+   */
+  private void probeAgainOrFail(Attempt from, int number, long nextAt) {
+    if (exchange.canMove() && number >= MAX_PROBES_OF_MOVABLE) {
+      apply(from, ResponseEndVerdict.TARGET_SILENT);
+      return;
+    }
+    long delayMillis = Math.max(0, nextAt - forwarder.context().now());
+    forwarder.context().after(delayMillis, () -> probe(from, number + 1));
+  }
+
+  private void apply(Attempt from, ResponseEndVerdict verdict) {
+    if (from.isEventStream() || !from.end().isConfirmedByTarget()) {
+      log.logResponseEnded(from, verdict);
+    }
+    if (verdict.failure().isPresent()) {
+      exchange.onAttemptFailed(from, verdict.failure().get());
+    } else if (verdict != ResponseEndVerdict.IN_DOUBT) {
+      exchange.onCompleteResponse(from);
+    }
+  }
+}
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -11,22 +11,23 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * This host's part of each service's retry budget.
+ * This host's share of each service's retry budget.
  *
- * <p>Repeats in proportion to requests follow from what this host was asked itself. Of what is
- * allowed beside, one half is dealt out in equal parts, so that a host which reaches nobody has its
- * own. The other half is lent by one host of each data centre, the one that also reads the store:
- * when engines fail, a few hosts need many repeats at once and the others none.
+ * <p>Retries in proportion to requests follow from the requests that this host received. Half of
+ * the additional allowance is divided equally among all hosts, so that an isolated host keeps its
+ * own. The other half is granted on request by one host of each data centre, the one that also
+ * reads the store, because after engine failures a few hosts need many retries at once.
  *
- * <p>So the sum of all parts stays within the budget as long as hosts know how many they are and
- * agree on who lends. One that counts too few, as right after a first start, may take more than its
- * part; while a lender is replaced, two of them may each lend their data centre's part once.
+ * <p>The sum over all hosts stays within the budget as long as hosts agree on their number and on
+ * who grants. A host that counts too few hosts, as right after the first start, may exceed its
+ * share; while the granting host is being replaced, two hosts may each grant their data centre's
+ * share once.
  */
 final class RetryBudgets {
-  /** Kept back for what hosts count a little differently than an observer of all. */
-  private static final double MARGIN = 0.9;
+  /** Leaves room for differences between the hosts' counts. */
+  private static final double SAFETY_RATIO = 0.9;
 
-  private static final double LENT_PART = 0.5;
+  private static final double ISSUED_RATIO = 0.5;
 
   private final CoreContext context;
   private final ForwardPolicy.RetryLimit limit;
@@ -34,60 +35,60 @@
   private final LoanPort port;
   private final Map<ServiceName, Budget> budgets = new HashMap<>();
 
-  /** What this host knows of one service's budget. */
+  /** The budget of one service as this host knows it. */
   private final class Budget {
     private final ServiceName service;
-    private final RetryWindow own;
-    private final RetryWindow lent;
-    private final WaitingGroup waiting = new WaitingGroup();
+    private final RetryWindow local;
+    private final RetryWindow issued;
+    private final WaitingGroup waiters = new WaitingGroup();
 
     private Budget(ServiceName service) {
       this.service = service;
-      this.own = new RetryWindow(limit.windowMillis(), context.now());
-      this.lent = new RetryWindow(limit.windowMillis(), context.now());
+      this.local = new RetryWindow(limit.windowMillis(), context.now());
+      this.issued = new RetryWindow(limit.windowMillis(), context.now());
     }
 
-    private boolean takeOwn() {
-      double slack = (1 - LENT_PART) * MARGIN * limit.slack() / directory.hosts();
-      if (!own.hasRoom(context.now(), MARGIN * limit.ratio(), slack)) {
+    private boolean tryAcquireLocal() {
+      double slack = (1 - ISSUED_RATIO) * SAFETY_RATIO * limit.slack() / directory.hosts();
+      if (!local.hasRoom(context.now(), SAFETY_RATIO * limit.ratio(), slack)) {
         return false;
       }
-      own.countRepeat(context.now());
+      local.recordRetry(context.now());
       return true;
     }
 
-    private int lend(int count) {
-      double part = (double) directory.here() / directory.hosts();
-      double slack = LENT_PART * MARGIN * limit.slack() * part;
-      int lending = 0;
-      while (lending < count && lent.hasRoom(context.now(), 0, slack)) {
-        lent.countRepeat(context.now());
-        lending++;
+    private int issue(int count) {
+      double dataCentreRatio = (double) directory.here() / directory.hosts();
+      double slack = ISSUED_RATIO * SAFETY_RATIO * limit.slack() * dataCentreRatio;
+      int grantedCount = 0;
+      while (grantedCount < count && issued.hasRoom(context.now(), 0, slack)) {
+        issued.recordRetry(context.now());
+        grantedCount++;
       }
-      return lending;
+      return grantedCount;
     }
 
-    /** Asks for as many repeats as are waited for, unless an answer is still to come. */
-    private void borrow() {
-      int count = waiting.begin();
+    /** Requests one retry for each waiter, unless a request is already pending. */
+    private void requestTokens() {
+      int count = waiters.begin();
       if (count == 0) {
         return;
       }
       directory
-          .lender(context.now())
+          .issuer(context.now())
           .ifPresentOrElse(
-              lender ->
+              issuer ->
                   port.borrow(
-                      lender,
+                      issuer,
                       new LoanSubject.Repeats(service),
                       count,
-                      loan -> borrowed(count, loan.orElse(Loan.NONE).granted())),
-              () -> borrowed(count, lend(count)));
+                      grant -> onTokensGranted(count, grant.orElse(Loan.NONE).granted())),
+              () -> onTokensGranted(count, issue(count)));
     }
 
-    private void borrowed(int asked, int given) {
-      waiting.settle(asked, given);
-      borrow();
+    private void onTokensGranted(int requested, int grantedCount) {
+      waiters.settle(requested, grantedCount);
+      requestTokens();
     }
   }
 
@@ -99,25 +100,24 @@
     this.port = port;
   }
 
-  /** Notes a first request for a service. */
-  void earn(ServiceName service) {
-    budget(service).own.countRequest(context.now());
+  void recordRequest(ServiceName service) {
+    budget(service).local.recordRequest(context.now());
   }
 
-  /** Takes one repeat; {@code answer} is told, at once or later, whether there is one. */
-  void take(ServiceName service, Consumer<Boolean> answer) {
+  /** Takes one retry; {@code callback} receives, at once or later, whether it was granted. */
+  void acquire(ServiceName service, Consumer<Boolean> callback) {
     Budget budget = budget(service);
-    if (budget.takeOwn()) {
-      answer.accept(true);
+    if (budget.tryAcquireLocal()) {
+      callback.accept(true);
       return;
     }
-    budget.waiting.add(answer);
-    budget.borrow();
+    budget.waiters.add(callback);
+    budget.requestTokens();
   }
 
-  /** Lends repeats to a host of this data centre; returns how many of those asked for. */
-  int lend(ServiceName service, int count) {
-    return budget(service).lend(count);
+  /** Grants retries to a host of this data centre; returns how many of {@code count}. */
+  int issue(ServiceName service, int count) {
+    return budget(service).issue(count);
   }
 
   private Budget budget(ServiceName service) {
--- /dev/null
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
@@ -0,0 +1,76 @@
+package org.gatereel.core.forward;
+
+import org.gatereel.core.event.TargetFailure;
+import org.gatereel.core.internal.TimerQueue;
+import org.gatereel.core.target.TargetState;
+
+/**
+ * Detects that the target of a stream has stopped sending.
+ *
+ * <p>A pause may also have harmless causes, such as another request's prefill. So a silent target
+ * is probed, and the attempt fails only if the probe does, or after a much longer silence.
+ */
+final class StallDetector {
+  private final Forwarder forwarder;
+  private final Exchange exchange;
+  private final Route route;
+  private TimerQueue.Timer timer;
+
+  StallDetector(Forwarder forwarder, Exchange exchange, Route route) {
+    this.forwarder = forwarder;
+    this.exchange = exchange;
+    this.route = route;
+  }
+
+  /** Starts to watch an attempt, instead of the one watched before. */
+  void watch(Attempt attempt) {
+    stop();
+    if (route.kind() == RouteKind.STREAM && exchange.canMove()) {
+      schedule(attempt, probeDelayMillis(attempt));
+    }
+  }
+
+  void stop() {
+    if (timer != null) {
+      timer.cancel();
+      timer = null;
+    }
+  }
+
+  private long probeDelayMillis(Attempt attempt) {
+    ForwardPolicy policy = forwarder.policy();
+    return attempt.hasForwardedEvents()
+        ? policy.probeDelayMillis(route)
+        : policy.firstEventProbeMillis();
+  }
+
+  private void schedule(Attempt attempt, long millis) {
+    timer = forwarder.context().after(millis, () -> check(attempt));
+  }
+
+  private void check(Attempt attempt) {
+    if (attempt.isClosed()) {
+      return;
+    }
+    long silentMillis = forwarder.context().now() - attempt.lastDataAt();
+    long delayMillis = probeDelayMillis(attempt);
+    if (silentMillis < delayMillis) {
+      schedule(attempt, delayMillis - silentMillis);
+    } else if (isStalled(attempt, silentMillis)) {
+      exchange.onTargetLost(TargetFailure.TIMEOUT);
+    } else {
+      forwarder.probe(attempt.target());
+      schedule(attempt, delayMillis);
+    }
+  }
+
+  private boolean isStalled(Attempt attempt, long silentMillis) {
+    return attempt.hasForwardedEvents()
+        && silentMillis >= forwarder.policy().stallTimeoutMillis(route);
+  }
+
+  /** Returns whether an attempt at the target has received no data since a time. */
+  static boolean isSilentSince(Attempt attempt, TargetState target, long since) {
+    return attempt.target() == target && attempt.lastDataAt() <= since;
+  }
+}
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -5,60 +5,62 @@
 import org.gatereel.core.internal.CoreContext;
 
 /**
- * Passes the events of a stream on, each once and in order, whichever attempt they come from.
+ * Forwards the events of a stream to the caller, each once and in order, across attempts.
  *
- * <p>Ids rise by one, from wherever the first run begins. The first events of a run may repeat what
- * the caller has, and are passed over; an event that is not the next one of its run, or before
- * which the caller misses one, ends the attempt. After an event without an id no other run can tell
- * where to go on.
+ * <p>Event ids increase by one, starting at any id. Events that the caller already has are dropped.
+ * An event that is out of sequence, or that would leave a gap for the caller, fails the attempt.
+ * After an event without an id the stream cannot be resumed.
  */
 final class StreamRelay {
-  private static final int LONGEST_EVENT_BYTES = 1 << 20;
+  private static final int MAX_EVENT_BYTES = 1 << 20;
 
   private final Exchange exchange;
   private final CoreContext context;
   private final ForwardRequest request;
-  private final Reply reply;
+  private final CallerResponse callerResponse;
   private final Route route;
   private OptionalLong lastEventId;
-  private boolean hasPassed;
-  private boolean hasUnnumbered;
-  private long passedAt;
+  private boolean hasForwarded;
+  private boolean hasEventWithoutId;
+  private long forwardedAt;
 
   StreamRelay(
-      Exchange exchange, CoreContext context, ForwardRequest request, Reply reply, Route route) {
+      Exchange exchange,
+      CoreContext context,
+      ForwardRequest request,
+      CallerResponse callerResponse,
+      Route route) {
     this.exchange = exchange;
     this.context = context;
     this.request = request;
-    this.reply = reply;
+    this.callerResponse = callerResponse;
     this.route = route;
     this.lastEventId = request.lastEventId();
   }
 
-  /** Returns the last event that the caller has. */
   OptionalLong lastEventId() {
     return lastEventId;
   }
 
-  /** Returns whether another target could go on, so that the caller has each event once. */
-  boolean canGoOnElsewhere() {
-    boolean startsAnew = reply.hasBegun() && !hasPassed;
-    return !hasUnnumbered && (lastEventId.isPresent() || startsAnew);
+  /** Returns whether another target could resume the stream without a lost or repeated event. */
+  boolean canResumeElsewhere() {
+    boolean hasNoEventsYet = callerResponse.hasBegun() && !hasForwarded;
+    return !hasEventWithoutId && (lastEventId.isPresent() || hasNoEventsYet);
   }
 
-  /** Returns whether a run has not come up to the last event that the caller has. */
-  boolean isCallerAheadOf(Attempt run) {
-    OptionalLong last = run.lastOfRun();
-    return last.isPresent()
+  /** Returns whether an attempt's events end before the last event that the caller has. */
+  boolean isCallerAheadOf(Attempt attempt) {
+    OptionalLong lastReceived = attempt.lastReceivedEventId();
+    return lastReceived.isPresent()
         && lastEventId.isPresent()
-        && last.getAsLong() < lastEventId.getAsLong();
+        && lastReceived.getAsLong() < lastEventId.getAsLong();
   }
 
   /**
-   * Passes on what bytes of an attempt complete; returns false if the attempt is of no more use.
-   * The caller may be found gone within a write; nothing more is written then.
+   * Forwards the events that the bytes complete; returns false if the attempt must fail. Stops if a
+   * write shows that the caller is gone.
    */
-  boolean pass(Attempt from, byte[] bytes) {
+  boolean forward(Attempt from, byte[] bytes) {
     for (StreamEvent event : from.events().read(bytes)) {
       if (from.isClosed()) {
         return true;
@@ -68,18 +70,18 @@
         continue;
       }
       if (!isInOrder(from, event)) {
-        noteMisplaced(from, event);
+        logMisplaced(from, event);
         return false;
       }
-      event.id().ifPresent(from::noteCame);
-      if (!isKnown(event)) {
-        pass(from, event);
+      event.id().ifPresent(from::recordReceived);
+      if (!isAlreadyForwarded(event)) {
+        forward(from, event);
       }
     }
-    return from.events().pendingBytes() <= LONGEST_EVENT_BYTES;
+    return from.events().pendingBytes() <= MAX_EVENT_BYTES;
   }
 
-  private boolean isKnown(StreamEvent event) {
+  private boolean isAlreadyForwarded(StreamEvent event) {
     return event.id().isPresent()
         && lastEventId.isPresent()
         && event.id().getAsLong() <= lastEventId.getAsLong();
@@ -87,22 +89,24 @@
 
   private boolean isInOrder(Attempt from, StreamEvent event) {
     if (event.id().isEmpty()) {
-      return hasPlaceWithoutId(from);
+      return mayLackId(from);
     }
     long id = event.id().getAsLong();
-    if (from.lastOfRun().isPresent()) {
-      return id == from.lastOfRun().getAsLong() + 1;
+    if (from.lastReceivedEventId().isPresent()) {
+      return id == from.lastReceivedEventId().getAsLong() + 1;
     }
     return lastEventId.isEmpty() || id <= lastEventId.getAsLong() + 1;
   }
 
-  /** An event without an id stands where its run does; only there can it be no repeat. */
-  private boolean hasPlaceWithoutId(Attempt from) {
-    boolean callerHasNothing = !hasPassed && lastEventId.isEmpty();
-    return callerHasNothing || from.hasEvents() || from.lastOfRun().equals(lastEventId);
+  /** An event without an id is only accepted where it cannot be a repeated one. */
+  private boolean mayLackId(Attempt from) {
+    boolean callerHasNothing = !hasForwarded && lastEventId.isEmpty();
+    return callerHasNothing
+        || from.hasForwardedEvents()
+        || from.lastReceivedEventId().equals(lastEventId);
   }
 
-  private void noteMisplaced(Attempt from, StreamEvent event) {
+  private void logMisplaced(Attempt from, StreamEvent event) {
     context.note(
         EventCode.EVENT_MISPLACED,
         request.id(),
@@ -111,48 +115,48 @@
             + " event="
             + event.id().orElse(-1)
             + " lastOfRun="
-            + from.lastOfRun().orElse(-1)
+            + from.lastReceivedEventId().orElse(-1)
             + " lastEvent="
             + lastEventId.orElse(-1));
   }
 
-  private void pass(Attempt from, StreamEvent event) {
-    boolean first = !from.hasEvents();
-    from.notePassed();
-    if (first) {
-      exchange.firstEvent(from);
+  private void forward(Attempt from, StreamEvent event) {
+    boolean isFirst = !from.hasForwardedEvents();
+    from.recordForwarded();
+    if (isFirst) {
+      exchange.onFirstEvent(from);
     }
     if (event.id().isPresent()) {
       lastEventId = event.id();
     } else {
-      hasUnnumbered = true;
+      hasEventWithoutId = true;
     }
-    if (hasPassed) {
-      notePause(from);
+    if (hasForwarded) {
+      logPause(from);
     }
-    hasPassed = true;
-    passedAt = context.now();
+    hasForwarded = true;
+    forwardedAt = context.now();
     write(from, event);
   }
 
   private void write(Attempt from, StreamEvent event) {
-    reply.begin(from.head());
-    reply.write(event.bytes());
+    callerResponse.begin(from.head());
+    callerResponse.write(event.bytes());
   }
 
-  /** Logs a pause that makes the stream late, with what probably caused it. */
-  private void notePause(Attempt from) {
-    long pause = context.now() - passedAt;
-    if (route.gapMillis() <= 0 || pause <= route.gapMillis()) {
+  /** Logs a pause that exceeds the route's objective, with its probable causes. */
+  private void logPause(Attempt from) {
+    long pauseMillis = context.now() - forwardedAt;
+    if (route.gapObjectiveMillis() <= 0 || pauseMillis <= route.gapObjectiveMillis()) {
       return;
     }
     context.note(
         EventCode.STREAM_PAUSED,
         request.id(),
         "pauseMillis="
-            + pause
+            + pauseMillis
             + " moved="
-            + (from.startedAt() > passedAt)
+            + (from.startedAt() > forwardedAt)
             + " fromCopy="
             + from.isContinuation()
             + " target="
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -42,7 +42,7 @@
           new HostDirectory.Entry("peer" + number, place, new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(entries, 0);
+      world.directory.update(entries, 0);
     }
   }
 
@@ -95,10 +95,10 @@
     ask("/safe/x");
     String target = world.last().target();
     SentCall call = world.last().accepted();
-    call.listener.answered(
+    call.listener.onHead(
         new ForwardWorld.Head(
             200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
-    call.listener.ended(AnswerEnd.LAST_CHUNK);
+    call.listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
@@ -112,7 +112,7 @@
     ask("/safe/x");
     SentCall call = world.last().accepted();
 
-    call.listener.answered(
+    call.listener.onHead(
         new ForwardWorld.Head(
             503, true, false, false, Statements.NONE.withLimit(Statement.number(0.5))));
 
@@ -132,7 +132,7 @@
         .last()
         .accepted()
         .listener
-        .answered(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
+        .onHead(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
 
     assertEquals(5, world.forwarder.limits().book().perSecond(new TargetId(target)));
   }
@@ -167,7 +167,7 @@
 
     world.pass(101);
 
-    assertEquals(Refusal.OVERLOADED, caller.refusal);
+    assertEquals(Rejection.OVERLOADED, caller.refusal);
     assertTrue(world.sent.isEmpty());
   }
 
@@ -191,7 +191,7 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     String target = questioned();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
 
     answer(ONE);
 
@@ -208,7 +208,7 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     String target = questioned();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
     answer(ONE);
 
     world.pass(501);
@@ -225,7 +225,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.NOT_STARTED_IN_TIME, caller.refusal);
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
     answer(ONE);
     assertTrue(world.sent.isEmpty());
   }
@@ -237,7 +237,7 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.refusal);
     answer(ONE);
     assertTrue(world.sent.isEmpty());
   }
@@ -359,6 +359,6 @@
 
     assertEquals(3, world.sent.size());
     world.pass(101);
-    assertEquals(Refusal.OVERLOADED, callers.get(3).refusal);
+    assertEquals(Rejection.OVERLOADED, callers.get(3).refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
@@ -28,7 +28,7 @@
               "peer" + number, new DataCentre("north"), new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
-      world.directory.learn(entries, 0);
+      world.directory.update(entries, 0);
     }
   }
 
@@ -64,14 +64,14 @@
 
     world.borrowing.get(0).accept(0);
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 
   @Test
   void sendsNothingForACallerWhoLeftMeanwhile() {
     waitForRepeat();
     int before = world.sent.size();
-    exchange.callerGone();
+    exchange.onCallerDisconnected();
 
     world.borrowing.get(0).accept(1);
 
@@ -85,7 +85,7 @@
 
     world.pass(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Refusal.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.refusal);
     world.borrowing.get(0).accept(1);
     assertFalse(caller.finished);
   }
@@ -96,6 +96,6 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Refusal.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListKeeperTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
@@ -21,14 +21,14 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.junit.jupiter.api.Test;
 
-class TargetListKeeperTest {
+class TargetListUpdaterTest {
   private static final ServiceName ENGINES = new ServiceName("engines");
   private static final DataCentre NORTH = new DataCentre("north");
 
   private final CoreContext context =
       new CoreContext(new HostId("host"), NORTH, new SplittableRandom(1));
   private final TargetRegistry registry = new TargetRegistry(context, new PolicyTable());
-  private final TargetListKeeper keeper = new TargetListKeeper(registry, 2_000);
+  private final TargetListUpdater keeper = new TargetListUpdater(registry, 2_000);
   private long version;
 
   private HostList list(String... ids) {
@@ -50,27 +50,27 @@
 
   @Test
   void aMissingEntryMeansThatTheTargetIsGone() {
-    keeper.learn(list("e1", "e2"), 0);
-    keeper.learn(list("e1", "e2"), 1_000);
-    keeper.learn(list("e1"), 2_000);
-    keeper.learn(list("e1"), 2_600);
+    keeper.update(list("e1", "e2"), 0);
+    keeper.update(list("e1", "e2"), 1_000);
+    keeper.update(list("e1"), 2_000);
+    keeper.update(list("e1"), 2_600);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
   void entriesThatLapsedWhileTheStoreWasAwayAreWaitedFor() {
-    keeper.learn(list("e1", "e2", "e3"), 0);
-    keeper.learn(list("e1"), 5_000);
-    keeper.learn(list("e1", "e2"), 6_900);
+    keeper.update(list("e1", "e2", "e3"), 0);
+    keeper.update(list("e1"), 5_000);
+    keeper.update(list("e1", "e2"), 6_900);
     assertEquals(Set.of("e1", "e2", "e3"), usable());
-    keeper.learn(list("e1", "e2"), 7_000);
+    keeper.update(list("e1", "e2"), 7_000);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 
   @Test
   void aTargetThatIsListedAsLeavingWhenTheStoreReturnsIsLeft() {
-    keeper.learn(list("e1", "e2"), 0);
-    keeper.learn(
+    keeper.update(list("e1", "e2"), 0);
+    keeper.update(
         new HostList(++version, List.of(), List.of(target("e2", LifeState.LEAVING))), 5_000);
     assertEquals(Set.of("e1"), usable());
   }
@@ -78,18 +78,18 @@
   /** Where changes may take long, lists come rarely; the store is not away between two of them. */
   @Test
   void listsThatComeRarelyBecauseTheBoundIsLongAreNotTakenForAStoreThatWasAway() {
-    TargetListKeeper rare = new TargetListKeeper(registry, 12_000);
-    rare.learn(list("e1", "e2"), 0);
-    rare.learn(list("e1", "e2"), 3_600);
-    rare.learn(list("e1"), 7_200);
+    TargetListUpdater rare = new TargetListUpdater(registry, 12_000);
+    rare.update(list("e1", "e2"), 0);
+    rare.update(list("e1", "e2"), 3_600);
+    rare.update(list("e1"), 7_200);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
   void anOlderListChangesNothing() {
-    keeper.learn(list("e1", "e2"), 5_000);
-    keeper.learn(list("e1", "e2"), 7_500);
-    keeper.learn(list("e1"), 7_400);
+    keeper.update(list("e1", "e2"), 5_000);
+    keeper.update(list("e1", "e2"), 7_500);
+    keeper.update(list("e1"), 7_400);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.forward.Exchange;
-import org.gatereel.core.forward.Refusal;
+import org.gatereel.core.forward.Rejection;
 
 /**
  * One caller's connection: its requests are answered one after the other, in their order.
@@ -60,19 +60,19 @@
     guard.holdBack();
     CallerAnswer mine = new CallerAnswer(this, channel, request, mayStayOpen(request));
     if (request.decoderResult().isFailure()) {
-      mine.refuse(refusal(request.decoderResult().cause()), 0);
+      mine.reject(refusal(request.decoderResult().cause()), 0);
       return;
     }
     if (request.method().equals(HttpMethod.CONNECT)) {
       // What follows a success is a tunnel's bytes, without a frame that would show a cut.
-      mine.refuse(Refusal.MALFORMED, 0);
+      mine.reject(Rejection.MALFORMED, 0);
       return;
     }
     try {
       IncomingRequest incoming = IncomingRequest.read(request, server.names());
       server.control().run(() -> exchange = accept(incoming, mine));
     } catch (MalformedRequestException e) {
-      mine.refuse(Refusal.MALFORMED, 0);
+      mine.reject(Rejection.MALFORMED, 0);
     }
   }
 
@@ -95,13 +95,13 @@
     return server.forwarder().accept(incoming, mine);
   }
 
-  private static Refusal refusal(Throwable cause) {
+  private static Rejection refusal(Throwable cause) {
     if (isBodyTooLong(cause)) {
-      return Refusal.BODY_TOO_LARGE;
+      return Rejection.BODY_TOO_LARGE;
     }
     boolean tooLong =
         cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
-    return tooLong ? Refusal.HEAD_TOO_LARGE : Refusal.MALFORMED;
+    return tooLong ? Rejection.HEAD_TOO_LARGE : Rejection.MALFORMED;
   }
 
   /** An answer was written to its end. */
@@ -157,7 +157,7 @@
 
   private void startIdleTimer() {
     stopIdleTimer();
-    long millis = server.limits().idleMillis();
+    long millis = server.limits().idleTimeoutMillis();
     idleTimer = channel.eventLoop().schedule(this::closeIfResting, millis, TimeUnit.MILLISECONDS);
   }
 
@@ -173,7 +173,7 @@
     stopIdleTimer();
     server.closed(this);
     requests.drain().forEach(FullHttpRequest::release);
-    exchange.ifPresent(open -> server.control().run(open::callerGone));
+    exchange.ifPresent(open -> server.control().run(open::onCallerDisconnected));
     exchange = Optional.empty();
     super.channelInactive(context);
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Function;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.forward.AnswerEnd;
+import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.forward.ControlThread;
 
@@ -25,31 +25,31 @@
 
   @Override
   boolean mayBeSent() {
-    return listener.mayBeSent();
+    return listener.maySend();
   }
 
   @Override
   void onConnected() {
-    listener.sent();
+    listener.onSent();
   }
 
   @Override
   void onHead(HttpResponse head) {
-    listener.answered(reader.apply(head));
+    listener.onHead(reader.apply(head));
   }
 
   @Override
   void onBody(byte[] bytes) {
-    listener.received(bytes);
+    listener.onBody(bytes);
   }
 
   @Override
-  void onEnd(AnswerEnd end) {
-    listener.ended(end);
+  void onEnd(ResponseEnd end) {
+    listener.onEnd(end);
   }
 
   @Override
   void onFailure(TargetFailure failure) {
-    listener.failed(failure);
+    listener.onFailure(failure);
   }
 }
