--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -124,11 +124,11 @@
             rollouts,
             poison);
     callers = new CallerServer(control, configuration, forwarder, dialect.headers());
-    status = new StatusServer(loop).page(readyPath, this::readiness);
+    status = new StatusServer(loop).addPage(readyPath, this::readiness);
     metricsServer =
         new StatusServer(loop)
-            .page("/metrics", () -> new StatusServer.Page(200, metrics.scrape()))
-            .page("/rollouts", this::describeRollouts);
+            .addPage("/metrics", () -> new StatusServer.Page(200, metrics.scrape()))
+            .addPage("/rollouts", this::describeRollouts);
     metrics.gauge("open_requests", forwarder::openExchanges);
     metrics.gauge("caller_connections", callers::openConnections);
     metrics.gauge("configuration_version", configuration::version);
@@ -230,7 +230,7 @@
   private void openOnceKnown(long openBy) {
     boolean known = configuration.current().isPresent() && !targets.all().isEmpty();
     if (known || ControlThread.nowMillis() >= openBy) {
-      callers.open();
+      callers.startAccepting();
       return;
     }
     control.loop().schedule(() -> openOnceKnown(openBy), OPEN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
@@ -285,7 +285,7 @@
   private void checkDrained(long restUntil, long deadline) {
     long now = ControlThread.nowMillis();
     if (now >= restUntil) {
-      callers.closeResting();
+      callers.closeIdleConnections();
     }
     boolean done = now >= restUntil && forwarder.openExchanges() == 0;
     if (done || now >= deadline) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/StatementHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
@@ -13,8 +13,8 @@
 import org.gatereel.forward.HeaderNames;
 
 /** Reads what the head of a target's answer says of the target; the only place that does. */
-final class StatementHeaders {
-  private StatementHeaders() {}
+final class AnnouncementHeaders {
+  private AnnouncementHeaders() {}
 
   static Statements read(HttpResponse head, HeaderNames names) {
     HttpHeaders headers = head.headers();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -26,12 +26,12 @@
 
   private final CallerServer server;
   private final Channel channel;
-  private final SlowHeadGuard guard;
+  private final RequestHeadTimeoutHandler guard;
   private final PipelineQueue<FullHttpRequest> requests = new PipelineQueue<>();
   private Optional<Exchange> exchange = Optional.empty();
   private ScheduledFuture<?> idleTimer;
 
-  CallerConnection(CallerServer server, Channel channel, SlowHeadGuard guard) {
+  CallerConnection(CallerServer server, Channel channel, RequestHeadTimeoutHandler guard) {
     this.server = server;
     this.channel = channel;
     this.guard = guard;
@@ -57,8 +57,8 @@
 
   private void handle(FullHttpRequest request) {
     stopIdleTimer();
-    guard.holdBack();
-    CallerAnswer mine = new CallerAnswer(this, channel, request, mayStayOpen(request));
+    guard.deferTimeoutResponse();
+    CallerResponseWriter mine = new CallerResponseWriter(this, channel, request, mayStayOpen(request));
     if (request.decoderResult().isFailure()) {
       mine.refuse(refusal(request.decoderResult().cause()), 0);
       return;
@@ -91,7 +91,7 @@
     return cause instanceof TooLongHttpContentException;
   }
 
-  private Optional<Exchange> accept(IncomingRequest incoming, CallerAnswer mine) {
+  private Optional<Exchange> accept(IncomingRequest incoming, CallerResponseWriter mine) {
     return server.forwarder().accept(incoming, mine);
   }
 
@@ -105,7 +105,7 @@
   }
 
   /** An answer was written to its end. */
-  void answered(boolean keepAlive) {
+  void onResponseComplete(boolean keepAlive) {
     exchange = Optional.empty();
     if (!keepAlive) {
       return;
@@ -113,14 +113,14 @@
     startIdleTimer();
     // Not from within the answer before, which may still be in the middle of a decision.
     requests
-        .done()
+        .completeCurrent()
         .ifPresentOrElse(
             next -> channel.eventLoop().execute(() -> handleWaiting(next)), this::answersGiven);
   }
 
   /** All answers that were owed are given; what waited for that may be written now. */
   private void answersGiven() {
-    guard.letGo();
+    guard.allowTimeoutResponse();
     channel.pipeline().fireUserEventTriggered(CallerEvent.ALL_ANSWERED);
   }
 
@@ -136,7 +136,7 @@
   }
 
   /** Returns whether an answer is owed. */
-  boolean isAnswering() {
+  boolean hasPendingResponse() {
     return !requests.isIdle();
   }
 
@@ -144,7 +144,7 @@
     return server.isDraining();
   }
 
-  void closeIfResting() {
+  void closeIfIdle() {
     if (requests.isIdle()) {
       channel.close();
     }
@@ -158,7 +158,7 @@
   private void startIdleTimer() {
     stopIdleTimer();
     long millis = server.limits().idleMillis();
-    idleTimer = channel.eventLoop().schedule(this::closeIfResting, millis, TimeUnit.MILLISECONDS);
+    idleTimer = channel.eventLoop().schedule(this::closeIfIdle, millis, TimeUnit.MILLISECONDS);
   }
 
   private void stopIdleTimer() {
@@ -171,7 +171,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) throws Exception {
     stopIdleTimer();
-    server.closed(this);
+    server.removeConnection(this);
     requests.drain().forEach(FullHttpRequest::release);
     exchange.ifPresent(open -> server.control().run(open::callerGone));
     exchange = Optional.empty();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerAnswer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerResponseWriter.java
@@ -32,7 +32,7 @@
  * body can follow, or, without chunks, by the end of the connection. Nothing is written after the
  * final call, nor after the connection was closed for a caller that does not read.
  */
-final class CallerAnswer implements CallerPort {
+final class CallerResponseWriter implements CallerPort {
   private static final double MILLIS_PER_SECOND = 1_000;
 
   private final CallerConnection connection;
@@ -40,12 +40,12 @@
   private final boolean keepAlive;
   private final boolean takesChunks;
   private final boolean isForHead;
-  private TargetHead head;
+  private TargetResponseHead head;
   private byte[] held;
   private boolean headWritten;
   private boolean over;
 
-  CallerAnswer(
+  CallerResponseWriter(
       CallerConnection connection, Channel channel, FullHttpRequest request, boolean keepAlive) {
     this.connection = connection;
     this.channel = channel;
@@ -56,7 +56,7 @@
 
   @Override
   public void begin(AnswerHead answer) {
-    head = (TargetHead) answer;
+    head = (TargetResponseHead) answer;
   }
 
   /** The first bytes of a plain answer are held, since most have no others: one write is enough. */
@@ -104,7 +104,7 @@
       response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else {
       // Before the first byte leaves: from then on the connection may end at any moment.
-      ConnectionEnd.becomesReset(channel);
+      CloseMode.resetOnClose(channel);
     }
     writePart(response);
   }
@@ -120,7 +120,7 @@
   }
 
   private void copyHeaders(HttpHeaders to) {
-    HopByHop.copy(head.headers(), to, Set.of());
+    HopByHopHeaders.copy(head.headers(), to, Set.of());
     tellWhetherItStaysOpen(to);
   }
 
@@ -183,7 +183,7 @@
   /** A reset would throw away what is not yet sent, so the system has to have the last byte. */
   private void allWritten(Future<? super Void> written) {
     if (written.isSuccess()) {
-      ConnectionEnd.becomesOrderly(channel);
+      CloseMode.closeGracefully(channel);
     }
   }
 
@@ -228,6 +228,6 @@
     // Behind an end that could not be written, the next answer would be read as part of this one.
     written.addListener(
         open ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
-    connection.answered(open);
+    connection.onResponseComplete(open);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
@@ -46,7 +46,7 @@
   /**
    * Begins to listen; fails if the address cannot be bound.
    *
-   * <p>Connections wait in the listener's queue until {@link #open()}, so that callers who come
+   * <p>Connections wait in the listener's queue until {@link #startAccepting()}, so that callers who come
    * before anything is known here are not refused for it.
    */
   public void start(Address address) {
@@ -74,21 +74,21 @@
   }
 
   /** Takes connections from now on. */
-  public void open() {
+  public void startAccepting() {
     listener.config().setAutoRead(true);
   }
 
   private void accept(Channel channel) {
     Limits limits = limits();
-    SlowHeadGuard guard = new SlowHeadGuard(limits.headMillis());
+    RequestHeadTimeoutHandler guard = new RequestHeadTimeoutHandler(limits.headMillis());
     CallerConnection connection = new CallerConnection(this, channel, guard);
     connections.add(connection);
     channel
         .pipeline()
         .addLast(guard)
         .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), LARGEST_CHUNK))
-        .addLast(new SlowHeadGuard.HeadSeen())
-        .addLast(new RequestAggregator(limits.bodyBytes(), connection::isAnswering))
+        .addLast(new RequestHeadTimeoutHandler.ParsedMessageObserver())
+        .addLast(new RequestAggregator(limits.bodyBytes(), connection::hasPendingResponse))
         .addLast(connection);
   }
 
@@ -113,7 +113,7 @@
     return draining;
   }
 
-  void closed(CallerConnection connection) {
+  void removeConnection(CallerConnection connection) {
     connections.remove(connection);
   }
 
@@ -123,8 +123,8 @@
   }
 
   /** Closes the connections that have no request. */
-  public void closeResting() {
-    List.copyOf(connections).forEach(CallerConnection::closeIfResting);
+  public void closeIdleConnections() {
+    List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
 
   /** Returns how many connections callers have open. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ConnectionEnd.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CloseMode.java
@@ -10,22 +10,22 @@
  * answer. The system keeps the setting, so that it also holds if this process is killed and can
  * decide nothing any more.
  */
-final class ConnectionEnd {
+final class CloseMode {
   /** Seconds for which a close waits for unsent bytes: none, which makes it a reset. */
   private static final int RESET = 0;
 
   /** The system's standard: the close is in order, after all bytes. */
   private static final int IN_ORDER = -1;
 
-  private ConnectionEnd() {}
+  private CloseMode() {}
 
   /** Has a connection end by a reset from now on. Bytes that are not yet sent are lost with it. */
-  static void becomesReset(Channel channel) {
+  static void resetOnClose(Channel channel) {
     set(channel, RESET);
   }
 
   /** Has a connection end in order from now on. */
-  static void becomesOrderly(Channel channel) {
+  static void closeGracefully(Channel channel) {
     set(channel, IN_ORDER);
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
@@ -51,11 +51,11 @@
    * An answer with its body.
    *
    * @param head the answer's status and headers
-   * @param hasOwnEnd whether a length or chunks say that nothing is missing; of a body without,
+   * @param isSelfDelimited whether a length or chunks say that nothing is missing; of a body without,
    *     whose connection ended, a part may be missing unless its text shows its end, as JSON does
    */
   @SuppressWarnings("ArrayRecordComponent") // compared by nobody
-  public record Document(HttpResponse head, byte[] body, boolean hasOwnEnd) {
+  public record Document(HttpResponse head, byte[] body, boolean isSelfDelimited) {
     /** Returns the answer's status. */
     public int status() {
       return head.status().code();
@@ -176,9 +176,9 @@
 
     /** An interim answer is as bad as none: what follows it must not go to a later question. */
     private static Optional<AnswerEnd> endOf(HttpResponse head) {
-      return AnswerFraming.isInterim(head)
+      return ResponseFraming.isInterim(head)
           ? Optional.empty()
-          : AnswerFraming.endOf(HttpMethod.GET, head);
+          : ResponseFraming.endOf(HttpMethod.GET, head);
     }
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/HopByHop.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/HopByHopHeaders.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** Copies headers from one connection to another, less those that concern one connection only. */
-final class HopByHop {
+final class HopByHopHeaders {
   private static final Set<String> ALWAYS =
       Set.of(
           "connection",
@@ -23,7 +23,7 @@
           "content-length",
           "expect");
 
-  private HopByHop() {}
+  private HopByHopHeaders() {}
 
   /** Copies all but hop-by-hop headers and those named in {@code without}, in small letters. */
   static void copy(HttpHeaders from, HttpHeaders to, Set<String> without) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
@@ -26,7 +26,7 @@
   }
 
   /** Notes that the present request is answered; returns the one to be handled next. */
-  Optional<T> done() {
+  Optional<T> completeCurrent() {
     Optional<T> next = Optional.ofNullable(waiting.poll());
     busy = next.isPresent();
     return next;
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -26,7 +26,7 @@
  * under the same name is another one too, and only a report that names the run proves that it
  * lives.
  */
-final class ProbeHandler extends TargetHandler {
+final class ProbeHandler extends TargetResponseHandler {
   /** Reports have some hundred bytes; of a longer answer nothing is read. */
   private static final int MOST_BYTES = 64 << 10;
 
@@ -71,7 +71,7 @@
       return;
     }
     answered = true;
-    said = StatementHeaders.read(head, dialect.headers());
+    said = AnnouncementHeaders.read(head, dialect.headers());
     if (isKnownByName()) {
       listener.heard(said);
       conclude(ProbeResult.ALIVE);
@@ -117,7 +117,7 @@
   }
 
   private void conclude(ProbeResult result) {
-    forget();
+    stopReporting();
     listener.probed(result);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/SlowHeadGuard.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestHeadTimeoutHandler.java
@@ -21,7 +21,7 @@
  * <p>A caller that is owed an answer would take the refusal for it; so the refusal waits until all
  * answers are given, and is dropped if the head comes until then.
  */
-final class SlowHeadGuard extends ChannelInboundHandlerAdapter {
+final class RequestHeadTimeoutHandler extends ChannelInboundHandlerAdapter {
   private final long millis;
   private ScheduledFuture<?> timer;
   private ChannelHandlerContext context;
@@ -30,7 +30,7 @@
   private boolean late;
   private boolean refused;
 
-  SlowHeadGuard(long millis) {
+  RequestHeadTimeoutHandler(long millis) {
     this.millis = millis;
   }
 
@@ -71,12 +71,12 @@
   }
 
   /** An answer is owed; a refusal before it would be taken for it. */
-  void holdBack() {
+  void deferTimeoutResponse() {
     heldBack = true;
   }
 
   /** All answers that were owed are given. */
-  void letGo() {
+  void allowTimeoutResponse() {
     heldBack = false;
     if (late) {
       refuse();
@@ -107,10 +107,10 @@
   }
 
   /** Sits behind the codec and tells the guard where a head or a body ends. */
-  static final class HeadSeen extends ChannelInboundHandlerAdapter {
+  static final class ParsedMessageObserver extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-      SlowHeadGuard guard = context.pipeline().get(SlowHeadGuard.class);
+      RequestHeadTimeoutHandler guard = context.pipeline().get(RequestHeadTimeoutHandler.class);
       if (message instanceof HttpRequest) {
         guard.headSeen();
       }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnswerFraming.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ResponseFraming.java
@@ -19,12 +19,12 @@
  * <p>The decoder refuses contradictory lengths, a length beside chunks, and chunks in HTTP/1.0;
  * what is left to judge here is what the decoder would read by a guess.
  */
-final class AnswerFraming {
+final class ResponseFraming {
   private static final int LONGEST_LINE = 8_192;
   private static final int LONGEST_HEAD = 65_536;
   private static final int LARGEST_CHUNK = 65_536;
 
-  private AnswerFraming() {}
+  private ResponseFraming() {}
 
   /** Returns a codec for one connection to a target. */
   static HttpClientCodec codec() {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/StatusServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/StatusServer.java
@@ -37,7 +37,7 @@
   private static final Page NO_PAGE = new Page(404, "no such page\n");
 
   private final EventLoop loop;
-  private final Map<String, Answerer> pages = new LinkedHashMap<>();
+  private final Map<String, AsyncPage> pages = new LinkedHashMap<>();
   private final Map<String, Function<byte[], Page>> receivers = new HashMap<>();
   private Channel listener;
 
@@ -45,8 +45,8 @@
   public record Page(int status, String text) {}
 
   /** Makes a page out of a request's target, at once or later; it is told once. */
-  public interface Answerer {
-    void answer(String target, Consumer<Page> page);
+  public interface AsyncPage {
+    void respond(String target, Consumer<Page> page);
   }
 
   public StatusServer(EventLoop loop) {
@@ -54,23 +54,23 @@
   }
 
   /** Adds a page; {@code path} begins with a slash. */
-  public StatusServer page(String path, Supplier<Page> page) {
-    return query(path, target -> page.get());
+  public StatusServer addPage(String path, Supplier<Page> page) {
+    return addQueryPage(path, target -> page.get());
   }
 
   /** Adds a page that is made from the whole request target, the query included. */
-  public StatusServer query(String path, Function<String, Page> page) {
-    return ask(path, (target, answer) -> answer.accept(page.apply(target)));
+  public StatusServer addQueryPage(String path, Function<String, Page> page) {
+    return addAsyncPage(path, (target, answer) -> answer.accept(page.apply(target)));
   }
 
   /** Adds a page that may be made later, out of the whole request target. */
-  public StatusServer ask(String path, Answerer answerer) {
+  public StatusServer addAsyncPage(String path, AsyncPage answerer) {
     pages.put(path, answerer);
     return this;
   }
 
   /** Adds a page that is made from the bytes that a question carries. */
-  public StatusServer receive(String path, Function<byte[], Page> page) {
+  public StatusServer addReceiver(String path, Function<byte[], Page> page) {
     receivers.put(path, page);
     return this;
   }
@@ -133,11 +133,11 @@
         answer.accept(receiver.apply(ByteBufUtil.getBytes(request.content())));
         return;
       }
-      Answerer answerer = pages.get(path);
+      AsyncPage answerer = pages.get(path);
       if (answerer == null) {
         answer.accept(NO_PAGE);
       } else {
-        answerer.answer(request.uri(), answer);
+        answerer.respond(request.uri(), answer);
       }
     }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
@@ -9,15 +9,15 @@
 import org.gatereel.forward.ControlThread;
 
 /** Tells the core how a forwarded request fares. */
-final class TargetCallHandler extends TargetHandler {
+final class TargetCallHandler extends TargetResponseHandler {
   private final TargetPort.Listener listener;
-  private final Function<HttpResponse, TargetHead> reader;
+  private final Function<HttpResponse, TargetResponseHead> reader;
 
   TargetCallHandler(
       ControlThread control,
       HttpMethod asked,
       TargetPort.Listener listener,
-      Function<HttpResponse, TargetHead> reader) {
+      Function<HttpResponse, TargetResponseHead> reader) {
     super(control, asked);
     this.listener = listener;
     this.reader = reader;
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
@@ -65,10 +65,10 @@
             control,
             request.method(),
             listener,
-            head -> TargetHead.read(head, request.id(), names));
+            head -> TargetResponseHead.read(head, request.id(), names));
     Channel channel = open(dispatch.target().address(), handler, outgoing(request, dispatch));
     return () -> {
-      handler.forget();
+      handler.stopReporting();
       channel.close();
     };
   }
@@ -110,14 +110,14 @@
           control.run(
               () -> {
                 document.ifPresent(
-                    found -> heard.accept(StatementHeaders.read(found.head(), names)));
+                    found -> heard.accept(AnnouncementHeaders.read(found.head(), names)));
                 answer.accept(kept);
               });
           client.close();
         });
   }
 
-  private Channel open(Address address, TargetHandler handler, FullHttpRequest request) {
+  private Channel open(Address address, TargetResponseHandler handler, FullHttpRequest request) {
     ChannelFuture connecting =
         bootstrap
             .clone()
@@ -125,7 +125,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(AnswerFraming.codec()).addLast(handler);
+                    channel.pipeline().addLast(ResponseFraming.codec()).addLast(handler);
                   }
                 })
             .connect(address.ip(), address.port());
@@ -133,7 +133,7 @@
         done -> {
           if (!done.isSuccess()) {
             handler.connectFailed(done.cause());
-          } else if (handler.connected()) {
+          } else if (handler.prepareSend()) {
             connecting.channel().writeAndFlush(request);
           } else {
             connecting.channel().close();
@@ -150,7 +150,7 @@
             request.uri(),
             Unpooled.wrappedBuffer(request.body()));
     HttpHeaders headers = outgoing.headers();
-    HopByHop.copy(request.headers(), headers, names.reserved());
+    HopByHopHeaders.copy(request.headers(), headers, names.reserved());
     if (hasBody(request)) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHandler.java
@@ -20,7 +20,7 @@
  * <p>The connection has to allow half-closure ({@code ALLOW_HALF_CLOSURE}), so that a target's own
  * end can be told from every other close. It is closed once there is nothing more to report.
  */
-abstract class TargetHandler extends ChannelInboundHandlerAdapter {
+abstract class TargetResponseHandler extends ChannelInboundHandlerAdapter {
   private final ControlThread control;
   private final HttpMethod asked;
   private boolean over;
@@ -33,7 +33,7 @@
    *
    * @param asked the request's method
    */
-  TargetHandler(ControlThread control, HttpMethod asked) {
+  TargetResponseHandler(ControlThread control, HttpMethod asked) {
     this.control = control;
     this.asked = asked;
   }
@@ -60,7 +60,7 @@
   }
 
   /** The connection stands; returns whether the request is to be sent. */
-  final boolean connected() {
+  final boolean prepareSend() {
     step(
         () -> {
           if (mayBeSent()) {
@@ -74,7 +74,7 @@
   }
 
   /** Nothing more is to be reported. */
-  final void forget() {
+  final void stopReporting() {
     over = true;
   }
 
@@ -112,7 +112,7 @@
       return;
     }
     if (message instanceof HttpResponse head) {
-      interim = AnswerFraming.isInterim(head);
+      interim = ResponseFraming.isInterim(head);
       if (!interim) {
         readHead(head);
       }
@@ -123,7 +123,7 @@
   }
 
   private void readHead(HttpResponse head) {
-    Optional<AnswerEnd> known = AnswerFraming.endOf(asked, head);
+    Optional<AnswerEnd> known = ResponseFraming.endOf(asked, head);
     if (known.isEmpty()) {
       fail(TargetFailure.ERROR);
       return;
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
@@ -10,7 +10,7 @@
 import org.gatereel.forward.HeaderNames;
 
 /** The head of a target's answer, with the headers that the caller is given. */
-record TargetHead(
+record TargetResponseHead(
     HttpResponseStatus line,
     HttpHeaders headers,
     boolean declaresNotRun,
@@ -21,7 +21,7 @@
   private static final String EVENT_STREAM = "text/event-stream";
 
   /** Reads the head of an answer to the request with the given id. */
-  static TargetHead read(HttpResponse response, String requestId, HeaderNames names) {
+  static TargetResponseHead read(HttpResponse response, String requestId, HeaderNames names) {
     HttpHeaders headers = response.headers();
     boolean named = requestId.equals(headers.get(names.requestId()));
     boolean plain = !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
@@ -29,13 +29,13 @@
     int status = response.status().code();
     boolean misdirected = status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
     String type = headers.get(HttpHeaderNames.CONTENT_TYPE, "").toLowerCase(Locale.ROOT);
-    return new TargetHead(
+    return new TargetResponseHead(
         response.status(),
         headers,
         headers.contains(names.notRun()) || misdirected,
         named && plain && signed,
         type.startsWith(EVENT_STREAM),
-        StatementHeaders.read(response, names));
+        AnnouncementHeaders.read(response, names));
   }
 
   @Override
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
@@ -104,7 +104,7 @@
   }
 
   private static Optional<Loan> read(DocumentClient.Document document) {
-    return document.status() == OK && document.hasOwnEnd()
+    return document.status() == OK && document.isSelfDelimited()
         ? LoanMessages.readAnswer(document.body())
         : Optional.empty();
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -54,9 +54,9 @@
     this.takeLoads = takeLoads;
     this.server =
         new StatusServer(control.loop())
-            .query(PeerDocuments.PATH, this::documents)
-            .ask(LoanMessages.PATH, this::loans)
-            .receive(LoadMessages.PATH, this::loads);
+            .addQueryPage(PeerDocuments.PATH, this::documents)
+            .addAsyncPage(LoanMessages.PATH, this::loans)
+            .addReceiver(LoadMessages.PATH, this::loads);
   }
 
   public void start(Address address) {
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerResponseWriterTest.java
@@ -30,12 +30,12 @@
 import org.gatereel.core.statement.Statements;
 import org.junit.jupiter.api.Test;
 
-class CallerAnswerTest {
+class CallerResponseWriterTest {
   private static final String LAST_CHUNK = "0\r\n\r\n";
 
   private EmbeddedChannel channel = new EmbeddedChannel(new HttpServerCodec());
 
-  private CallerAnswer answerTo(HttpMethod method, HttpVersion version) {
+  private CallerResponseWriter answerTo(HttpMethod method, HttpVersion version) {
     channel.writeInbound(
         Unpooled.copiedBuffer(method + " / " + version + "\r\n\r\n", StandardCharsets.US_ASCII));
     CoreContext context =
@@ -43,24 +43,24 @@
     ConfigurationKeeper configuration =
         new ConfigurationKeeper(context, new ConfigurationKeeper.Bounds(true, 5_000, 2_000));
     CallerServer server = new CallerServer(null, configuration, null, null);
-    CallerConnection connection = new CallerConnection(server, channel, new SlowHeadGuard(400));
+    CallerConnection connection = new CallerConnection(server, channel, new RequestHeadTimeoutHandler(400));
     FullHttpRequest request = new DefaultFullHttpRequest(version, method, "/");
-    return new CallerAnswer(connection, channel, request, version.isKeepAliveDefault());
+    return new CallerResponseWriter(connection, channel, request, version.isKeepAliveDefault());
   }
 
-  private CallerAnswer beginStream() {
-    CallerAnswer answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
+  private CallerResponseWriter beginStream() {
+    CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, true));
     answer.write(bytes("id: 1\n\n"));
     return answer;
   }
 
-  private static TargetHead head(HttpResponseStatus status, boolean stream, String... lengths) {
+  private static TargetResponseHead head(HttpResponseStatus status, boolean stream, String... lengths) {
     HttpHeaders headers = new DefaultHttpHeaders();
     for (String length : lengths) {
       headers.set("content-length", length);
     }
-    return new TargetHead(status, headers, false, true, stream, Statements.NONE);
+    return new TargetResponseHead(status, headers, false, true, stream, Statements.NONE);
   }
 
   private static byte[] bytes(String text) {
@@ -78,7 +78,7 @@
 
   @Test
   void endsAStreamByItsLastChunkAlone() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     answer.write(new byte[0]);
 
     assertFalse(written().contains(LAST_CHUNK));
@@ -91,7 +91,7 @@
 
   @Test
   void writesNothingAfterAnAnswerIsBrokenOff() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     written();
     answer.abort();
     answer.write(bytes("id: 2\n\n"));
@@ -104,7 +104,7 @@
 
   @Test
   void breaksOffInPlaceOfARefusalAfterAHead() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     written();
     answer.refuse(Refusal.TIMED_OUT, 0);
 
@@ -114,7 +114,7 @@
 
   @Test
   void refusesInPlaceOfAnAnswerThatIsHeld() {
-    CallerAnswer answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
+    CallerResponseWriter answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, false));
     answer.write(bytes("half"));
     answer.refuse(Refusal.TARGET_FAILED, 0);
@@ -128,7 +128,7 @@
 
   @Test
   void writesNothingAfterTheEnd() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     answer.finish();
     written();
     answer.write(bytes("id: 2\n\n"));
@@ -141,7 +141,7 @@
   /** The next answer would be read as part of one whose end was not written. */
   @Test
   void closesAConnectionOnWhichAnEndCannotBeWritten() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     failWrite(1);
     answer.finish();
 
@@ -156,7 +156,7 @@
    */
   @Test
   void breaksOffAStreamWhoseEventCannotBeWritten() {
-    CallerAnswer answer = beginStream();
+    CallerResponseWriter answer = beginStream();
     written();
     failWrite(1);
     answer.write(bytes("id: 2\n\n"));
@@ -169,7 +169,7 @@
 
   @Test
   void breaksOffAnAnswerWhoseHeadCannotBeWritten() {
-    CallerAnswer answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
+    CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
     failWrite(1);
     answer.begin(head(HttpResponseStatus.OK, true));
     answer.write(bytes("id: 1\n\n"));
@@ -181,7 +181,7 @@
 
   @Test
   void breaksOffALongAnswerWhoseBeginningCannotBeWritten() {
-    CallerAnswer answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
+    CallerResponseWriter answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, false));
     answer.write(bytes("one"));
     failWrite(2);
@@ -218,7 +218,7 @@
   void sendsNoChunksToVersionsBeforeThem() {
     for (String version : new String[] {"HTTP/1.0", "HTTP/0.9"}) {
       channel = new EmbeddedChannel(new HttpServerCodec());
-      CallerAnswer answer = answerTo(HttpMethod.POST, HttpVersion.valueOf(version));
+      CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.valueOf(version));
       answer.begin(head(HttpResponseStatus.OK, true));
       answer.write(bytes("id: 1\n\n"));
       answer.finish();
@@ -232,7 +232,7 @@
 
   @Test
   void dropsABodyThatMustNotBe() {
-    CallerAnswer answer = answerTo(HttpMethod.HEAD, HttpVersion.HTTP_1_1);
+    CallerResponseWriter answer = answerTo(HttpMethod.HEAD, HttpVersion.HTTP_1_1);
     answer.begin(head(HttpResponseStatus.OK, true, "12"));
     answer.write(bytes("id: 1\n\n"));
     answer.finish();
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
@@ -16,8 +16,8 @@
     assertTrue(queue.offer("a"));
     assertFalse(queue.offer("b"));
 
-    assertEquals(Optional.of("b"), queue.done());
-    assertEquals(Optional.empty(), queue.done());
+    assertEquals(Optional.of("b"), queue.completeCurrent());
+    assertEquals(Optional.empty(), queue.completeCurrent());
     assertTrue(queue.isIdle());
   }
 
@@ -25,11 +25,11 @@
   void letsNoRequestPassTheOneThatIsAboutToBeHandled() {
     queue.offer("a");
     queue.offer("b");
-    assertEquals(Optional.of("b"), queue.done());
+    assertEquals(Optional.of("b"), queue.completeCurrent());
 
     assertFalse(queue.offer("c"));
 
-    assertEquals(Optional.of("c"), queue.done());
+    assertEquals(Optional.of("c"), queue.completeCurrent());
   }
 
   @Test
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/SlowHeadGuardTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/RequestHeadTimeoutHandlerTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class SlowHeadGuardTest {
+class RequestHeadTimeoutHandlerTest {
   private static final long LIMIT_MILLIS = 400;
 
-  private SlowHeadGuard guard;
+  private RequestHeadTimeoutHandler guard;
   private EmbeddedChannel channel;
 
   @BeforeEach
   void open() {
-    guard = new SlowHeadGuard(LIMIT_MILLIS);
-    channel = new EmbeddedChannel(guard, new HttpServerCodec(), new SlowHeadGuard.HeadSeen());
+    guard = new RequestHeadTimeoutHandler(LIMIT_MILLIS);
+    channel = new EmbeddedChannel(guard, new HttpServerCodec(), new RequestHeadTimeoutHandler.ParsedMessageObserver());
     channel.freezeTime();
   }
 
@@ -80,14 +80,14 @@
   @Test
   void refusesNoHeadBeforeTheAnswersThatAreOwed() {
     receive("GET / HTTP/1.1\r\n\r\n");
-    guard.holdBack();
+    guard.deferTimeoutResponse();
     receive("GET / HT");
     pass(LIMIT_MILLIS);
 
     assertNull(channel.readOutbound());
     assertTrue(channel.isOpen());
 
-    guard.letGo();
+    guard.allowTimeoutResponse();
 
     ByteBuf answer = channel.readOutbound();
     assertTrue(answer.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 408 "));
@@ -97,11 +97,11 @@
   @Test
   void forgivesALateHeadThatIsWholeBeforeTheAnswersThatAreOwed() {
     receive("GET / HTTP/1.1\r\n\r\n");
-    guard.holdBack();
+    guard.deferTimeoutResponse();
     receive("GET / HT");
     pass(LIMIT_MILLIS);
     receive("TP/1.1\r\n\r\n");
-    guard.letGo();
+    guard.allowTimeoutResponse();
 
     assertNull(channel.readOutbound());
     assertTrue(channel.isOpen());
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/AnswerEndsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseFramingTest.java
@@ -28,10 +28,10 @@
  * framed is listed here with what is reported of it, once as it stands and once as its target then
  * ends the connection in order; "open" is an answer that is still waited for.
  */
-class AnswerEndsTest {
+class ResponseFramingTest {
   private static final ForwardLog LOG = new ForwardLog("test");
   private EmbeddedChannel channel;
-  private AnswerRecorder recorder;
+  private ResponseRecorder recorder;
 
   @BeforeEach
   void open() {
@@ -51,8 +51,8 @@
   private void ask(HttpMethod method) {
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
-    recorder = new AnswerRecorder(new ControlThread(channel.eventLoop(), context, LOG), method);
-    channel.pipeline().addLast(AnswerFraming.codec()).addLast(recorder);
+    recorder = new ResponseRecorder(new ControlThread(channel.eventLoop(), context, LOG), method);
+    channel.pipeline().addLast(ResponseFraming.codec()).addLast(recorder);
     channel.writeOutbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/"));
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/AnswerRecorder.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseRecorder.java
@@ -10,11 +10,11 @@
 import org.gatereel.forward.ControlThread;
 
 /** Writes down what is reported of a target's answer. */
-final class AnswerRecorder extends TargetHandler {
+final class ResponseRecorder extends TargetResponseHandler {
   private final List<String> heard = new ArrayList<>();
   private final StringBuilder body = new StringBuilder();
 
-  AnswerRecorder(ControlThread control, HttpMethod asked) {
+  ResponseRecorder(ControlThread control, HttpMethod asked) {
     super(control, asked);
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetHandlerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetResponseHandlerTest.java
@@ -27,12 +27,12 @@
  * The decoder reports every end of a connection in the same way; only the handler sees whose it is.
  * A caller then got the part that had come by then as a complete answer.
  */
-class TargetHandlerTest {
+class TargetResponseHandlerTest {
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\n\r\npart";
 
   private final ForwardLog log = new ForwardLog("test");
   private EmbeddedChannel channel;
-  private AnswerRecorder recorder;
+  private ResponseRecorder recorder;
 
   @BeforeEach
   void open() {
@@ -40,8 +40,8 @@
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
     recorder =
-        new AnswerRecorder(new ControlThread(channel.eventLoop(), context, log), HttpMethod.GET);
-    channel.pipeline().addLast(AnswerFraming.codec()).addLast(recorder);
+        new ResponseRecorder(new ControlThread(channel.eventLoop(), context, log), HttpMethod.GET);
+    channel.pipeline().addLast(ResponseFraming.codec()).addLast(recorder);
     channel.writeOutbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
   }
 
@@ -108,7 +108,7 @@
   @Test
   void hearsNothingAfterItWasToldToForget() {
     receive(UNFRAMED);
-    recorder.forget();
+    recorder.stopReporting();
     endByTarget();
 
     assertEquals("open", recorder.outcome());
