--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -31,7 +31,7 @@
 import org.gatereel.forward.http.TargetConnector;
 import org.gatereel.forward.log.ForwardLog;
 import org.gatereel.forward.peer.LoadClient;
-import org.gatereel.forward.peer.LoanClient;
+import org.gatereel.forward.peer.TokenClient;
 import org.gatereel.forward.settings.ForwardSettings;
 
 /** One forwarding process: its thread, its core, its listeners, and how it starts and stops. */
@@ -58,7 +58,7 @@
   private final TargetListKeeper targetList;
   private final HostDirectory directory;
   private final DocumentCache documents = new DocumentCache();
-  private final LoanClient loans;
+  private final TokenClient loans;
   private final LoadClient loadClient;
   private final LoadExchange loads;
   private final PoisonControl poison;
@@ -101,7 +101,7 @@
     targetList = new TargetListKeeper(targets, bounds.knownWithinMillis());
     Address peerAddress = ForwardSettings.address(settings.peers());
     directory = new HostDirectory(context, peerAddress);
-    loans = new LoanClient(control);
+    loans = new TokenClient(control);
     loadClient = new LoadClient(control);
     loads = new LoadExchange(context, targets, directory, peerAddress, loadClient);
     poison = new PoisonControl(context);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadClient.java
@@ -60,7 +60,7 @@
             answer ->
                 switch (answer.status()) {
                   case OK -> Receipt.TAKEN;
-                  case LoadMessages.WHOLE_NEEDED_STATUS -> Receipt.WHOLE_NEEDED;
+                  case LoadMessages.FULL_REPORT_NEEDED_STATUS -> Receipt.WHOLE_NEEDED;
                   default -> Receipt.LOST;
                 })
         .orElse(Receipt.LOST);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -44,7 +44,7 @@
   static final String PATH = "/loads";
 
   /** The answer of a receiver that lacks what a report builds on. */
-  static final int WHOLE_NEEDED_STATUS = 409;
+  static final int FULL_REPORT_NEEDED_STATUS = 409;
 
   /** The age of a failure that nobody saw. */
   private static final long NO_FAILURE = -1;
@@ -160,7 +160,7 @@
     static Poison of(PoisonFact fact, long now) {
       return new Poison(
           fact.request().value(),
-          fact.ended().map(TargetNames::write).orElse(null),
+          fact.ended().map(TargetIdCodec::encode).orElse(null),
           fact.at() - fact.sentAt(),
           Math.max(0, now - fact.at()));
     }
@@ -169,7 +169,7 @@
       long at = now - Math.max(0, agoMillis);
       return new PoisonFact(
           new Fingerprint(request),
-          Optional.ofNullable(target).map(TargetNames::read),
+          Optional.ofNullable(target).map(TargetIdCodec::decode),
           at - Math.max(0, ranMillis),
           at);
     }
@@ -185,7 +185,7 @@
     static Fact of(TargetFact fact, long now) {
       return new Fact(
           fact.kind().name(),
-          TargetNames.write(fact.target()),
+          TargetIdCodec.encode(fact.target()),
           fact.value().isPresent() ? fact.value().getAsDouble() : null,
           Math.max(0, now - fact.since()));
     }
@@ -197,7 +197,7 @@
           .toJavaUtil()
           .filter(known -> target != null)
           .flatMap(
-              known -> known.make(TargetNames.read(target), number, now - Math.max(0, agoMillis)));
+              known -> known.make(TargetIdCodec.decode(target), number, now - Math.max(0, agoMillis)));
     }
   }
 
@@ -232,7 +232,7 @@
   private static Entry entry(TargetId target, TargetLoad load, long now) {
     boolean failed = load.failedAt() != TargetLoad.NEVER;
     return new Entry(
-        TargetNames.write(target),
+        TargetIdCodec.encode(target),
         load.open(),
         load.reading(),
         load.copies(),
@@ -254,7 +254,7 @@
 
   private static LoadReport report(Message message, long now) {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
-    message.loads().forEach(entry -> loads.put(TargetNames.read(entry.target()), load(entry, now)));
+    message.loads().forEach(entry -> loads.put(TargetIdCodec.decode(entry.target()), load(entry, now)));
     Map<DemandKey, Double> demand = new HashMap<>();
     message.demand().forEach(entry -> demand.put(entry.key(), Math.max(0, entry.perSecond())));
     Map<EvidenceKey, Tally> evidence = new HashMap<>();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
@@ -25,20 +25,20 @@
   }
 
   /** Asks a host for what it has; the answer is empty if there is none in time. */
-  public void ask(Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
+  public void fetch(Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
     if (!host.equals(peer)) {
       close();
       client = new DocumentClient(loop, host);
       peer = host;
     }
     client.get(
-        PeerDocuments.question(known), TIMEOUT_MILLIS, document -> answer.accept(read(document)));
+        PeerDocuments.writeQuery(known), TIMEOUT_MILLIS, document -> answer.accept(read(document)));
   }
 
   private static Optional<List<PeerReading>> read(Optional<DocumentClient.Document> document) {
     return document
         .filter(found -> found.status() == OK)
-        .flatMap(found -> PeerDocuments.read(found.body()));
+        .flatMap(found -> PeerDocuments.readResponse(found.body()));
   }
 
   @Override
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
@@ -32,7 +32,7 @@
   private PeerDocuments() {}
 
   /** Writes the question of a host that has {@code known}. */
-  static String question(DocumentCache known) {
+  static String writeQuery(DocumentCache known) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
     for (DocumentKind kind : DocumentKind.values()) {
       known.find(kind).ifPresent(document -> query.addParam(kind.name(), document.digest()));
@@ -41,7 +41,7 @@
   }
 
   /** Writes the answer to a question. */
-  static String answer(String question, DocumentCache known, long now) {
+  static String writeResponse(String question, DocumentCache known, long now) {
     QueryStringDecoder query = new QueryStringDecoder(question);
     List<PeerReading> readings = new ArrayList<>();
     for (DocumentKind kind : DocumentKind.values()) {
@@ -66,7 +66,7 @@
   }
 
   /** Reads an answer; empty if it is none. */
-  static Optional<List<PeerReading>> read(byte[] body) {
+  static Optional<List<PeerReading>> readResponse(byte[] body) {
     try {
       return Optional.ofNullable(MAPPER.readValue(body, READINGS));
     } catch (IOException e) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -20,7 +20,7 @@
   private static final int OK = 200;
   private static final StatusServer.Page TAKEN = new StatusServer.Page(OK, "");
   private static final StatusServer.Page WHOLE_NEEDED =
-      new StatusServer.Page(LoadMessages.WHOLE_NEEDED_STATUS, "");
+      new StatusServer.Page(LoadMessages.FULL_REPORT_NEEDED_STATUS, "");
 
   /** Another host is to be asked. */
   private static final StatusServer.Page NOT_LENT = new StatusServer.Page(409, "not lent here\n");
@@ -55,7 +55,7 @@
     this.server =
         new StatusServer(control.loop())
             .addQueryPage(PeerDocuments.PATH, this::documents)
-            .addAsyncPage(LoanMessages.PATH, this::loans)
+            .addAsyncPage(TokenMessages.PATH, this::loans)
             .addReceiver(LoadMessages.PATH, this::loads);
   }
 
@@ -67,11 +67,11 @@
     // The asker takes the age for true, so that it must count the time this host was suspended.
     control.moveClocks();
     return new StatusServer.Page(
-        OK, PeerDocuments.answer(question, known, context.knowledgeTime()));
+        OK, PeerDocuments.writeResponse(question, known, context.knowledgeTime()));
   }
 
   private void loans(String question, Consumer<StatusServer.Page> answer) {
-    LoanMessages.read(question, ControlThread.nowMillis())
+    TokenMessages.readQuery(question, ControlThread.nowMillis())
         .ifPresentOrElse(
             asked ->
                 lender.lend(
@@ -82,7 +82,7 @@
   }
 
   private static StatusServer.Page page(Loan loan) {
-    return new StatusServer.Page(OK, LoanMessages.writeAnswer(loan));
+    return new StatusServer.Page(OK, TokenMessages.writeResponse(loan));
   }
 
   private StatusServer.Page loads(byte[] body) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetNames.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetIdCodec.java
@@ -6,20 +6,20 @@
  * Runs of targets as short texts: the name, and where it is known the start in base 36 after a
  * sign, nine bytes in place of fourteen.
  */
-final class TargetNames {
+final class TargetIdCodec {
   private static final char SEPARATOR = '@';
   private static final int RADIX = 36;
 
-  private TargetNames() {}
+  private TargetIdCodec() {}
 
-  static String write(TargetId target) {
+  static String encode(TargetId target) {
     String name = target.value();
     boolean plain = target.born() == TargetId.UNKNOWN_BORN && name.indexOf(SEPARATOR) < 0;
     return plain ? name : name + SEPARATOR + Long.toString(target.born(), RADIX);
   }
 
   /** Reads a run; a text that was not written here names a target whose start is not known. */
-  static TargetId read(String text) {
+  static TargetId decode(String text) {
     int separator = text.lastIndexOf(SEPARATOR);
     if (separator < 0) {
       return new TargetId(text);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenClient.java
@@ -18,7 +18,7 @@
  * Asks lenders for loans: each of them one question after the other, over a connection that is kept
  * while it is used.
  */
-public final class LoanClient implements LoanPort, AutoCloseable {
+public final class TokenClient implements LoanPort, AutoCloseable {
   /** A request waits for the answer meanwhile; hosts of a data centre need a few milliseconds. */
   private static final long TIMEOUT_MILLIS = 150;
 
@@ -65,7 +65,7 @@
       asking = true;
       Question question = questions.remove();
       client.post(
-          LoanMessages.write(question.subject(), question.count(), usedAt),
+          TokenMessages.writeQuery(question.subject(), question.count(), usedAt),
           NO_BODY,
           question.timeoutMillis(),
           document -> answered(question, document));
@@ -73,7 +73,7 @@
 
     private void answered(Question question, Optional<DocumentClient.Document> document) {
       asking = false;
-      control.run(() -> question.answer().accept(document.flatMap(LoanClient::read)));
+      control.run(() -> question.answer().accept(document.flatMap(TokenClient::read)));
       if (document.isEmpty()) {
         // Whoever waits behind it would wait as long for a host that does not answer.
         giveUpAll();
@@ -92,7 +92,7 @@
     }
   }
 
-  public LoanClient(ControlThread control) {
+  public TokenClient(ControlThread control) {
     this.control = control;
   }
 
@@ -105,7 +105,7 @@
 
   private static Optional<Loan> read(DocumentClient.Document document) {
     return document.status() == OK && document.isSelfDelimited()
-        ? LoanMessages.readAnswer(document.body())
+        ? TokenMessages.readResponse(document.body())
         : Optional.empty();
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenMessages.java
@@ -21,7 +21,7 @@
  *
  * <p>Steady clocks of two hosts have nothing in common, so a time travels as its age.
  */
-final class LoanMessages {
+final class TokenMessages {
   static final String PATH = "/loans";
 
   private static final String SERVICE = "service";
@@ -37,23 +37,23 @@
   /** No host needs more at once; a larger number is a mistake. */
   private static final int MOST = 1_000;
 
-  private LoanMessages() {}
+  private TokenMessages() {}
 
   /**
    * What is asked for.
    *
    * @param count how many, at least one
    */
-  record Question(LoanSubject subject, int count) {}
+  record Query(LoanSubject subject, int count) {}
 
   /** Writes a question that is sent at {@code now}. */
-  static String write(LoanSubject subject, int count, long now) {
+  static String writeQuery(LoanSubject subject, int count, long now) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
     if (subject instanceof LoanSubject.Repeats repeats) {
       query.addParam(SERVICE, repeats.service().value());
     } else if (subject instanceof LoanSubject.Requests requests) {
       AnnouncedLimit limit = requests.limit().limit();
-      query.addParam(TARGET, TargetNames.write(requests.limit().target()));
+      query.addParam(TARGET, TargetIdCodec.encode(requests.limit().target()));
       query.addParam(PER_SECOND, Double.toString(limit.perSecond()));
       query.addParam(AGE_MILLIS, Long.toString(Math.max(0, now - limit.since())));
       query.addParam(DATA_CENTRE, requests.dataCentre().value());
@@ -65,14 +65,14 @@
   }
 
   /** Reads a question that came at {@code now}; empty if it is none. */
-  static Optional<Question> read(String target, long now) {
+  static Optional<Query> readQuery(String target, long now) {
     Map<String, List<String>> parameters = new QueryStringDecoder(target).parameters();
     Optional<LoanSubject> subject =
         parameters.containsKey(TARGET) ? requests(parameters, now) : repeats(parameters);
     return text(parameters, COUNT)
         .map(Ints::tryParse)
         .filter(count -> count > 0 && count <= MOST)
-        .flatMap(count -> subject.map(asked -> new Question(asked, count)));
+        .flatMap(count -> subject.map(asked -> new Query(asked, count)));
   }
 
   private static Optional<LoanSubject> repeats(Map<String, List<String>> parameters) {
@@ -92,7 +92,7 @@
     AnnouncedLimit limit = new AnnouncedLimit(perSecond.get(), now - age.get());
     return Optional.of(
         new LoanSubject.Requests(
-            new LimitFact(TargetNames.read(target.get()), limit),
+            new LimitFact(TargetIdCodec.decode(target.get()), limit),
             new DataCentre(dataCentre.get()),
             flag(parameters, URGENT),
             flag(parameters, PASSED_ON)));
@@ -108,12 +108,12 @@
     return text(parameters, name).map(Boolean::parseBoolean).orElse(false);
   }
 
-  static String writeAnswer(Loan loan) {
+  static String writeResponse(Loan loan) {
     return loan.granted() + SEPARATOR + loan.againMillis();
   }
 
   /** Reads what was lent; empty if that is no answer. */
-  static Optional<Loan> readAnswer(byte[] body) {
+  static Optional<Loan> readResponse(byte[] body) {
     String[] parts = new String(body, StandardCharsets.UTF_8).strip().split(SEPARATOR, 2);
     Integer granted = Ints.tryParse(parts[0]);
     Long again = parts.length < 2 ? null : Longs.tryParse(parts[1]);
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanClientTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenClientTest.java
@@ -28,7 +28,7 @@
  * The answer of a host that lends is numbers, of which a part are numbers too. One without a
  * length, whose connection ended after a first digit, was taken for the whole.
  */
-class LoanClientTest {
+class TokenClientTest {
   private static final int PATIENCE_SECONDS = 20;
 
   @ParameterizedTest
@@ -47,7 +47,7 @@
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
     try (ServerSocket lender = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ForwardLog log = new ForwardLog("test");
-        LoanClient client = new LoanClient(new ControlThread(group.next(), context, log))) {
+        TokenClient client = new TokenClient(new ControlThread(group.next(), context, log))) {
       Address address = new Address("127.0.0.1", lender.getLocalPort());
       CompletableFuture<Integer> lent = new CompletableFuture<>();
       LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("s"));
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenMessagesTest.java
@@ -13,7 +13,7 @@
 import org.gatereel.core.statement.LimitFact;
 import org.junit.jupiter.api.Test;
 
-class LoanMessagesTest {
+class TokenMessagesTest {
   private static final long SENT_AT = 50_000;
   private static final long CAME_AT = 900;
 
@@ -28,17 +28,17 @@
     LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("a b&c=d"));
 
     assertEquals(
-        Optional.of(new LoanMessages.Question(repeats, 12)),
-        LoanMessages.read(LoanMessages.write(repeats, 12, SENT_AT), CAME_AT));
+        Optional.of(new TokenMessages.Query(repeats, 12)),
+        TokenMessages.readQuery(TokenMessages.writeQuery(repeats, 12, SENT_AT), CAME_AT));
   }
 
   @Test
   void theAgeOfALimitTravelsAndNotItsTime() {
-    String written = LoanMessages.write(requests(5.4, SENT_AT - 40), 3, SENT_AT);
+    String written = TokenMessages.writeQuery(requests(5.4, SENT_AT - 40), 3, SENT_AT);
 
     assertEquals(
-        Optional.of(new LoanMessages.Question(requests(5.4, CAME_AT - 40), 3)),
-        LoanMessages.read(written, CAME_AT));
+        Optional.of(new TokenMessages.Query(requests(5.4, CAME_AT - 40), 3)),
+        TokenMessages.readQuery(written, CAME_AT));
   }
 
   @Test
@@ -59,7 +59,7 @@
           "/loans?target=a&count=1&dataCentre=n&perSecond=1&ageMillis=-1",
           "/loans?target=a&count=1&dataCentre=&perSecond=1&ageMillis=0"
         }) {
-      assertEquals(Optional.empty(), LoanMessages.read(target, CAME_AT), target);
+      assertEquals(Optional.empty(), TokenMessages.readQuery(target, CAME_AT), target);
     }
   }
 
@@ -67,7 +67,7 @@
   void anAnswerIsReadAsItWasWritten() {
     Loan loan = new Loan(3, 250);
 
-    assertEquals(Optional.of(loan), answer(LoanMessages.writeAnswer(loan)));
+    assertEquals(Optional.of(loan), answer(TokenMessages.writeResponse(loan)));
   }
 
   @Test
@@ -78,6 +78,6 @@
   }
 
   private static Optional<Loan> answer(String text) {
-    return LoanMessages.readAnswer(text.getBytes(StandardCharsets.UTF_8));
+    return TokenMessages.readResponse(text.getBytes(StandardCharsets.UTF_8));
   }
 }
