--- a/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
@@ -47,7 +47,7 @@
     }
     running = true;
     try {
-      moveClocks();
+      updateClocks();
       step.run();
       context.timers().runDue(context.now());
     } catch (RuntimeException e) {
@@ -61,7 +61,7 @@
   }
 
   /** Brings the core's clocks up to the present time, also by what this host was suspended. */
-  public void moveClocks() {
+  public void updateClocks() {
     long steadyMillis = nowMillis();
     long lost = suspensions.observe(steadyMillis, System.currentTimeMillis());
     context.moveTo(steadyMillis);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -98,7 +98,7 @@
                 bounds.revocationMillis(),
                 bounds.configurationMillis()));
     targets = new TargetRegistry(context, new PolicyTable());
-    targetList = new TargetListKeeper(targets, bounds.knownWithinMillis());
+    targetList = new TargetListKeeper(targets, bounds.maxStalenessMillis());
     Address peerAddress = ForwardSettings.address(settings.peers());
     directory = new HostDirectory(context, peerAddress);
     loans = new TokenClient(control);
@@ -194,7 +194,7 @@
   }
 
   /** Takes in what another host tells of its load; returns false if it has to tell all of it. */
-  public boolean takeLoads(LoadReport report) {
+  public boolean receiveLoadReport(LoadReport report) {
     boolean[] taken = new boolean[1];
     control.run(() -> taken[0] = loads.take(report));
     return taken[0];
@@ -237,14 +237,14 @@
   }
 
   private StatusServer.Page describeRollouts() {
-    control.moveClocks();
+    control.updateClocks();
     List<String> lines = rollouts.describe();
     String text = lines.isEmpty() ? "no roll-out is known" : String.join("\n", lines);
     return new StatusServer.Page(200, text + "\n");
   }
 
   private StatusServer.Page readiness() {
-    control.moveClocks();
+    control.updateClocks();
     boolean ready = !stopping && configuration.takesKeys();
     return ready
         ? new StatusServer.Page(200, "ready\n")
@@ -252,7 +252,7 @@
   }
 
   /** Notes that the settings file was read again. */
-  public void reloaded(String outcome) {
+  public void logSettingsReload(String outcome) {
     control
         .loop()
         .execute(
--- a/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
@@ -11,7 +11,7 @@
  * @param account the client account that a target is told
  * @param expectedTarget the id of the target that is meant
  * @param signature the mark of a target's own answer
- * @param notRun a target's promise that it did not run the request
+ * @param notExecuted a target's promise that it did not run the request
  * @param limit how many requests a second a target takes from all hosts together, as a decimal
  *     number
  * @param leaving a target's word that it is about to end
@@ -20,8 +20,8 @@
  * @param copyTo the address of the engine that is to hold a copy of the run
  * @param continueFrom the copy that a run goes on from
  * @param urgency 0 for the most urgent
- * @param reserved names, in small letters, that only this host may set towards targets
- * @param answers names, in small letters, of the headers of targets' answers that are read or need
+ * @param reservedNames names, in small letters, that only this host may set towards targets
+ * @param knownResponseHeaders names, in small letters, of the headers of targets' answers that are read or need
  *     no reading
  */
 public record HeaderNames(
@@ -31,7 +31,7 @@
     String account,
     String expectedTarget,
     String signature,
-    String notRun,
+    String notExecuted,
     String limit,
     String leaving,
     String tokenCounts,
@@ -39,13 +39,13 @@
     String copyTo,
     String continueFrom,
     String urgency,
-    Set<String> reserved,
-    Set<String> answers) {
+    Set<String> reservedNames,
+    Set<String> knownResponseHeaders) {
   /** The name that the standard for server-sent events gives. */
   public static final String LAST_EVENT_ID = "Last-Event-Id";
 
   public HeaderNames {
-    reserved = Set.copyOf(reserved);
-    answers = Set.copyOf(answers);
+    reservedNames = Set.copyOf(reservedNames);
+    knownResponseHeaders = Set.copyOf(knownResponseHeaders);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
@@ -40,7 +40,7 @@
     Map<String, String> unknown = Map.of();
     for (Map.Entry<String, String> header : headers) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
-      if (!names.answers().contains(name)) {
+      if (!names.knownResponseHeaders().contains(name)) {
         unknown = unknown.isEmpty() ? new HashMap<>() : unknown;
         unknown.put(name, header.getValue());
       }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -91,12 +91,12 @@
   @Override
   void onEnd(AnswerEnd end) {
     TargetReport report = dialect.readReport(body.toByteArray());
-    boolean same = report.born().equals(OptionalLong.of(probed.born()));
+    boolean same = report.startedAtMillis().equals(OptionalLong.of(probed.born()));
     if (same) {
       Statements all = said.withUnknownFields(report.unknown());
       listener.heard(report.leaving() ? all.withLeaving(new Statement.Said<>(true)) : all);
     }
-    if (report.born().isEmpty()) {
+    if (report.startedAtMillis().isEmpty()) {
       listener.probed(ProbeResult.ANSWERED);
     } else {
       listener.probed(same ? ProbeResult.ALIVE : ProbeResult.GONE);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
@@ -150,7 +150,7 @@
             request.uri(),
             Unpooled.wrappedBuffer(request.body()));
     HttpHeaders headers = outgoing.headers();
-    HopByHopHeaders.copy(request.headers(), headers, names.reserved());
+    HopByHopHeaders.copy(request.headers(), headers, names.reservedNames());
     if (hasBody(request)) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
@@ -32,7 +32,7 @@
     return new TargetResponseHead(
         response.status(),
         headers,
-        headers.contains(names.notRun()) || misdirected,
+        headers.contains(names.notExecuted()) || misdirected,
         named && plain && signed,
         type.startsWith(EVENT_STREAM),
         AnnouncementHeaders.read(response, names));
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -65,7 +65,7 @@
 
   private StatusServer.Page documents(String question) {
     // The asker takes the age for true, so that it must count the time this host was suspended.
-    control.moveClocks();
+    control.updateClocks();
     return new StatusServer.Page(
         OK, PeerDocuments.writeResponse(question, known, context.knowledgeTime()));
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
@@ -82,7 +82,7 @@
     }
 
     /** Returns within which time a host must know of any change. */
-    public long knownWithinMillis() {
+    public long maxStalenessMillis() {
       return Math.min(configurationMillis, drainMillis);
     }
   }
