--- a/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
@@ -21,8 +21,8 @@
  * @param continueFrom the copy that a run goes on from
  * @param urgency 0 for the most urgent
  * @param reservedNames names, in small letters, that only this host may set towards targets
- * @param knownResponseHeaders names, in small letters, of the headers of targets' answers that are read or need
- *     no reading
+ * @param knownResponseHeaders names, in small letters, of the headers of targets' answers that are
+ *     read or need no reading
  */
 public record HeaderNames(
     String requestId,
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.statement.Statements;
 import org.gatereel.forward.HeaderNames;
 
-/** Reads what the head of a target's answer says of the target; the only place that does. */
+/** Reads what a target announces about itself in the head of a response. */
 final class AnnouncementHeaders {
   private AnnouncementHeaders() {}
 
@@ -21,30 +21,30 @@
     return new Statements(
         StatementReader.limit(headers.getAll(names.limit())),
         StatementReader.leaving(headers.getAll(names.leaving())),
-        rest(head),
-        unknown(headers, names));
+        backoff(head),
+        unknownHeaders(headers, names));
   }
 
-  /** Only with a refusal does the header say for how long the target wants nothing. */
-  private static Statement<Long> rest(HttpResponse head) {
+  /** {@code Retry-After} announces a backoff only in a response with status 429 or 503. */
+  private static Statement<Long> backoff(HttpResponse head) {
     int status = head.status().code();
-    boolean refuses =
+    boolean isRejection =
         status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
             || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
-    return refuses
+    return isRejection
         ? StatementReader.restMillis(head.headers().getAll(HttpHeaderNames.RETRY_AFTER))
         : Statement.none();
   }
 
-  private static Map<String, String> unknown(HttpHeaders headers, HeaderNames names) {
-    Map<String, String> unknown = Map.of();
+  private static Map<String, String> unknownHeaders(HttpHeaders headers, HeaderNames names) {
+    Map<String, String> unknownHeaders = Map.of();
     for (Map.Entry<String, String> header : headers) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
       if (!names.knownResponseHeaders().contains(name)) {
-        unknown = unknown.isEmpty() ? new HashMap<>() : unknown;
-        unknown.put(name, header.getValue());
+        unknownHeaders = unknownHeaders.isEmpty() ? new HashMap<>() : unknownHeaders;
+        unknownHeaders.put(name, header.getValue());
       }
     }
-    return unknown;
+    return unknownHeaders;
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -16,25 +16,24 @@
 import org.gatereel.core.forward.Refusal;
 
 /**
- * One caller's connection: its requests are answered one after the other, in their order.
+ * A caller's connection, whose requests are handled one at a time in the order received.
  *
- * <p>Reading goes on while a request is being answered, because only so is it noticed that the
- * caller has gone.
+ * <p>Reading continues while a request is handled, so that a disconnect of the caller is detected.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-  private static final int MOST_WAITING = 8;
+  private static final int MAX_QUEUED_REQUESTS = 8;
 
   private final CallerServer server;
   private final Channel channel;
-  private final RequestHeadTimeoutHandler guard;
+  private final RequestHeadTimeoutHandler headTimeout;
   private final PipelineQueue<FullHttpRequest> requests = new PipelineQueue<>();
-  private Optional<Exchange> exchange = Optional.empty();
+  private Optional<Exchange> currentExchange = Optional.empty();
   private ScheduledFuture<?> idleTimer;
 
-  CallerConnection(CallerServer server, Channel channel, RequestHeadTimeoutHandler guard) {
+  CallerConnection(CallerServer server, Channel channel, RequestHeadTimeoutHandler headTimeout) {
     this.server = server;
     this.channel = channel;
-    this.guard = guard;
+    this.headTimeout = headTimeout;
   }
 
   @Override
@@ -50,40 +49,41 @@
       return;
     }
     request.retain();
-    if (requests.size() > MOST_WAITING) {
+    if (requests.size() > MAX_QUEUED_REQUESTS) {
       channel.config().setAutoRead(false);
     }
   }
 
   private void handle(FullHttpRequest request) {
     stopIdleTimer();
-    guard.deferTimeoutResponse();
-    CallerResponseWriter mine = new CallerResponseWriter(this, channel, request, mayStayOpen(request));
+    headTimeout.deferTimeoutResponse();
+    CallerResponseWriter response =
+        new CallerResponseWriter(this, channel, request, canStayOpen(request));
     if (request.decoderResult().isFailure()) {
-      mine.refuse(refusal(request.decoderResult().cause()), 0);
+      response.refuse(rejectionFor(request.decoderResult().cause()), 0);
       return;
     }
     if (request.method().equals(HttpMethod.CONNECT)) {
-      // What follows a success is a tunnel's bytes, without a frame that would show a cut.
-      mine.refuse(Refusal.MALFORMED, 0);
+      // After a successful CONNECT the bytes are unframed, so truncation would go undetected.
+      response.refuse(Refusal.MALFORMED, 0);
       return;
     }
     try {
       IncomingRequest incoming = IncomingRequest.read(request, server.names());
-      server.control().run(() -> exchange = accept(incoming, mine));
+      server.control().run(() -> currentExchange = accept(incoming, response));
     } catch (MalformedRequestException e) {
-      mine.refuse(Refusal.MALFORMED, 0);
+      response.refuse(Refusal.MALFORMED, 0);
     }
   }
 
-  private static boolean mayStayOpen(FullHttpRequest request) {
-    // A caller that waits to be asked for its body sends either that or its next request.
-    boolean nextIsKnown =
+  private static boolean canStayOpen(FullHttpRequest request) {
+    // After a rejection, a caller that expects 100 (Continue) may send its body or a new request.
+    boolean isNextMessageKnown =
         request.decoderResult().isSuccess()
             || (isBodyTooLong(request.decoderResult().cause())
                 && !HttpUtil.is100ContinueExpected(request));
     return HttpUtil.isKeepAlive(request)
-        && nextIsKnown
+        && isNextMessageKnown
         && !request.method().equals(HttpMethod.CONNECT);
   }
 
@@ -91,11 +91,11 @@
     return cause instanceof TooLongHttpContentException;
   }
 
-  private Optional<Exchange> accept(IncomingRequest incoming, CallerResponseWriter mine) {
-    return server.forwarder().accept(incoming, mine);
+  private Optional<Exchange> accept(IncomingRequest incoming, CallerResponseWriter response) {
+    return server.forwarder().accept(incoming, response);
   }
 
-  private static Refusal refusal(Throwable cause) {
+  private static Refusal rejectionFor(Throwable cause) {
     if (isBodyTooLong(cause)) {
       return Refusal.BODY_TOO_LARGE;
     }
@@ -104,27 +104,27 @@
     return tooLong ? Refusal.HEAD_TOO_LARGE : Refusal.MALFORMED;
   }
 
-  /** An answer was written to its end. */
+  /** Handles the next pipelined request after a response was written completely. */
   void onResponseComplete(boolean keepAlive) {
-    exchange = Optional.empty();
+    currentExchange = Optional.empty();
     if (!keepAlive) {
       return;
     }
     startIdleTimer();
-    // Not from within the answer before, which may still be in the middle of a decision.
+    // Runs later, because the code that completed this response may still be executing.
     requests
         .completeCurrent()
         .ifPresentOrElse(
-            next -> channel.eventLoop().execute(() -> handleWaiting(next)), this::answersGiven);
+            next -> channel.eventLoop().execute(() -> handleQueued(next)),
+            this::onAllResponsesComplete);
   }
 
-  /** All answers that were owed are given; what waited for that may be written now. */
-  private void answersGiven() {
-    guard.allowTimeoutResponse();
+  private void onAllResponsesComplete() {
+    headTimeout.allowTimeoutResponse();
     channel.pipeline().fireUserEventTriggered(CallerEvent.ALL_ANSWERED);
   }
 
-  private void handleWaiting(FullHttpRequest next) {
+  private void handleQueued(FullHttpRequest next) {
     try {
       if (channel.isActive()) {
         channel.config().setAutoRead(true);
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Returns whether an answer is owed. */
+  /** Returns whether a request awaits its response. */
   boolean hasPendingResponse() {
     return !requests.isIdle();
   }
@@ -150,7 +150,7 @@
     }
   }
 
-  /** Closes, also in the middle of an answer, which is then cut. */
+  /** Closes the connection; a response being written is truncated. */
   void close() {
     channel.close();
   }
@@ -173,8 +173,8 @@
     stopIdleTimer();
     server.removeConnection(this);
     requests.drain().forEach(FullHttpRequest::release);
-    exchange.ifPresent(open -> server.control().run(open::callerGone));
-    exchange = Optional.empty();
+    currentExchange.ifPresent(current -> server.control().run(current::callerGone));
+    currentExchange = Optional.empty();
     super.channelInactive(context);
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerEvent.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerEvent.java
@@ -1,7 +1,7 @@
 package org.gatereel.forward.http;
 
-/** What a caller's connection tells its earlier handlers. */
+/** Events that {@link CallerConnection} fires on the pipeline of a caller's connection. */
 enum CallerEvent {
-  /** All answers that were owed are given. */
+  /** No request of the connection awaits its response. */
   ALL_ANSWERED
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerResponseWriter.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerResponseWriter.java
@@ -26,11 +26,11 @@
 import org.gatereel.core.forward.Refusal;
 
 /**
- * Writes the answer to one request of a connection.
+ * Writes the response to one request of a caller's connection.
  *
- * <p>A caller sees where an answer ends by a length, by the last chunk, by its head alone where no
- * body can follow, or, without chunks, by the end of the connection. Nothing is written after the
- * final call, nor after the connection was closed for a caller that does not read.
+ * <p>The end of a response is marked by its length, by the last chunk, by the head if there is no
+ * body, or, for callers without chunk support, by the end of the connection. Nothing is written
+ * after the final call, nor after the connection was closed because the caller does not read.
  */
 final class CallerResponseWriter implements CallerPort {
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -38,58 +38,61 @@
   private final CallerConnection connection;
   private final Channel channel;
   private final boolean keepAlive;
-  private final boolean takesChunks;
-  private final boolean isForHead;
+  private final boolean supportsChunks;
+  private final boolean isHeadRequest;
   private TargetResponseHead head;
-  private byte[] held;
+  private byte[] bufferedBytes;
   private boolean headWritten;
-  private boolean over;
+  private boolean finished;
 
   CallerResponseWriter(
       CallerConnection connection, Channel channel, FullHttpRequest request, boolean keepAlive) {
     this.connection = connection;
     this.channel = channel;
     this.keepAlive = keepAlive;
-    this.takesChunks = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
-    this.isForHead = request.method().equals(HttpMethod.HEAD);
+    this.supportsChunks = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0;
+    this.isHeadRequest = request.method().equals(HttpMethod.HEAD);
   }
 
   @Override
-  public void begin(AnswerHead answer) {
-    head = (TargetResponseHead) answer;
+  public void begin(AnswerHead responseHead) {
+    head = (TargetResponseHead) responseHead;
   }
 
-  /** The first bytes of a plain answer are held, since most have no others: one write is enough. */
+  /**
+   * Buffers the first bytes unless the response is an event stream: most responses have no more,
+   * and are then sent in a single write.
+   */
   @Override
   public void write(byte[] bytes) {
-    if (over || isBodiless()) {
+    if (finished || isBodiless()) {
       return;
     }
-    if (!headWritten && held == null && !head.isEventStream()) {
-      held = bytes;
+    if (!headWritten && bufferedBytes == null && !head.isEventStream()) {
+      bufferedBytes = bytes;
       return;
     }
     writeHead();
-    writeHeld();
-    writePart(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
+    writeBuffered();
+    writeOrClose(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     channel.flush();
     if (!channel.isWritable()) {
-      // The caller does not read; to hold its answer without bound would cost all others.
+      // The caller does not read. Buffering more would use memory without a bound.
       abort();
     }
   }
 
-  /** Returns whether the answer ends with its head, whatever the head says. */
+  /** Returns whether the response has no body, regardless of its headers. */
   private boolean isBodiless() {
-    return isForHead
-        || head.line().equals(HttpResponseStatus.NO_CONTENT)
-        || head.line().equals(HttpResponseStatus.NOT_MODIFIED);
+    return isHeadRequest
+        || head.responseStatus().equals(HttpResponseStatus.NO_CONTENT)
+        || head.responseStatus().equals(HttpResponseStatus.NOT_MODIFIED);
   }
 
-  private void writeHeld() {
-    if (held != null) {
-      writePart(new DefaultHttpContent(Unpooled.wrappedBuffer(held)));
-      held = null;
+  private void writeBuffered() {
+    if (bufferedBytes != null) {
+      writeOrClose(new DefaultHttpContent(Unpooled.wrappedBuffer(bufferedBytes)));
+      bufferedBytes = null;
     }
   }
 
@@ -98,90 +101,90 @@
       return;
     }
     headWritten = true;
-    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.line());
+    HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.responseStatus());
     copyHeaders(response.headers());
-    if (takesChunks) {
+    if (supportsChunks) {
       response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else {
-      // Before the first byte leaves: from then on the connection may end at any moment.
+      // Must precede the first byte: the connection can end at any time after it.
       CloseMode.resetOnClose(channel);
     }
-    writePart(response);
+    writeOrClose(response);
   }
 
   /**
-   * Writes a part whose failure ends the connection.
+   * Writes an object and closes the connection if the write fails.
    *
-   * <p>A write can fail by itself, as where memory for its buffer lacks; what came after it would
-   * make the answer look complete.
+   * <p>A single write can fail on an open connection, for example when a buffer cannot be
+   * allocated. Later writes would then make the incomplete response look complete.
    */
-  private void writePart(HttpObject part) {
-    channel.write(part).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+  private void writeOrClose(HttpObject object) {
+    channel.write(object).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
   }
 
   private void copyHeaders(HttpHeaders to) {
     HopByHopHeaders.copy(head.headers(), to, Set.of());
-    tellWhetherItStaysOpen(to);
+    setConnectionHeader(to);
   }
 
-  private void tellWhetherItStaysOpen(HttpHeaders headers) {
-    if (!staysOpen()) {
+  private void setConnectionHeader(HttpHeaders headers) {
+    if (!isKeptOpen()) {
       headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    } else if (!takesChunks) {
+    } else if (!supportsChunks) {
       headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
   }
 
-  private boolean staysOpen() {
-    boolean unframed = headWritten && !takesChunks;
-    return keepAlive && !unframed && !connection.isDraining();
+  private boolean isKeptOpen() {
+    boolean endsWithConnection = headWritten && !supportsChunks;
+    return keepAlive && !endsWithConnection && !connection.isDraining();
   }
 
   @Override
   public void finish() {
-    if (over) {
+    if (finished) {
       return;
     }
-    over = true;
+    finished = true;
     if (headWritten) {
-      endWritten();
+      finishStarted();
     } else {
-      writeWhole();
+      writeComplete();
     }
   }
 
-  private void writeWhole() {
-    byte[] body = held == null ? new byte[0] : held;
+  private void writeComplete() {
+    byte[] body = bufferedBytes == null ? new byte[0] : bufferedBytes;
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, head.line(), Unpooled.wrappedBuffer(body));
+            HttpVersion.HTTP_1_1, head.responseStatus(), Unpooled.wrappedBuffer(body));
     copyHeaders(response.headers());
     if (isBodiless()) {
-      copyLength(response.headers());
+      copyContentLength(response.headers());
     } else {
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
     }
-    end(channel.writeAndFlush(response));
+    completeWhenWritten(channel.writeAndFlush(response));
   }
 
-  /** The length of the body that a GET would bring, or has brought, is for the target to tell. */
-  private void copyLength(HttpHeaders to) {
+  /** A response without a body keeps the target's length: it describes the body of a GET. */
+  private void copyContentLength(HttpHeaders to) {
     String length = head.headers().get(HttpHeaderNames.CONTENT_LENGTH);
     if (length != null) {
       to.set(HttpHeaderNames.CONTENT_LENGTH, length);
     }
   }
 
-  private void endWritten() {
+  private void finishStarted() {
     ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-    if (!takesChunks) {
-      written.addListener(this::allWritten);
+    if (!supportsChunks) {
+      written.addListener(this::onLastByteWritten);
     }
-    end(written);
+    completeWhenWritten(written);
   }
 
-  /** A reset would throw away what is not yet sent, so the system has to have the last byte. */
-  private void allWritten(Future<? super Void> written) {
+  /** Called when the operating system has the last byte; a reset before would discard data. */
+  private void onLastByteWritten(Future<? super Void> written) {
     if (written.isSuccess()) {
       CloseMode.closeGracefully(channel);
     }
@@ -189,45 +192,45 @@
 
   @Override
   public void abort() {
-    over = true;
+    finished = true;
     channel.close();
   }
 
   @Override
-  public void refuse(Refusal refusal, long retryAfterMillis) {
-    if (over) {
+  public void refuse(Refusal rejection, long retryAfterMillis) {
+    if (finished) {
       return;
     }
     if (headWritten) {
-      // It would be read as the rest of the answer that was begun.
+      // The caller would read a rejection as the rest of the response already begun.
       abort();
       return;
     }
-    over = true;
+    finished = true;
     byte[] body =
-        ("{\"type\":\"" + refusal.name().toLowerCase(Locale.ROOT) + "\"}")
+        ("{\"type\":\"" + rejection.name().toLowerCase(Locale.ROOT) + "\"}")
             .getBytes(StandardCharsets.UTF_8);
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(refusal.status()),
+            HttpResponseStatus.valueOf(rejection.status()),
             Unpooled.wrappedBuffer(body));
     HttpHeaders headers = response.headers();
     headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-    if (refusal.invitesRetry()) {
+    if (rejection.invitesRetry()) {
       headers.set(
           HttpHeaderNames.RETRY_AFTER, Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
     }
-    tellWhetherItStaysOpen(headers);
-    end(channel.writeAndFlush(response));
+    setConnectionHeader(headers);
+    completeWhenWritten(channel.writeAndFlush(response));
   }
 
-  private void end(ChannelFuture written) {
-    boolean open = staysOpen();
-    // Behind an end that could not be written, the next answer would be read as part of this one.
+  private void completeWhenWritten(ChannelFuture written) {
+    boolean keepOpen = isKeptOpen();
+    // If the end was not written, the caller would read the next response as part of this one.
     written.addListener(
-        open ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
-    connection.onResponseComplete(open);
+        keepOpen ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
+    connection.onResponseComplete(keepOpen);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerServer.java
@@ -18,11 +18,11 @@
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.HeaderNames;
 
-/** Takes callers' connections. */
+/** Listens for callers' connections and forwards their requests. */
 public final class CallerServer implements AutoCloseable {
-  private static final int BACKLOG = 1_024;
-  private static final int LARGEST_CHUNK = 65_536;
-  private static final int SLOWEST_CALLER_BYTES = 4 << 20;
+  private static final int ACCEPT_BACKLOG = 1_024;
+  private static final int MAX_CHUNK_BYTES = 65_536;
+  private static final int MAX_UNSENT_BYTES = 4 << 20;
 
   private final ControlThread control;
   private final ConfigurationKeeper configuration;
@@ -46,21 +46,21 @@
   /**
    * Begins to listen; fails if the address cannot be bound.
    *
-   * <p>Connections wait in the listener's queue until {@link #startAccepting()}, so that callers who come
-   * before anything is known here are not refused for it.
+   * <p>Connections wait in the listener's backlog until {@link #startAccepting()}, so that requests
+   * are not rejected before the configuration is loaded.
    */
   public void start(Address address) {
     listener =
         new ServerBootstrap()
             .group(control.loop())
             .channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(ChannelOption.AUTO_READ, false)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(SLOWEST_CALLER_BYTES / 2, SLOWEST_CALLER_BYTES))
+                new WriteBufferWaterMark(MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -73,20 +73,20 @@
             .channel();
   }
 
-  /** Takes connections from now on. */
+  /** Accepts the connections in the backlog and all later ones. */
   public void startAccepting() {
     listener.config().setAutoRead(true);
   }
 
   private void accept(Channel channel) {
     Limits limits = limits();
-    RequestHeadTimeoutHandler guard = new RequestHeadTimeoutHandler(limits.headMillis());
-    CallerConnection connection = new CallerConnection(this, channel, guard);
+    RequestHeadTimeoutHandler headTimeout = new RequestHeadTimeoutHandler(limits.headMillis());
+    CallerConnection connection = new CallerConnection(this, channel, headTimeout);
     connections.add(connection);
     channel
         .pipeline()
-        .addLast(guard)
-        .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), LARGEST_CHUNK))
+        .addLast(headTimeout)
+        .addLast(new HttpServerCodec(limits.headBytes(), limits.headBytes(), MAX_CHUNK_BYTES))
         .addLast(new RequestHeadTimeoutHandler.ParsedMessageObserver())
         .addLast(new RequestAggregator(limits.bodyBytes(), connection::hasPendingResponse))
         .addLast(connection);
@@ -108,7 +108,7 @@
     return names;
   }
 
-  /** Returns whether answers are to say that their connection closes. */
+  /** Returns whether connections close after their current response. */
   boolean isDraining() {
     return draining;
   }
@@ -117,22 +117,22 @@
     connections.remove(connection);
   }
 
-  /** Has every connection close after its present answer. */
+  /** Makes every connection close after its current response. */
   public void drain() {
     draining = true;
   }
 
-  /** Closes the connections that have no request. */
+  /** Closes the connections without a request. */
   public void closeIdleConnections() {
     List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
   }
 
-  /** Returns how many connections callers have open. */
+  /** Returns the number of open connections. */
   public int openConnections() {
     return connections.size();
   }
 
-  /** Takes no more connections; those that are open stay. */
+  /** Stops accepting connections; open ones stay open. */
   public void stopListening() {
     if (listener != null) {
       listener.close();
@@ -140,11 +140,11 @@
   }
 
   /**
-   * Takes no more connections and closes those that are open.
+   * Stops accepting connections and closes the open ones.
    *
-   * <p>The event loop may end without closing what is registered with it, and callers would wait
-   * for the rest of an answer. They are closed before the targets' connections, so that the end of
-   * those, which is this host's doing, is taken for the end of no answer.
+   * <p>The event loop can terminate without closing its channels, which would leave callers waiting
+   * for the rest of a response. Callers' connections close before those to targets, because this
+   * host's own close of a target's connection must not look like the end of a response.
    */
   @Override
   public void close() {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CloseMode.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CloseMode.java
@@ -4,34 +4,33 @@
 import io.netty.channel.ChannelOption;
 
 /**
- * Sets how a caller's connection will end, whoever ends it.
+ * Sets whether a caller's connection is reset or closed gracefully when it ends.
  *
- * <p>To a caller that takes no chunks, the orderly end of its connection is the end of a whole
- * answer. The system keeps the setting, so that it also holds if this process is killed and can
- * decide nothing any more.
+ * <p>To a caller without chunk support, a graceful close marks the end of a complete response. The
+ * operating system applies the mode even if this process is killed.
  */
 final class CloseMode {
-  /** Seconds for which a close waits for unsent bytes: none, which makes it a reset. */
-  private static final int RESET = 0;
+  /** With a linger time of zero, a close discards unsent bytes and resets the connection. */
+  private static final int RESET_LINGER_SECONDS = 0;
 
-  /** The system's standard: the close is in order, after all bytes. */
-  private static final int IN_ORDER = -1;
+  /** Disables {@code SO_LINGER}: a close sends all bytes first. */
+  private static final int LINGER_DISABLED = -1;
 
   private CloseMode() {}
 
-  /** Has a connection end by a reset from now on. Bytes that are not yet sent are lost with it. */
+  /** Makes the end of a connection a reset, which discards unsent bytes. */
   static void resetOnClose(Channel channel) {
-    set(channel, RESET);
+    setLinger(channel, RESET_LINGER_SECONDS);
   }
 
-  /** Has a connection end in order from now on. */
+  /** Makes the end of a connection a graceful close after all bytes are sent. */
   static void closeGracefully(Channel channel) {
-    set(channel, IN_ORDER);
+    setLinger(channel, LINGER_DISABLED);
   }
 
-  private static void set(Channel channel, int linger) {
+  private static void setLinger(Channel channel, int lingerSeconds) {
     if (channel.isOpen()) {
-      channel.config().setOption(ChannelOption.SO_LINGER, linger);
+      channel.config().setOption(ChannelOption.SO_LINGER, lingerSeconds);
     }
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/DocumentClient.java
@@ -32,31 +32,29 @@
 import org.gatereel.core.model.Address;
 
 /**
- * Fetches documents from one address, one after the other, over a connection that is kept.
+ * Sends requests for documents to one address, one at a time, over a kept-alive connection.
  *
- * <p>A connection on which an answer stayed out says nothing further and is closed. Nothing is
- * asked twice here.
+ * <p>The connection is closed after a timeout or an error. Requests are never retried.
  */
 public final class DocumentClient implements AutoCloseable {
-  private static final int CONNECT_MILLIS = 400;
-  private static final int LARGEST_DOCUMENT = 8 << 20;
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
+  private static final int MAX_DOCUMENT_BYTES = 8 << 20;
 
   private final EventLoop loop;
   private final Address address;
   private Channel channel;
-  private Consumer<Optional<Document>> waiting;
-  private ScheduledFuture<?> timer;
+  private Consumer<Optional<Document>> pendingCallback;
+  private ScheduledFuture<?> timeoutTimer;
 
   /**
-   * An answer with its body.
+   * A response with its body.
    *
-   * @param head the answer's status and headers
-   * @param isSelfDelimited whether a length or chunks say that nothing is missing; of a body without,
-   *     whose connection ended, a part may be missing unless its text shows its end, as JSON does
+   * @param head the response's status and headers
+   * @param isSelfDelimited whether a length or chunks prove that the body is complete; if false,
+   *     the end of the connection ended the body, which may be truncated
    */
-  @SuppressWarnings("ArrayRecordComponent") // compared by nobody
+  @SuppressWarnings("ArrayRecordComponent") // records are never compared
   public record Document(HttpResponse head, byte[] body, boolean isSelfDelimited) {
-    /** Returns the answer's status. */
     public int status() {
       return head.status().code();
     }
@@ -67,31 +65,39 @@
     this.address = address;
   }
 
-  /** Asks for a document; the answer is empty if none came in time. One question at a time. */
-  public void get(String path, long timeoutMillis, Consumer<Optional<Document>> answer) {
+  /**
+   * Requests a document; the result is empty after a timeout or an error.
+   *
+   * @throws IllegalStateException if a request is pending
+   */
+  public void get(String path, long timeoutMillis, Consumer<Optional<Document>> callback) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-    ask(request, timeoutMillis, answer);
+    send(request, timeoutMillis, callback);
   }
 
-  /** Sends a JSON document; an empty answer leaves open whether it had its effect. */
+  /**
+   * Sends a JSON document; if the result is empty, the document may or may not have been processed.
+   *
+   * @throws IllegalStateException if a request is pending
+   */
   public void post(
-      String path, byte[] json, long timeoutMillis, Consumer<Optional<Document>> answer) {
+      String path, byte[] json, long timeoutMillis, Consumer<Optional<Document>> callback) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1, HttpMethod.POST, path, Unpooled.wrappedBuffer(json));
     request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
     request.headers().set(HttpHeaderNames.CONTENT_LENGTH, json.length);
-    ask(request, timeoutMillis, answer);
+    send(request, timeoutMillis, callback);
   }
 
-  private void ask(
-      FullHttpRequest request, long timeoutMillis, Consumer<Optional<Document>> answer) {
-    if (waiting != null) {
-      throw new IllegalStateException("a question is open");
+  private void send(
+      FullHttpRequest request, long timeoutMillis, Consumer<Optional<Document>> callback) {
+    if (pendingCallback != null) {
+      throw new IllegalStateException("a request is already pending");
     }
-    waiting = answer;
-    timer = loop.schedule(this::fail, timeoutMillis, TimeUnit.MILLISECONDS);
+    pendingCallback = callback;
+    timeoutTimer = loop.schedule(this::fail, timeoutMillis, TimeUnit.MILLISECONDS);
     request.headers().set(HttpHeaderNames.HOST, address.toString());
     if (channel != null && channel.isActive()) {
       channel.writeAndFlush(request);
@@ -106,18 +112,18 @@
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
-                  protected void initChannel(Channel fresh) {
-                    HeadReader heads = new HeadReader();
-                    fresh
+                  protected void initChannel(Channel newChannel) {
+                    FramingReader framingReader = new FramingReader();
+                    newChannel
                         .pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(heads)
-                        .addLast(new HttpObjectAggregator(LARGEST_DOCUMENT))
-                        .addLast(new AnswerHandler(heads));
+                        .addLast(framingReader)
+                        .addLast(new HttpObjectAggregator(MAX_DOCUMENT_BYTES))
+                        .addLast(new ResponseHandler(framingReader));
                   }
                 })
             .connect(address.ip(), address.port());
@@ -134,7 +140,7 @@
 
   private void fail() {
     dropConnection();
-    settle(Optional.empty());
+    complete(Optional.empty());
   }
 
   private void dropConnection() {
@@ -145,15 +151,15 @@
     }
   }
 
-  private void settle(Optional<Document> document) {
-    if (timer != null) {
-      timer.cancel(false);
-      timer = null;
+  private void complete(Optional<Document> document) {
+    if (timeoutTimer != null) {
+      timeoutTimer.cancel(false);
+      timeoutTimer = null;
     }
-    Consumer<Optional<Document>> asker = waiting;
-    waiting = null;
-    if (asker != null) {
-      asker.accept(document);
+    Consumer<Optional<Document>> callback = pendingCallback;
+    pendingCallback = null;
+    if (callback != null) {
+      callback.accept(document);
     }
   }
 
@@ -162,8 +168,8 @@
     fail();
   }
 
-  /** Keeps how the present answer is framed, which it does not show any more when it is whole. */
-  private static final class HeadReader extends ChannelInboundHandlerAdapter {
+  /** Records how the current response is delimited; the aggregated response no longer shows it. */
+  private static final class FramingReader extends ChannelInboundHandlerAdapter {
     private Optional<AnswerEnd> end = Optional.empty();
 
     @Override
@@ -174,7 +180,9 @@
       context.fireChannelRead(message);
     }
 
-    /** An interim answer is as bad as none: what follows it must not go to a later question. */
+    /**
+     * Treats an interim response as unusable: its final response must not go to a later request.
+     */
     private static Optional<AnswerEnd> endOf(HttpResponse head) {
       return ResponseFraming.isInterim(head)
           ? Optional.empty()
@@ -182,11 +190,11 @@
     }
   }
 
-  private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final HeadReader heads;
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final FramingReader framingReader;
 
-    private AnswerHandler(HeadReader heads) {
-      this.heads = heads;
+    private ResponseHandler(FramingReader framingReader) {
+      this.framingReader = framingReader;
     }
 
     @Override
@@ -194,18 +202,20 @@
       if (context.channel() != channel) {
         return;
       }
-      boolean broken =
-          response.decoderResult().isFailure() || waiting == null || heads.end.isEmpty();
-      if (broken || !HttpUtil.isKeepAlive(response)) {
+      boolean unusable =
+          response.decoderResult().isFailure()
+              || pendingCallback == null
+              || framingReader.end.isEmpty();
+      if (unusable || !HttpUtil.isKeepAlive(response)) {
         dropConnection();
       }
       byte[] body = ByteBufUtil.getBytes(response.content());
-      boolean hasOwnEnd = !heads.end.equals(Optional.of(AnswerEnd.CONNECTION_CLOSED));
-      Document document = new Document(headOf(response), body, hasOwnEnd);
-      settle(broken ? Optional.empty() : Optional.of(document));
+      boolean isSelfDelimited = !framingReader.end.equals(Optional.of(AnswerEnd.CONNECTION_CLOSED));
+      Document document = new Document(headOf(response), body, isSelfDelimited);
+      complete(unusable ? Optional.empty() : Optional.of(document));
     }
 
-    /** Copies the head, since the answer itself is released with its body. */
+    /** Copies the head, because the response is released together with its body. */
     private static HttpResponse headOf(FullHttpResponse response) {
       return new DefaultHttpResponse(
           response.protocolVersion(), response.status(), response.headers());
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/HopByHopHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/HopByHopHeaders.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Copies headers from one connection to another, less those that concern one connection only. */
+/** Copies headers between connections, except for hop-by-hop headers. */
 final class HopByHopHeaders {
-  private static final Set<String> ALWAYS =
+  private static final Set<String> ALWAYS_EXCLUDED =
       Set.of(
           "connection",
           "keep-alive",
@@ -25,12 +25,18 @@
 
   private HopByHopHeaders() {}
 
-  /** Copies all but hop-by-hop headers and those named in {@code without}, in small letters. */
-  static void copy(HttpHeaders from, HttpHeaders to, Set<String> without) {
-    Set<String> named = namedByConnection(from);
+  /**
+   * Copies all headers except hop-by-hop headers and the excluded ones.
+   *
+   * @param excluded names in lower case
+   */
+  static void copy(HttpHeaders from, HttpHeaders to, Set<String> excluded) {
+    Set<String> namedInConnection = namedByConnection(from);
     for (Map.Entry<String, String> header : from) {
       String name = header.getKey().toLowerCase(Locale.ROOT);
-      if (!ALWAYS.contains(name) && !named.contains(name) && !without.contains(name)) {
+      if (!ALWAYS_EXCLUDED.contains(name)
+          && !namedInConnection.contains(name)
+          && !excluded.contains(name)) {
         to.add(header.getKey(), header.getValue());
       }
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/IncomingRequest.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/IncomingRequest.java
@@ -15,7 +15,7 @@
 import org.gatereel.forward.HeaderNames;
 
 /** A caller's request with its body, detached from the connection's buffers. */
-@SuppressWarnings("ArrayRecordComponent") // compared by nobody; a list would cost a copy
+@SuppressWarnings("ArrayRecordComponent") // records are never compared; a list would require a copy
 record IncomingRequest(
     HttpMethod method,
     String uri,
@@ -33,13 +33,14 @@
   /**
    * Reads a request.
    *
-   * @throws MalformedRequestException if it lacks what forwarding needs, or is ambiguous
+   * @throws MalformedRequestException if a required header is missing, or a header is repeated or
+   *     is not a number
    */
   static IncomingRequest read(FullHttpRequest request, HeaderNames names)
       throws MalformedRequestException {
     HttpHeaders headers = request.headers();
     if (!request.uri().startsWith("/")) {
-      throw new MalformedRequestException("the target is no path");
+      throw new MalformedRequestException("request target does not start with /");
     }
     String host = required(headers, HttpHeaderNames.HOST.toString());
     return new IncomingRequest(
@@ -84,14 +85,14 @@
       throws MalformedRequestException {
     return single(headers, name)
         .filter(value -> !value.isBlank())
-        .orElseThrow(() -> new MalformedRequestException("no " + name));
+        .orElseThrow(() -> new MalformedRequestException(name + " header is missing"));
   }
 
   private static Optional<String> single(HttpHeaders headers, String name)
       throws MalformedRequestException {
     List<String> values = headers.getAll(name);
     if (values.size() > 1) {
-      throw new MalformedRequestException("more than one " + name);
+      throw new MalformedRequestException(name + " header occurs more than once");
     }
     return values.stream().findFirst();
   }
@@ -112,7 +113,7 @@
     try {
       return Long.parseLong(value.strip());
     } catch (NumberFormatException e) {
-      throw new MalformedRequestException(name + " is no number");
+      throw new MalformedRequestException(name + " header is not a number");
     }
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
@@ -6,46 +6,46 @@
 import java.util.Optional;
 
 /**
- * The requests of one connection that wait for the answers before them.
+ * Queues the pipelined requests of one connection while an earlier request is handled.
  *
- * <p>From when a request is handed out until it is done, every other one waits: also one that is
- * read between the end of an answer and the start of the next request.
+ * <p>A request is current from when it is returned until {@link #completeCurrent} is called.
+ * Requests offered in between are queued, so that at most one is handled at a time.
  */
 final class PipelineQueue<T> {
-  private final Deque<T> waiting = new ArrayDeque<>();
+  private final Deque<T> queuedRequests = new ArrayDeque<>();
   private boolean busy;
 
-  /** Takes a request in; returns whether it is to be handled now. */
+  /** Returns true if the request is to be handled now; queues it otherwise. */
   boolean offer(T request) {
     if (busy) {
-      waiting.add(request);
+      queuedRequests.add(request);
       return false;
     }
     busy = true;
     return true;
   }
 
-  /** Notes that the present request is answered; returns the one to be handled next. */
+  /** Completes the current request; returns the next one, which becomes current. */
   Optional<T> completeCurrent() {
-    Optional<T> next = Optional.ofNullable(waiting.poll());
+    Optional<T> next = Optional.ofNullable(queuedRequests.poll());
     busy = next.isPresent();
     return next;
   }
 
-  /** Returns whether no request is being handled or waits. */
+  /** Returns whether there is no current request. */
   boolean isIdle() {
     return !busy;
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   int size() {
-    return waiting.size();
+    return queuedRequests.size();
   }
 
-  /** Hands over what waits, for good. */
+  /** Removes and returns the queued requests. */
   List<T> drain() {
-    List<T> left = List.copyOf(waiting);
-    waiting.clear();
-    return left;
+    List<T> removed = List.copyOf(queuedRequests);
+    queuedRequests.clear();
+    return removed;
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -19,45 +19,43 @@
 import org.gatereel.forward.TargetReport;
 
 /**
- * Tells the core whether one run of a target answers.
+ * Reports to the core whether one incarnation of a target is alive.
  *
- * <p>Any head counts but that the target is not the one that was meant: a process that has taken an
- * address over proves nothing about the one before. Where targets tell when they began, a later run
- * under the same name is another one too, and only a report that names the run proves that it
- * lives.
+ * <p>If the incarnation is unknown, any response head except 421 (Misdirected Request) proves that
+ * the target is alive; 421 means that another process uses the address. If the incarnation is
+ * known, the target's report must contain its start time.
  */
 final class ProbeHandler extends TargetResponseHandler {
-  /** Reports have some hundred bytes; of a longer answer nothing is read. */
-  private static final int MOST_BYTES = 64 << 10;
+  /** A longer body is not read as a report. */
+  private static final int MAX_REPORT_BYTES = 64 << 10;
 
-  private final TargetId probed;
+  private final TargetId target;
   private final TargetDialect dialect;
   private final TargetPort.ProbeListener listener;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private Statements said = Statements.NONE;
-  private boolean refused;
-  private boolean answered;
+  private Statements announcements = Statements.NONE;
+  private boolean connectionRefused;
+  private boolean headReceived;
 
-  /**
-   * Makes a handler for the answer to one probe.
-   *
-   * @param dialect reads what targets say
-   */
   ProbeHandler(
       ControlThread control,
-      TargetId probed,
+      TargetId target,
       TargetDialect dialect,
       TargetPort.ProbeListener listener) {
     super(control, HttpMethod.GET);
-    this.probed = probed;
+    this.target = target;
     this.dialect = dialect;
     this.listener = listener;
   }
 
-  /** A connection that does not come about in time says less: a full queue drops its opening. */
+  /**
+   * Distinguishes a refused connection from a timeout: a live target with a full accept queue also
+   * causes a timeout.
+   */
   @Override
   void connectFailed(Throwable cause) {
-    refused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
+    connectionRefused =
+        cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
     super.connectFailed(cause);
   }
 
@@ -67,56 +65,59 @@
   @Override
   void onHead(HttpResponse head) {
     if (head.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
-      conclude(ProbeResult.GONE);
+      finish(ProbeResult.GONE);
       return;
     }
-    answered = true;
-    said = AnnouncementHeaders.read(head, dialect.headers());
-    if (isKnownByName()) {
-      listener.heard(said);
-      conclude(ProbeResult.ALIVE);
+    headReceived = true;
+    announcements = AnnouncementHeaders.read(head, dialect.headers());
+    if (isIncarnationUnknown()) {
+      listener.heard(announcements);
+      finish(ProbeResult.ALIVE);
     }
   }
 
   @Override
   void onBody(byte[] bytes) {
-    if (body.size() + bytes.length > MOST_BYTES) {
-      conclude(ProbeResult.ANSWERED);
+    if (body.size() + bytes.length > MAX_REPORT_BYTES) {
+      finish(ProbeResult.ANSWERED);
       return;
     }
     body.writeBytes(bytes);
   }
 
-  /** Another run's answer says nothing of the one that was probed. */
+  /** Ignores the announcements of another incarnation. */
   @Override
   void onEnd(AnswerEnd end) {
     TargetReport report = dialect.readReport(body.toByteArray());
-    boolean same = report.startedAtMillis().equals(OptionalLong.of(probed.born()));
-    if (same) {
-      Statements all = said.withUnknownFields(report.unknown());
-      listener.heard(report.leaving() ? all.withLeaving(new Statement.Said<>(true)) : all);
+    boolean isSameIncarnation = report.startedAtMillis().equals(OptionalLong.of(target.born()));
+    if (isSameIncarnation) {
+      Statements allAnnouncements = announcements.withUnknownFields(report.unknown());
+      listener.heard(
+          report.leaving()
+              ? allAnnouncements.withLeaving(new Statement.Said<>(true))
+              : allAnnouncements);
     }
     if (report.startedAtMillis().isEmpty()) {
       listener.probed(ProbeResult.ANSWERED);
     } else {
-      listener.probed(same ? ProbeResult.ALIVE : ProbeResult.GONE);
+      listener.probed(isSameIncarnation ? ProbeResult.ALIVE : ProbeResult.GONE);
     }
   }
 
   @Override
   void onFailure(TargetFailure failure) {
-    if (answered) {
+    if (headReceived) {
       listener.probed(ProbeResult.ANSWERED);
     } else {
-      listener.probed(refused ? ProbeResult.GONE : ProbeResult.UNKNOWN);
+      listener.probed(connectionRefused ? ProbeResult.GONE : ProbeResult.UNKNOWN);
     }
   }
 
-  private boolean isKnownByName() {
-    return probed.born() == TargetId.UNKNOWN_BORN;
+  private boolean isIncarnationUnknown() {
+    return target.born() == TargetId.UNKNOWN_BORN;
   }
 
-  private void conclude(ProbeResult result) {
+  private void finish(ProbeResult result) {
     stopReporting();
     listener.probed(result);
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/PromptParts.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/PromptParts.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * Reads the list of a prompt's parts, {@code NAME:TOKENS,NAME:TOKENS}.
+ * Parses the list of a prompt's parts, {@code NAME:TOKENS,NAME:TOKENS}.
  *
- * <p>It only steers which engine is preferred; what cannot be read is passed over, and judged by
- * the engine that gets it.
+ * <p>The result is only a hint for the choice of an engine, so malformed entries are ignored here;
+ * the engine validates them.
  */
 final class PromptParts {
   private static final Splitter PARTS = Splitter.on(',').trimResults().omitEmptyStrings();
@@ -16,19 +16,23 @@
 
   private PromptParts() {}
 
-  /** Returns the name of the part with the most tokens, the last one among equals. */
+  /**
+   * Returns the name of the part with the most tokens; of several with as many, the last one.
+   *
+   * @param list may be null
+   */
   static Optional<String> largest(String list) {
     if (list == null) {
       return Optional.empty();
     }
     Optional<String> largest = Optional.empty();
-    long most = 0;
+    long largestTokens = 0;
     for (String part : PARTS.split(list)) {
       int separator = part.indexOf(SEPARATOR);
       Long tokens = separator > 0 ? Longs.tryParse(part.substring(separator + 1)) : null;
-      if (tokens != null && tokens >= most) {
+      if (tokens != null && tokens >= largestTokens) {
         largest = Optional.of(part.substring(0, separator));
-        most = tokens;
+        largestTokens = tokens;
       }
     }
     return largest;
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestAggregator.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestAggregator.java
@@ -19,39 +19,41 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Puts requests together with their bodies; one whose body is too long is passed on as failed.
+ * Aggregates requests with their bodies and marks requests with too long a body as failed.
  *
- * <p>It writes nothing while an answer is owed: the caller would take it for that answer.
+ * <p>100 (Continue) is delayed while an earlier request awaits its response, because the caller
+ * would take it for that response.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-  private final BooleanSupplier answering;
-  private boolean owesContinue;
+  private final BooleanSupplier hasPendingResponse;
+  private boolean continueDelayed;
 
   /**
    * Makes an aggregator.
    *
-   * @param answering whether an answer is owed
+   * @param maxBodyBytes the maximum length of a body
+   * @param hasPendingResponse whether an earlier request awaits its response
    */
-  RequestAggregator(int bodyBytes, BooleanSupplier answering) {
-    super(bodyBytes);
-    this.answering = answering;
+  RequestAggregator(int maxBodyBytes, BooleanSupplier hasPendingResponse) {
+    super(maxBodyBytes);
+    this.hasPendingResponse = hasPendingResponse;
   }
 
   @Override
-  protected Object newContinueResponse(HttpMessage start, int mostBytes, ChannelPipeline pipeline) {
-    if (HttpUtil.getContentLength(start, 0L) > mostBytes) {
+  protected Object newContinueResponse(HttpMessage start, int maxBytes, ChannelPipeline pipeline) {
+    if (HttpUtil.getContentLength(start, 0L) > maxBytes) {
       return null;
     }
-    Object response = super.newContinueResponse(start, mostBytes, pipeline);
-    owesContinue = response != null && answering.getAsBoolean();
-    return owesContinue ? null : response;
+    Object response = super.newContinueResponse(start, maxBytes, pipeline);
+    continueDelayed = response != null && hasPendingResponse.getAsBoolean();
+    return continueDelayed ? null : response;
   }
 
-  /** Once all answers are given, a caller that waits to be asked for a body is asked. */
+  /** Sends the delayed 100 (Continue) once no request awaits its response. */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) throws Exception {
-    if (event == CallerEvent.ALL_ANSWERED && owesContinue) {
-      owesContinue = false;
+    if (event == CallerEvent.ALL_ANSWERED && continueDelayed) {
+      continueDelayed = false;
       context.writeAndFlush(
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
@@ -59,11 +61,11 @@
     super.userEventTriggered(context, event);
   }
 
-  /** The body came unasked. */
+  /** Cancels the delayed 100 (Continue): the caller sent the body without it. */
   @Override
-  protected void finishAggregation(FullHttpMessage whole) throws Exception {
-    owesContinue = false;
-    super.finishAggregation(whole);
+  protected void finishAggregation(FullHttpMessage fullMessage) throws Exception {
+    continueDelayed = false;
+    super.finishAggregation(fullMessage);
   }
 
   @Override
@@ -78,7 +80,7 @@
             request.headers(),
             EmptyHttpHeaders.INSTANCE);
     failed.setDecoderResult(
-        DecoderResult.failure(new TooLongHttpContentException("the body is too long")));
+        DecoderResult.failure(new TooLongHttpContentException("request body is too long")));
     context.fireChannelRead(failed);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestHeadTimeoutHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestHeadTimeoutHandler.java
@@ -16,84 +16,85 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a connection whose caller takes too long over the head of a request.
+ * Closes a connection with 408 (Request Timeout) if a request head is not received in time.
  *
- * <p>A caller that is owed an answer would take the refusal for it; so the refusal waits until all
- * answers are given, and is dropped if the head comes until then.
+ * <p>While an earlier request awaits its response, the caller would take a 408 for that response.
+ * The 408 is therefore delayed until no response is pending, and cancelled if the head is complete
+ * by then.
  */
 final class RequestHeadTimeoutHandler extends ChannelInboundHandlerAdapter {
-  private final long millis;
+  private final long timeoutMillis;
   private ScheduledFuture<?> timer;
   private ChannelHandlerContext context;
-  private boolean withinBody;
-  private boolean heldBack;
-  private boolean late;
-  private boolean refused;
+  private boolean readingBody;
+  private boolean deferred;
+  private boolean timedOut;
+  private boolean timeoutSent;
 
-  RequestHeadTimeoutHandler(long millis) {
-    this.millis = millis;
+  RequestHeadTimeoutHandler(long timeoutMillis) {
+    this.timeoutMillis = timeoutMillis;
   }
 
   @Override
-  public void handlerAdded(ChannelHandlerContext added) {
-    context = added;
+  public void handlerAdded(ChannelHandlerContext addedContext) {
+    context = addedContext;
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext reading, Object bytes) throws Exception {
-    if (refused) {
-      // The caller was told that nothing of this ran.
+  public void channelRead(ChannelHandlerContext readContext, Object bytes) throws Exception {
+    if (timeoutSent) {
+      // The 408 promises that the request was not executed.
       ReferenceCountUtil.release(bytes);
       return;
     }
-    if (timer == null && !withinBody) {
-      timer = context.executor().schedule(this::timeIsUp, millis, TimeUnit.MILLISECONDS);
+    if (timer == null && !readingBody) {
+      timer = context.executor().schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
     }
-    super.channelRead(reading, bytes);
+    super.channelRead(readContext, bytes);
   }
 
-  private void timeIsUp() {
-    if (heldBack) {
-      late = true;
+  private void onTimeout() {
+    if (deferred) {
+      timedOut = true;
     } else {
-      refuse();
+      sendTimeoutResponse();
     }
   }
 
-  private void refuse() {
-    refused = true;
-    DefaultFullHttpResponse answer =
+  private void sendTimeoutResponse() {
+    timeoutSent = true;
+    DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.REQUEST_TIMEOUT, Unpooled.EMPTY_BUFFER);
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    context.channel().writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    context.channel().writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
   }
 
-  /** An answer is owed; a refusal before it would be taken for it. */
+  /** Delays a 408 while a request awaits its response. */
   void deferTimeoutResponse() {
-    heldBack = true;
+    deferred = true;
   }
 
-  /** All answers that were owed are given. */
+  /** Sends a delayed 408 and allows further ones, because no request awaits its response. */
   void allowTimeoutResponse() {
-    heldBack = false;
-    if (late) {
-      refuse();
+    deferred = false;
+    if (timedOut) {
+      sendTimeoutResponse();
     }
   }
 
-  private void headSeen() {
-    withinBody = true;
-    stop();
+  private void onHeadComplete() {
+    readingBody = true;
+    cancelTimer();
   }
 
-  private void bodySeen() {
-    withinBody = false;
+  private void onBodyComplete() {
+    readingBody = false;
   }
 
-  private void stop() {
-    late = false;
+  private void cancelTimer() {
+    timedOut = false;
     if (timer != null) {
       timer.cancel(false);
       timer = null;
@@ -102,20 +103,21 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) throws Exception {
-    stop();
+    cancelTimer();
     super.channelInactive(context);
   }
 
-  /** Sits behind the codec and tells the guard where a head or a body ends. */
+  /** Notifies the timeout handler of complete heads and bodies; must follow the codec. */
   static final class ParsedMessageObserver extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-      RequestHeadTimeoutHandler guard = context.pipeline().get(RequestHeadTimeoutHandler.class);
+      RequestHeadTimeoutHandler headTimeout =
+          context.pipeline().get(RequestHeadTimeoutHandler.class);
       if (message instanceof HttpRequest) {
-        guard.headSeen();
+        headTimeout.onHeadComplete();
       }
       if (message instanceof LastHttpContent) {
-        guard.bodySeen();
+        headTimeout.onBodyComplete();
       }
       super.channelRead(context, message);
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ResponseFraming.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ResponseFraming.java
@@ -14,74 +14,75 @@
 import org.gatereel.core.forward.AnswerEnd;
 
 /**
- * How targets' answers are framed.
+ * Determines how the body of a target's response is delimited.
  *
- * <p>The decoder refuses contradictory lengths, a length beside chunks, and chunks in HTTP/1.0;
- * what is left to judge here is what the decoder would read by a guess.
+ * <p>The decoder rejects conflicting lengths, a length combined with chunks, and chunks in
+ * HTTP/1.0. This class rejects other ambiguous framing, which the decoder would accept.
  */
 final class ResponseFraming {
-  private static final int LONGEST_LINE = 8_192;
-  private static final int LONGEST_HEAD = 65_536;
-  private static final int LARGEST_CHUNK = 65_536;
+  private static final int MAX_INITIAL_LINE_BYTES = 8_192;
+  private static final int MAX_HEAD_BYTES = 65_536;
+  private static final int MAX_CHUNK_BYTES = 65_536;
 
   private ResponseFraming() {}
 
   /** Returns a codec for one connection to a target. */
   static HttpClientCodec codec() {
-    HttpDecoderConfig strict =
+    HttpDecoderConfig decoderConfig =
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(LONGEST_LINE)
-            .setMaxHeaderSize(LONGEST_HEAD)
-            .setMaxChunkSize(LARGEST_CHUNK)
+            .setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEAD_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES)
             .setAllowDuplicateContentLengths(false)
             .setStrictLineParsing(true)
             .setUseRfc9112TransferEncoding(true);
-    return new HttpClientCodec(strict, false, false);
+    return new HttpClientCodec(decoderConfig, false, false);
   }
 
   /**
-   * Returns by what the end of an answer will be known; empty if that is in doubt.
+   * Returns what marks the end of a response; empty if the framing is ambiguous or unsupported.
    *
-   * <p>A coding other than chunks is in doubt even if its end is known: callers are not told of the
-   * coding, and would take the coded bytes for the answer.
+   * <p>Transfer codings other than chunked are unsupported: {@code Transfer-Encoding} is not
+   * forwarded to callers, so they would read the encoded bytes as the body.
    *
-   * @param asked the method of the request
-   * @param head the head of an answer that is not interim
+   * @param requestMethod the method of the request
+   * @param head the head of a response that is not interim
    */
-  static Optional<AnswerEnd> endOf(HttpMethod asked, HttpResponse head) {
-    if (leavesHttp(asked, head)) {
+  static Optional<AnswerEnd> endOf(HttpMethod requestMethod, HttpResponse head) {
+    if (switchesProtocol(requestMethod, head)) {
       return Optional.empty();
     }
-    if (hasNoBody(asked, head)) {
+    if (hasNoBody(requestMethod, head)) {
       return Optional.of(AnswerEnd.LENGTH_REACHED);
     }
     List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
     if (!codings.isEmpty()) {
-      return isJustChunks(codings) ? Optional.of(AnswerEnd.LAST_CHUNK) : Optional.empty();
+      return isChunkedOnly(codings) ? Optional.of(AnswerEnd.LAST_CHUNK) : Optional.empty();
     }
     return Optional.of(
         HttpUtil.isContentLengthSet(head) ? AnswerEnd.LENGTH_REACHED : AnswerEnd.CONNECTION_CLOSED);
   }
 
-  /** Returns whether other heads will follow this one before the answer. */
+  /** Returns whether this is an interim (1xx) head, which the final head follows. */
   static boolean isInterim(HttpResponse head) {
     return head.status().codeClass() == HttpStatusClass.INFORMATIONAL
         && !head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
   }
 
-  private static boolean leavesHttp(HttpMethod asked, HttpResponse head) {
+  private static boolean switchesProtocol(HttpMethod requestMethod, HttpResponse head) {
     boolean tunnel =
-        asked.equals(HttpMethod.CONNECT) && head.status().codeClass() == HttpStatusClass.SUCCESS;
+        requestMethod.equals(HttpMethod.CONNECT)
+            && head.status().codeClass() == HttpStatusClass.SUCCESS;
     return tunnel || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
   }
 
-  private static boolean hasNoBody(HttpMethod asked, HttpResponse head) {
-    return asked.equals(HttpMethod.HEAD)
+  private static boolean hasNoBody(HttpMethod requestMethod, HttpResponse head) {
+    return requestMethod.equals(HttpMethod.HEAD)
         || head.status().equals(HttpResponseStatus.NO_CONTENT)
         || head.status().equals(HttpResponseStatus.NOT_MODIFIED);
   }
 
-  private static boolean isJustChunks(List<String> codings) {
+  private static boolean isChunkedOnly(List<String> codings) {
     return codings.size() == 1
         && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip());
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/StatusServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/StatusServer.java
@@ -29,24 +29,29 @@
 import java.util.function.Supplier;
 import org.gatereel.core.model.Address;
 
-/** Answers questions with pages that are made anew each time: readiness, metrics, documents. */
+/**
+ * An HTTP server for internal pages such as readiness, metrics and documents.
+ *
+ * <p>A page is rendered for each request.
+ */
 public final class StatusServer implements AutoCloseable {
-  /** The largest question is a host's load at some 2,000 targets, with 28 bytes each. */
-  private static final int MOST_BYTES = 64 << 10;
+  /** Sufficient for a load report of 2,000 targets. */
+  private static final int MAX_REQUEST_BYTES = 64 << 10;
 
-  private static final Page NO_PAGE = new Page(404, "no such page\n");
+  private static final Page NOT_FOUND = new Page(404, "no such page\n");
 
   private final EventLoop loop;
   private final Map<String, AsyncPage> pages = new LinkedHashMap<>();
   private final Map<String, Function<byte[], Page>> receivers = new HashMap<>();
   private Channel listener;
 
-  /** A page with its status. */
+  /** A page with its HTTP status. */
   public record Page(int status, String text) {}
 
-  /** Makes a page out of a request's target, at once or later; it is told once. */
+  /** Renders a page from a request target, immediately or later. */
   public interface AsyncPage {
-    void respond(String target, Consumer<Page> page);
+    /** Passes the page to {@code callback} exactly once. */
+    void respond(String target, Consumer<Page> callback);
   }
 
   public StatusServer(EventLoop loop) {
@@ -58,18 +63,18 @@
     return addQueryPage(path, target -> page.get());
   }
 
-  /** Adds a page that is made from the whole request target, the query included. */
+  /** Adds a page that is rendered from the request target with its query. */
   public StatusServer addQueryPage(String path, Function<String, Page> page) {
-    return addAsyncPage(path, (target, answer) -> answer.accept(page.apply(target)));
+    return addAsyncPage(path, (target, callback) -> callback.accept(page.apply(target)));
   }
 
-  /** Adds a page that may be made later, out of the whole request target. */
-  public StatusServer addAsyncPage(String path, AsyncPage answerer) {
-    pages.put(path, answerer);
+  /** Adds a page that is rendered from the request target with its query, possibly later. */
+  public StatusServer addAsyncPage(String path, AsyncPage page) {
+    pages.put(path, page);
     return this;
   }
 
-  /** Adds a page that is made from the bytes that a question carries. */
+  /** Adds a page that is rendered from the body of a request. */
   public StatusServer addReceiver(String path, Function<byte[], Page> page) {
     receivers.put(path, page);
     return this;
@@ -89,7 +94,7 @@
                     channel
                         .pipeline()
                         .addLast(new HttpServerCodec())
-                        .addLast(new HttpObjectAggregator(MOST_BYTES))
+                        .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
                         .addLast(new PageHandler());
                   }
                 })
@@ -109,7 +114,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       boolean keepAlive = HttpUtil.isKeepAlive(request);
-      answer(request, page -> write(context, page, keepAlive));
+      respond(request, page -> write(context, page, keepAlive));
     }
 
     private void write(ChannelHandlerContext context, Page page, boolean keepAlive) {
@@ -126,18 +131,18 @@
       }
     }
 
-    private void answer(FullHttpRequest request, Consumer<Page> answer) {
+    private void respond(FullHttpRequest request, Consumer<Page> callback) {
       String path = request.uri().split("\\?", 2)[0];
       Function<byte[], Page> receiver = receivers.get(path);
       if (receiver != null) {
-        answer.accept(receiver.apply(ByteBufUtil.getBytes(request.content())));
+        callback.accept(receiver.apply(ByteBufUtil.getBytes(request.content())));
         return;
       }
-      AsyncPage answerer = pages.get(path);
-      if (answerer == null) {
-        answer.accept(NO_PAGE);
+      AsyncPage page = pages.get(path);
+      if (page == null) {
+        callback.accept(NOT_FOUND);
       } else {
-        answerer.respond(request.uri(), answer);
+        page.respond(request.uri(), callback);
       }
     }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetCallHandler.java
@@ -8,19 +8,19 @@
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.forward.ControlThread;
 
-/** Tells the core how a forwarded request fares. */
+/** Reports the progress and the outcome of a forwarded request to its listener in the core. */
 final class TargetCallHandler extends TargetResponseHandler {
   private final TargetPort.Listener listener;
-  private final Function<HttpResponse, TargetResponseHead> reader;
+  private final Function<HttpResponse, TargetResponseHead> headReader;
 
   TargetCallHandler(
       ControlThread control,
-      HttpMethod asked,
+      HttpMethod requestMethod,
       TargetPort.Listener listener,
-      Function<HttpResponse, TargetResponseHead> reader) {
-    super(control, asked);
+      Function<HttpResponse, TargetResponseHead> headReader) {
+    super(control, requestMethod);
     this.listener = listener;
-    this.reader = reader;
+    this.headReader = headReader;
   }
 
   @Override
@@ -35,7 +35,7 @@
 
   @Override
   void onHead(HttpResponse head) {
-    listener.answered(reader.apply(head));
+    listener.answered(headReader.apply(head));
   }
 
   @Override
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
@@ -29,15 +29,14 @@
 import org.gatereel.forward.TargetDialect;
 
 /**
- * Sends requests to targets, each on a connection of its own.
+ * Sends requests to targets, each on a new connection.
  *
- * <p>A connection that is used once can hold no surplus answer of an earlier request, and cannot
- * have been forgotten by the target while it rested; so what comes back belongs to the request, and
- * a connection that does not come about proves that the target did not get it. Nothing is sent
- * again here.
+ * <p>A new connection carries no leftover response of an earlier request and has not been closed by
+ * the target while idle. So a response always belongs to its request, and a failure to connect
+ * proves that the target did not receive the request. Requests are not retried by this class.
  */
 public final class TargetConnector implements TargetPort {
-  private static final int CONNECT_MILLIS = 250;
+  private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
   private final ControlThread control;
   private final TargetDialect dialect;
@@ -54,7 +53,7 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
   @Override
@@ -66,7 +65,8 @@
             request.method(),
             listener,
             head -> TargetResponseHead.read(head, request.id(), names));
-    Channel channel = open(dispatch.target().address(), handler, outgoing(request, dispatch));
+    Channel channel =
+        open(dispatch.target().address(), handler, outgoingRequest(request, dispatch));
     return () -> {
       handler.stopReporting();
       channel.close();
@@ -96,22 +96,23 @@
   public void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> heard,
-      Consumer<Optional<Set<String>>> answer) {
+      Consumer<Statements> announcementListener,
+      Consumer<Optional<Set<String>>> result) {
     DocumentClient client = new DocumentClient(control.loop(), target.address());
     client.get(
         dialect.promptsPath(),
         timeoutMillis,
         document -> {
-          Optional<Set<String>> kept =
+          Optional<Set<String>> parts =
               document
                   .filter(found -> found.status() == HttpResponseStatus.OK.code())
                   .flatMap(found -> dialect.readPrompts(found.body()));
           control.run(
               () -> {
                 document.ifPresent(
-                    found -> heard.accept(AnnouncementHeaders.read(found.head(), names)));
-                answer.accept(kept);
+                    found ->
+                        announcementListener.accept(AnnouncementHeaders.read(found.head(), names)));
+                result.accept(parts);
               });
           client.close();
         });
@@ -142,14 +143,14 @@
     return connecting.channel();
   }
 
-  private FullHttpRequest outgoing(IncomingRequest request, Dispatch dispatch) {
-    FullHttpRequest outgoing =
+  private FullHttpRequest outgoingRequest(IncomingRequest request, Dispatch dispatch) {
+    FullHttpRequest outgoingRequest =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             request.method(),
             request.uri(),
             Unpooled.wrappedBuffer(request.body()));
-    HttpHeaders headers = outgoing.headers();
+    HttpHeaders headers = outgoingRequest.headers();
     HopByHopHeaders.copy(request.headers(), headers, names.reservedNames());
     if (hasBody(request)) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
@@ -167,7 +168,7 @@
     if (dispatch.urgent()) {
       headers.set(names.urgency(), 0);
     }
-    return outgoing;
+    return outgoingRequest;
   }
 
   private static boolean hasBody(IncomingRequest request) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHandler.java
@@ -15,30 +15,30 @@
 import org.gatereel.forward.ControlThread;
 
 /**
- * Reads the one answer of a connection to a target; interim answers (1xx) are passed over.
+ * Reads the response of a connection to a target, which carries a single request.
  *
- * <p>The connection has to allow half-closure ({@code ALLOW_HALF_CLOSURE}), so that a target's own
- * end can be told from every other close. It is closed once there is nothing more to report.
+ * <p>Interim (1xx) responses are ignored. The connection must allow half-closure ({@code
+ * ALLOW_HALF_CLOSURE}), because only then can a close by the target be distinguished from other
+ * closes. The connection is closed after the last report.
  */
 abstract class TargetResponseHandler extends ChannelInboundHandlerAdapter {
   private final ControlThread control;
-  private final HttpMethod asked;
-  private boolean over;
+  private final HttpMethod requestMethod;
+  private boolean finished;
   private boolean interim;
   private boolean hasHead;
   private AnswerEnd end = AnswerEnd.CONNECTION_CLOSED;
 
   /**
-   * Makes a handler for the answer to one request.
+   * Makes a handler for the response to one request.
    *
-   * @param asked the request's method
+   * @param requestMethod the request's method
    */
-  TargetResponseHandler(ControlThread control, HttpMethod asked) {
+  TargetResponseHandler(ControlThread control, HttpMethod requestMethod) {
     this.control = control;
-    this.asked = asked;
+    this.requestMethod = requestMethod;
   }
 
-  /** The connection stands. */
   abstract void onConnected();
 
   abstract void onHead(HttpResponse head);
@@ -49,59 +49,59 @@
 
   abstract void onFailure(TargetFailure failure);
 
-  /** The connection did not come about. */
+  /** Called when the connection could not be established. */
   void connectFailed(Throwable cause) {
     fail(TargetFailure.NOT_CONNECTED);
   }
 
-  /** Returns whether the request is still to be sent. */
+  /** Returns whether the request should still be sent. */
   boolean mayBeSent() {
     return true;
   }
 
-  /** The connection stands; returns whether the request is to be sent. */
+  /** Called when the connection is established; returns whether to send the request. */
   final boolean prepareSend() {
-    step(
+    report(
         () -> {
           if (mayBeSent()) {
             onConnected();
           } else {
-            over = true;
+            finished = true;
             onFailure(TargetFailure.WITHDRAWN);
           }
         });
-    return !over;
+    return !finished;
   }
 
-  /** Nothing more is to be reported. */
+  /** Suppresses all further reports. */
   final void stopReporting() {
-    over = true;
+    finished = true;
   }
 
   final void fail(TargetFailure failure) {
-    step(
+    report(
         () -> {
-          over = true;
+          finished = true;
           onFailure(failure);
         });
   }
 
-  private void step(Runnable report) {
-    if (!over) {
-      control.run(report);
+  private void report(Runnable runnable) {
+    if (!finished) {
+      control.run(runnable);
     }
   }
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
-      if (!over) {
+      if (!finished) {
         read(context, (HttpObject) message);
       }
     } finally {
       ReferenceCountUtil.release(message);
     }
-    if (over) {
+    if (finished) {
       context.close();
     }
   }
@@ -123,21 +123,21 @@
   }
 
   private void readHead(HttpResponse head) {
-    Optional<AnswerEnd> known = ResponseFraming.endOf(asked, head);
-    if (known.isEmpty()) {
+    Optional<AnswerEnd> responseEnd = ResponseFraming.endOf(requestMethod, head);
+    if (responseEnd.isEmpty()) {
       fail(TargetFailure.ERROR);
       return;
     }
     hasHead = true;
-    end = known.get();
-    step(() -> onHead(head));
+    end = responseEnd.get();
+    report(() -> onHead(head));
   }
 
   private void readBody(ChannelHandlerContext context, HttpContent content) {
     if (content.content().isReadable()) {
       byte[] bytes = new byte[content.content().readableBytes()];
       content.content().readBytes(bytes);
-      step(() -> onBody(bytes));
+      report(() -> onBody(bytes));
     }
     if (content instanceof LastHttpContent && hasHead) {
       readLast(context);
@@ -145,22 +145,23 @@
   }
 
   /**
-   * Of the ends of a connection only the target's own, in order, leaves the other direction open;
-   * after a reset, a failed write or a close by this host the connection is gone.
+   * Completes the response. If it ends with the connection, the connection must still be active:
+   * only a graceful close by the target leaves the other direction open, unlike a reset, a failed
+   * write or a close by this host.
    */
   private void readLast(ChannelHandlerContext context) {
     if (end == AnswerEnd.CONNECTION_CLOSED && !context.channel().isActive()) {
       fail(TargetFailure.RESET);
       return;
     }
-    step(
+    report(
         () -> {
-          over = true;
+          finished = true;
           onEnd(end);
         });
   }
 
-  /** A target that ends its side has said all; a whole answer was reported before this. */
+  /** Fails on the target's close; a complete response has been reported before this event. */
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
     if (event instanceof ChannelInputShutdownEvent) {
@@ -174,7 +175,10 @@
     fail(TargetFailure.RESET);
   }
 
-  /** A reset must be seen before the end that follows it, which alone would look like a whole. */
+  /**
+   * Fails on a reset. It must be reported before the end of the connection that follows, which
+   * alone would look like the end of a complete response.
+   */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     fail(TargetFailure.RESET);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
@@ -9,9 +9,9 @@
 import org.gatereel.core.statement.Statements;
 import org.gatereel.forward.HeaderNames;
 
-/** The head of a target's answer, with the headers that the caller is given. */
+/** The head of a target's response. */
 record TargetResponseHead(
-    HttpResponseStatus line,
+    HttpResponseStatus responseStatus,
     HttpHeaders headers,
     boolean declaresNotRun,
     boolean isAuthentic,
@@ -20,26 +20,30 @@
     implements AnswerHead {
   private static final String EVENT_STREAM = "text/event-stream";
 
-  /** Reads the head of an answer to the request with the given id. */
+  /**
+   * Reads the head of a response.
+   *
+   * @param requestId the id of the request, which an authentic response repeats
+   */
   static TargetResponseHead read(HttpResponse response, String requestId, HeaderNames names) {
     HttpHeaders headers = response.headers();
-    boolean named = requestId.equals(headers.get(names.requestId()));
-    boolean plain = !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
-    boolean signed = headers.contains(names.signature());
+    boolean hasRequestId = requestId.equals(headers.get(names.requestId()));
+    boolean isUnencoded = !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
+    boolean isSigned = headers.contains(names.signature());
     int status = response.status().code();
-    boolean misdirected = status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
-    String type = headers.get(HttpHeaderNames.CONTENT_TYPE, "").toLowerCase(Locale.ROOT);
+    boolean isMisdirected = status == HttpResponseStatus.MISDIRECTED_REQUEST.code();
+    String contentType = headers.get(HttpHeaderNames.CONTENT_TYPE, "").toLowerCase(Locale.ROOT);
     return new TargetResponseHead(
         response.status(),
         headers,
-        headers.contains(names.notExecuted()) || misdirected,
-        named && plain && signed,
-        type.startsWith(EVENT_STREAM),
+        headers.contains(names.notExecuted()) || isMisdirected,
+        hasRequestId && isUnencoded && isSigned,
+        contentType.startsWith(EVENT_STREAM),
         AnnouncementHeaders.read(response, names));
   }
 
   @Override
   public int status() {
-    return line.code();
+    return responseStatus.code();
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -197,7 +197,8 @@
           .toJavaUtil()
           .filter(known -> target != null)
           .flatMap(
-              known -> known.make(TargetIdCodec.decode(target), number, now - Math.max(0, agoMillis)));
+              known ->
+                  known.make(TargetIdCodec.decode(target), number, now - Math.max(0, agoMillis)));
     }
   }
 
@@ -254,7 +255,9 @@
 
   private static LoadReport report(Message message, long now) {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
-    message.loads().forEach(entry -> loads.put(TargetIdCodec.decode(entry.target()), load(entry, now)));
+    message
+        .loads()
+        .forEach(entry -> loads.put(TargetIdCodec.decode(entry.target()), load(entry, now)));
     Map<DemandKey, Double> demand = new HashMap<>();
     message.demand().forEach(entry -> demand.put(entry.key(), Math.max(0, entry.perSecond())));
     Map<EvidenceKey, Tally> evidence = new HashMap<>();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
@@ -25,7 +25,8 @@
   }
 
   /** Asks a host for what it has; the answer is empty if there is none in time. */
-  public void fetch(Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
+  public void fetch(
+      Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
     if (!host.equals(peer)) {
       close();
       client = new DocumentClient(loop, host);
