--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerResponseWriterTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerResponseWriterTest.java
@@ -35,7 +35,7 @@
 
   private EmbeddedChannel channel = new EmbeddedChannel(new HttpServerCodec());
 
-  private CallerResponseWriter answerTo(HttpMethod method, HttpVersion version) {
+  private CallerResponseWriter responseTo(HttpMethod method, HttpVersion version) {
     channel.writeInbound(
         Unpooled.copiedBuffer(method + " / " + version + "\r\n\r\n", StandardCharsets.US_ASCII));
     CoreContext context =
@@ -43,19 +43,21 @@
     ConfigurationKeeper configuration =
         new ConfigurationKeeper(context, new ConfigurationKeeper.Bounds(true, 5_000, 2_000));
     CallerServer server = new CallerServer(null, configuration, null, null);
-    CallerConnection connection = new CallerConnection(server, channel, new RequestHeadTimeoutHandler(400));
+    CallerConnection connection =
+        new CallerConnection(server, channel, new RequestHeadTimeoutHandler(400));
     FullHttpRequest request = new DefaultFullHttpRequest(version, method, "/");
     return new CallerResponseWriter(connection, channel, request, version.isKeepAliveDefault());
   }
 
-  private CallerResponseWriter beginStream() {
-    CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
-    answer.begin(head(HttpResponseStatus.OK, true));
-    answer.write(bytes("id: 1\n\n"));
-    return answer;
+  private CallerResponseWriter startStream() {
+    CallerResponseWriter response = responseTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
+    response.begin(head(HttpResponseStatus.OK, true));
+    response.write(bytes("id: 1\n\n"));
+    return response;
   }
 
-  private static TargetResponseHead head(HttpResponseStatus status, boolean stream, String... lengths) {
+  private static TargetResponseHead head(
+      HttpResponseStatus status, boolean stream, String... lengths) {
     HttpHeaders headers = new DefaultHttpHeaders();
     for (String length : lengths) {
       headers.set("content-length", length);
@@ -77,48 +79,48 @@
   }
 
   @Test
-  void endsAStreamByItsLastChunkAlone() {
-    CallerResponseWriter answer = beginStream();
-    answer.write(new byte[0]);
+  void writesTheLastChunkOnlyAtTheEndOfAStream() {
+    CallerResponseWriter response = startStream();
+    response.write(new byte[0]);
 
     assertFalse(written().contains(LAST_CHUNK));
 
-    answer.finish();
+    response.finish();
 
     assertEquals(LAST_CHUNK, written());
     assertTrue(channel.isOpen());
   }
 
   @Test
-  void writesNothingAfterAnAnswerIsBrokenOff() {
-    CallerResponseWriter answer = beginStream();
+  void writesNothingAfterAbort() {
+    CallerResponseWriter response = startStream();
     written();
-    answer.abort();
-    answer.write(bytes("id: 2\n\n"));
-    answer.finish();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    response.abort();
+    response.write(bytes("id: 2\n\n"));
+    response.finish();
+    response.refuse(Refusal.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void breaksOffInPlaceOfARefusalAfterAHead() {
-    CallerResponseWriter answer = beginStream();
+  void abortsInsteadOfRejectingAfterTheHead() {
+    CallerResponseWriter response = startStream();
     written();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    response.refuse(Refusal.TIMED_OUT, 0);
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void refusesInPlaceOfAnAnswerThatIsHeld() {
-    CallerResponseWriter answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
-    answer.begin(head(HttpResponseStatus.OK, false));
-    answer.write(bytes("half"));
-    answer.refuse(Refusal.TARGET_FAILED, 0);
-    answer.finish();
+  void rejectsInsteadOfABufferedResponse() {
+    CallerResponseWriter response = responseTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
+    response.begin(head(HttpResponseStatus.OK, false));
+    response.write(bytes("half"));
+    response.refuse(Refusal.TARGET_FAILED, 0);
+    response.finish();
     String text = written();
 
     assertTrue(text.startsWith("HTTP/1.1 502 "), text);
@@ -127,72 +129,71 @@
   }
 
   @Test
-  void writesNothingAfterTheEnd() {
-    CallerResponseWriter answer = beginStream();
-    answer.finish();
+  void writesNothingAfterFinish() {
+    CallerResponseWriter response = startStream();
+    response.finish();
     written();
-    answer.write(bytes("id: 2\n\n"));
-    answer.finish();
-    answer.refuse(Refusal.TIMED_OUT, 0);
+    response.write(bytes("id: 2\n\n"));
+    response.finish();
+    response.refuse(Refusal.TIMED_OUT, 0);
 
     assertEquals("", written());
   }
 
-  /** The next answer would be read as part of one whose end was not written. */
+  /** Guards against a caller reading the next response as part of one without a written end. */
   @Test
-  void closesAConnectionOnWhichAnEndCannotBeWritten() {
-    CallerResponseWriter answer = beginStream();
+  void closesTheConnectionIfTheEndCannotBeWritten() {
+    CallerResponseWriter response = startStream();
     failWrite(1);
-    answer.finish();
+    response.finish();
 
     assertFalse(channel.isOpen());
     assertFalse(written().contains(LAST_CHUNK));
   }
 
   /**
-   * Where there is no memory to encode an event, its write fails by itself and the connection
-   * stays. The events after it and the end went out, so that a stream with a hole ended as
-   * complete.
+   * Guards against completing a stream in which an event is missing because its write failed on an
+   * open connection.
    */
   @Test
-  void breaksOffAStreamWhoseEventCannotBeWritten() {
-    CallerResponseWriter answer = beginStream();
+  void abortsAStreamIfAnEventCannotBeWritten() {
+    CallerResponseWriter response = startStream();
     written();
     failWrite(1);
-    answer.write(bytes("id: 2\n\n"));
-    answer.write(bytes("id: 3\n\n"));
-    answer.finish();
+    response.write(bytes("id: 2\n\n"));
+    response.write(bytes("id: 3\n\n"));
+    response.finish();
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void breaksOffAnAnswerWhoseHeadCannotBeWritten() {
-    CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
+  void abortsAResponseIfItsHeadCannotBeWritten() {
+    CallerResponseWriter response = responseTo(HttpMethod.POST, HttpVersion.HTTP_1_1);
     failWrite(1);
-    answer.begin(head(HttpResponseStatus.OK, true));
-    answer.write(bytes("id: 1\n\n"));
-    answer.finish();
+    response.begin(head(HttpResponseStatus.OK, true));
+    response.write(bytes("id: 1\n\n"));
+    response.finish();
 
     assertEquals("", written());
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void breaksOffALongAnswerWhoseBeginningCannotBeWritten() {
-    CallerResponseWriter answer = answerTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
-    answer.begin(head(HttpResponseStatus.OK, false));
-    answer.write(bytes("one"));
+  void abortsALongResponseIfItsFirstBytesCannotBeWritten() {
+    CallerResponseWriter response = responseTo(HttpMethod.GET, HttpVersion.HTTP_1_1);
+    response.begin(head(HttpResponseStatus.OK, false));
+    response.write(bytes("one"));
     failWrite(2);
-    answer.write(bytes("two"));
-    answer.finish();
+    response.write(bytes("two"));
+    response.finish();
 
     assertFalse(written().contains(LAST_CHUNK));
     assertFalse(channel.isOpen());
   }
 
-  /** Has one of the next writes fail, the others pass. */
+  /** Makes the write with the given number fail, counted from 1; other writes succeed. */
   private void failWrite(int number) {
     channel
         .pipeline()
@@ -215,13 +216,13 @@
   }
 
   @Test
-  void sendsNoChunksToVersionsBeforeThem() {
+  void sendsNoChunksToCallersBeforeHttp11() {
     for (String version : new String[] {"HTTP/1.0", "HTTP/0.9"}) {
       channel = new EmbeddedChannel(new HttpServerCodec());
-      CallerResponseWriter answer = answerTo(HttpMethod.POST, HttpVersion.valueOf(version));
-      answer.begin(head(HttpResponseStatus.OK, true));
-      answer.write(bytes("id: 1\n\n"));
-      answer.finish();
+      CallerResponseWriter response = responseTo(HttpMethod.POST, HttpVersion.valueOf(version));
+      response.begin(head(HttpResponseStatus.OK, true));
+      response.write(bytes("id: 1\n\n"));
+      response.finish();
       String text = written();
 
       assertTrue(text.contains("connection: close\r\n"), text);
@@ -231,11 +232,11 @@
   }
 
   @Test
-  void dropsABodyThatMustNotBe() {
-    CallerResponseWriter answer = answerTo(HttpMethod.HEAD, HttpVersion.HTTP_1_1);
-    answer.begin(head(HttpResponseStatus.OK, true, "12"));
-    answer.write(bytes("id: 1\n\n"));
-    answer.finish();
+  void dropsTheBodyOfAResponseToHead() {
+    CallerResponseWriter response = responseTo(HttpMethod.HEAD, HttpVersion.HTTP_1_1);
+    response.begin(head(HttpResponseStatus.OK, true, "12"));
+    response.write(bytes("id: 1\n\n"));
+    response.finish();
 
     assertEquals("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n", written());
     assertTrue(channel.isOpen());
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/DocumentClientTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/DocumentClientTest.java
@@ -24,12 +24,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The end of a connection was taken for the end of a document that has neither length nor chunks,
- * and an interim answer for the document itself, so that the answer after it went to the next
- * question.
+ * Guards against accepting truncated documents, and against passing the response that follows an
+ * interim one to a later request.
  */
 class DocumentClientTest {
-  private static final int PATIENCE_MILLIS = 20_000;
+  private static final int TIMEOUT_MILLIS = 20_000;
 
   private MultiThreadIoEventLoopGroup group;
   private EventLoop loop;
@@ -51,15 +50,15 @@
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await();
   }
 
-  /** Asks on the client's thread; the answer is "none", or the status and the body. */
-  private CompletableFuture<String> ask(String path) {
-    CompletableFuture<String> answer = new CompletableFuture<>();
-    loop.execute(() -> askHere(path, answer));
-    return answer;
+  /** Sends a request on the client's thread; the result is "none", or the status and the body. */
+  private CompletableFuture<String> get(String path) {
+    CompletableFuture<String> result = new CompletableFuture<>();
+    loop.execute(() -> getOnLoop(path, result));
+    return result;
   }
 
-  private void askHere(String path, CompletableFuture<String> answer) {
-    client.get(path, PATIENCE_MILLIS, document -> answer.complete(text(document)));
+  private void getOnLoop(String path, CompletableFuture<String> result) {
+    client.get(path, TIMEOUT_MILLIS, document -> result.complete(text(document)));
   }
 
   private static String text(Optional<Document> document) {
@@ -68,17 +67,17 @@
         .orElse("none");
   }
 
-  private static String await(CompletableFuture<String> answer) throws Exception {
-    return answer.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+  private static String await(CompletableFuture<String> result) throws Exception {
+    return result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private Socket accept() throws IOException {
     Socket socket = server.accept();
-    socket.setSoTimeout(PATIENCE_MILLIS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
-  private static void readQuestion(Socket socket) throws IOException {
+  private static void readRequest(Socket socket) throws IOException {
     BufferedReader reader =
         new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -108,14 +107,14 @@
         "HTTP/1.1 100 Continue||",
         "",
       })
-  void takesNoCutAnswerForADocument(String answer) throws Exception {
-    CompletableFuture<String> heard = ask("/");
+  void rejectsATruncatedResponse(String response) throws Exception {
+    CompletableFuture<String> result = get("/");
     try (Socket socket = accept()) {
-      readQuestion(socket);
-      write(socket, answer);
+      readRequest(socket);
+      write(socket, response);
     }
 
-    assertEquals("none", await(heard));
+    assertEquals("none", await(result));
   }
 
   @ParameterizedTest
@@ -124,35 +123,35 @@
         "HTTP/1.1 200 OK|Content-Length: 2||12",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||2|12|0||",
       })
-  void readsADocument(String answer) throws Exception {
-    CompletableFuture<String> heard = ask("/");
+  void readsADocument(String response) throws Exception {
+    CompletableFuture<String> result = get("/");
     try (Socket socket = accept()) {
-      readQuestion(socket);
-      write(socket, answer);
+      readRequest(socket);
+      write(socket, response);
 
-      assertEquals("200 12", await(heard));
+      assertEquals("200 12", await(result));
     }
   }
 
   @Test
-  void givesNoQuestionTheAnswerOfTheOneBefore() throws Exception {
+  void passesNoResponseToALaterRequest() throws Exception {
     CompletableFuture<String> second = new CompletableFuture<>();
     CompletableFuture<String> first = new CompletableFuture<>();
     loop.execute(
         () ->
             client.get(
                 "/first",
-                PATIENCE_MILLIS,
+                TIMEOUT_MILLIS,
                 document -> {
                   first.complete(text(document));
-                  askHere("/second", second);
+                  getOnLoop("/second", second);
                 }));
     try (Socket socket = accept()) {
-      readQuestion(socket);
+      readRequest(socket);
       write(socket, "HTTP/1.1 103 Early Hints||HTTP/1.1 200 OK|Content-Length: 5||first");
       assertEquals("none", await(first));
       try (Socket next = accept()) {
-        readQuestion(next);
+        readRequest(next);
         write(next, "HTTP/1.1 200 OK|Content-Length: 6||second");
         assertEquals("200 second", await(second));
       }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
@@ -12,7 +12,7 @@
   private final PipelineQueue<String> queue = new PipelineQueue<>();
 
   @Test
-  void handsRequestsOutOneAfterTheOther() {
+  void returnsRequestsOneAtATime() {
     assertTrue(queue.offer("a"));
     assertFalse(queue.offer("b"));
 
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void letsNoRequestPassTheOneThatIsAboutToBeHandled() {
+  void queuesARequestWhileTheNextOneIsAboutToBeHandled() {
     queue.offer("a");
     queue.offer("b");
     assertEquals(Optional.of("b"), queue.completeCurrent());
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void handsOverWhatWaits() {
+  void drainsTheQueuedRequests() {
     queue.offer("a");
     queue.offer("b");
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/RequestHeadTimeoutHandlerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/RequestHeadTimeoutHandlerTest.java
@@ -14,15 +14,19 @@
 import org.junit.jupiter.api.Test;
 
 class RequestHeadTimeoutHandlerTest {
-  private static final long LIMIT_MILLIS = 400;
+  private static final long TIMEOUT_MILLIS = 400;
 
-  private RequestHeadTimeoutHandler guard;
+  private RequestHeadTimeoutHandler timeoutHandler;
   private EmbeddedChannel channel;
 
   @BeforeEach
   void open() {
-    guard = new RequestHeadTimeoutHandler(LIMIT_MILLIS);
-    channel = new EmbeddedChannel(guard, new HttpServerCodec(), new RequestHeadTimeoutHandler.ParsedMessageObserver());
+    timeoutHandler = new RequestHeadTimeoutHandler(TIMEOUT_MILLIS);
+    channel =
+        new EmbeddedChannel(
+            timeoutHandler,
+            new HttpServerCodec(),
+            new RequestHeadTimeoutHandler.ParsedMessageObserver());
     channel.freezeTime();
   }
 
@@ -30,78 +34,78 @@
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
-  private void pass(long millis) {
+  private void advanceTime(long millis) {
     channel.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
   }
 
   @Test
-  void endsAConnectionWhoseHeadDoesNotCome() {
+  void closesAConnectionWithAnIncompleteHead() {
     receive("GET / HTTP/1.1\r\nHo");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
 
-    ByteBuf answer = channel.readOutbound();
-    assertTrue(answer.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 408 "));
+    ByteBuf response = channel.readOutbound();
+    assertTrue(response.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 408 "));
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void leavesABodyItsTimeThatComesInPieces() {
+  void doesNotTimeOutWhileABodyIsReceived() {
     receive("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\n");
     receive("ab");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
     receive("cd");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
 
     assertTrue(channel.isOpen());
   }
 
   @Test
-  void watchesTheNextHeadAfterABody() {
+  void timesOutOnTheNextHeadAfterABody() {
     receive("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nab");
     receive("GET ");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
 
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void leavesARestingConnectionAlone() {
+  void doesNotTimeOutAnIdleConnection() {
     receive("GET / HTTP/1.1\r\n\r\n");
-    pass(10 * LIMIT_MILLIS);
+    advanceTime(10 * TIMEOUT_MILLIS);
 
     assertTrue(channel.isOpen());
   }
 
   /**
-   * A caller that sent part of its next request while it waited for an answer was refused at once:
-   * it took the refusal, which promises that nothing ran, for the answer that it waited for.
+   * Guards against a 408 for a partial request being taken for the response to an earlier request,
+   * which may have been executed.
    */
   @Test
-  void refusesNoHeadBeforeTheAnswersThatAreOwed() {
+  void delaysTheTimeoutResponseUntilNoResponseIsPending() {
     receive("GET / HTTP/1.1\r\n\r\n");
-    guard.deferTimeoutResponse();
+    timeoutHandler.deferTimeoutResponse();
     receive("GET / HT");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
 
     assertNull(channel.readOutbound());
     assertTrue(channel.isOpen());
 
-    guard.allowTimeoutResponse();
+    timeoutHandler.allowTimeoutResponse();
 
-    ByteBuf answer = channel.readOutbound();
-    assertTrue(answer.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 408 "));
+    ByteBuf response = channel.readOutbound();
+    assertTrue(response.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 408 "));
     assertFalse(channel.isOpen());
   }
 
   @Test
-  void forgivesALateHeadThatIsWholeBeforeTheAnswersThatAreOwed() {
+  void cancelsTheTimeoutResponseIfTheHeadIsCompleteInTheMeantime() {
     receive("GET / HTTP/1.1\r\n\r\n");
-    guard.deferTimeoutResponse();
+    timeoutHandler.deferTimeoutResponse();
     receive("GET / HT");
-    pass(LIMIT_MILLIS);
+    advanceTime(TIMEOUT_MILLIS);
     receive("TP/1.1\r\n\r\n");
-    guard.allowTimeoutResponse();
+    timeoutHandler.allowTimeoutResponse();
 
     assertNull(channel.readOutbound());
     assertTrue(channel.isOpen());
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseFramingTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseFramingTest.java
@@ -24,9 +24,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Callers were given answers as complete that were cut. So each way in which an answer may be
- * framed is listed here with what is reported of it, once as it stands and once as its target then
- * ends the connection in order; "open" is an answer that is still waited for.
+ * Guards against reporting a truncated response as complete. Each case has the outcome before and
+ * after the target's graceful close; "open" is a response that is not yet complete.
  */
 class ResponseFramingTest {
   private static final ForwardLog LOG = new ForwardLog("test");
@@ -48,7 +47,7 @@
     LOG.close();
   }
 
-  private void ask(HttpMethod method) {
+  private void sendRequest(HttpMethod method) {
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
     recorder = new ResponseRecorder(new ControlThread(channel.eventLoop(), context, LOG), method);
@@ -61,16 +60,17 @@
     channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.US_ASCII));
   }
 
-  private void endByTarget() {
+  private void closeByTarget() {
     channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
     channel.runPendingTasks();
   }
 
-  private void check(String answer, String body, String before, String after) {
-    receive(answer);
-    assertEquals(before, recorder.outcome(), "while the connection stands");
-    endByTarget();
-    assertEquals(after, recorder.outcome(), "after its end");
+  private void check(
+      String response, String body, String outcomeBeforeClose, String outcomeAfterClose) {
+    receive(response);
+    assertEquals(outcomeBeforeClose, recorder.outcome(), "while the connection is open");
+    closeByTarget();
+    assertEquals(outcomeAfterClose, recorder.outcome(), "after the target closed it");
     assertEquals(body, recorder.body());
     assertFalse(channel.isOpen());
   }
@@ -92,10 +92,14 @@
     "3|abcd|0||, abc, ERROR, ERROR",
     "'', '', open, RESET",
   })
-  void takesOnlyTheLastChunkForTheEndOfChunks(
-      String chunks, String body, String before, String after) {
-    ask(HttpMethod.GET);
-    check("HTTP/1.1 200 OK|Transfer-Encoding: chunked||" + chunks, body, before, after);
+  void completesAChunkedResponseOnlyAtTheLastChunk(
+      String chunks, String body, String outcomeBeforeClose, String outcomeAfterClose) {
+    sendRequest(HttpMethod.GET);
+    check(
+        "HTTP/1.1 200 OK|Transfer-Encoding: chunked||" + chunks,
+        body,
+        outcomeBeforeClose,
+        outcomeAfterClose);
   }
 
   @ParameterizedTest
@@ -114,10 +118,10 @@
     "Content-Length: ||abc, '', ERROR, ERROR",
     "Content-Length: 99999999999999999999||abc, '', ERROR, ERROR",
   })
-  void takesOnlyTheWholeLengthForTheEndOfALength(
-      String rest, String body, String before, String after) {
-    ask(HttpMethod.GET);
-    check("HTTP/1.1 200 OK|" + rest, body, before, after);
+  void completesAResponseWithALengthOnlyAtFullLength(
+      String headersAndBody, String body, String outcomeBeforeClose, String outcomeAfterClose) {
+    sendRequest(HttpMethod.GET);
+    check("HTTP/1.1 200 OK|" + headersAndBody, body, outcomeBeforeClose, outcomeAfterClose);
   }
 
   @ParameterizedTest
@@ -135,9 +139,9 @@
     "HTTP/1.0 200 OK|Transfer-Encoding: chunked||3|abc|0||",
     "HTTP/1.1 101 Switching Protocols|Upgrade: websocket||abc",
   })
-  void takesNothingOfAnAnswerWhoseFramingIsInDoubt(String answer) {
-    ask(HttpMethod.GET);
-    check(answer, "", "ERROR", "ERROR");
+  void rejectsAResponseWithAmbiguousFraming(String response) {
+    sendRequest(HttpMethod.GET);
+    check(response, "", "ERROR", "ERROR");
   }
 
   @ParameterizedTest
@@ -165,10 +169,14 @@
     "HEAD, 100 Continue||HTTP/1.1 200 OK||, '', LENGTH_REACHED, LENGTH_REACHED",
     "GET, what||, '', ERROR, ERROR",
   })
-  void knowsAnAnswersEndByMethodAndStatus(
-      String method, String rest, String body, String before, String after) {
-    ask(HttpMethod.valueOf(method));
-    check("HTTP/1.1 " + rest, body, before, after);
+  void determinesTheEndOfAResponseByMethodAndStatus(
+      String method,
+      String statusAndRest,
+      String body,
+      String outcomeBeforeClose,
+      String outcomeAfterClose) {
+    sendRequest(HttpMethod.valueOf(method));
+    check("HTTP/1.1 " + statusAndRest, body, outcomeBeforeClose, outcomeAfterClose);
   }
 
   @ParameterizedTest
@@ -177,17 +185,17 @@
     "Transfer-Encoding: chunked||3|abc|0|",
     "X: y||abc",
   })
-  void takesNoUnfinishedAnswerForWholeAtACloseOfThisHost(String rest) {
-    ask(HttpMethod.GET);
-    receive("HTTP/1.1 200 OK|" + rest);
+  void failsAnIncompleteResponseWhenThisHostCloses(String headersAndBody) {
+    sendRequest(HttpMethod.GET);
+    receive("HTTP/1.1 200 OK|" + headersAndBody);
     channel.close();
 
     assertEquals("RESET", recorder.outcome());
   }
 
   @Test
-  void takesNoTunnelForAnAnswer() {
-    ask(HttpMethod.CONNECT);
+  void rejectsATunnel() {
+    sendRequest(HttpMethod.CONNECT);
     check("HTTP/1.1 200 OK||abc", "", "ERROR", "ERROR");
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseRecorder.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/ResponseRecorder.java
@@ -9,18 +9,18 @@
 import org.gatereel.core.forward.AnswerEnd;
 import org.gatereel.forward.ControlThread;
 
-/** Writes down what is reported of a target's answer. */
+/** Records what is reported of a target's response. */
 final class ResponseRecorder extends TargetResponseHandler {
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> outcomes = new ArrayList<>();
   private final StringBuilder body = new StringBuilder();
 
-  ResponseRecorder(ControlThread control, HttpMethod asked) {
-    super(control, asked);
+  ResponseRecorder(ControlThread control, HttpMethod requestMethod) {
+    super(control, requestMethod);
   }
 
-  /** Returns how the answer ended, or "open". */
+  /** Returns how the response ended, or "open". */
   String outcome() {
-    return heard.isEmpty() ? "open" : String.join(", ", heard);
+    return outcomes.isEmpty() ? "open" : String.join(", ", outcomes);
   }
 
   String body() {
@@ -40,11 +40,11 @@
 
   @Override
   void onEnd(AnswerEnd end) {
-    heard.add(end.name());
+    outcomes.add(end.name());
   }
 
   @Override
   void onFailure(TargetFailure failure) {
-    heard.add(failure.name());
+    outcomes.add(failure.name());
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetConnectorTest.java
@@ -47,16 +47,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A target answered a long request before it had read all of it, and died. The host noticed that by
- * a write that failed, closed the connection itself, and took that close for the end of the answer:
- * the part that had come by then was reported as whole.
+ * Guards against reporting a truncated response as complete when this host closes the connection
+ * after a failed write.
  */
 class TargetConnectorTest {
-  /** More than the buffers of both sides take, so that a write is always open. */
-  private static final int LONG_BODY = 64 << 20;
+  /** Larger than the socket buffers of both sides, so that a write is still pending. */
+  private static final int LONG_BODY_BYTES = 64 << 20;
 
-  private static final int PATIENCE_SECONDS = 20;
-  private static final long PROBE_MILLIS = 60_000;
+  private static final int TIMEOUT_SECONDS = 20;
+  private static final long PROBE_TIMEOUT_MILLIS = 60_000;
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\n\r\npart";
   private static final HeaderNames NAMES =
       new HeaderNames(
@@ -79,12 +78,12 @@
 
   private final ForwardLog log = new ForwardLog("test");
   private MultiThreadIoEventLoopGroup group;
-  private ServerSocket target;
+  private ServerSocket targetSocket;
   private TargetConnector connector;
 
   private record Dialect(HeaderNames headers) implements TargetDialect {
     @Override
-    public TargetReport readReport(byte[] answer) {
+    public TargetReport readReport(byte[] body) {
       return TargetReport.NONE;
     }
 
@@ -99,24 +98,24 @@
     }
 
     @Override
-    public Optional<Set<String>> readPrompts(byte[] answer) {
+    public Optional<Set<String>> readPrompts(byte[] body) {
       return Optional.empty();
     }
   }
 
-  /** Hears of one request; its end is a text. */
-  private static final class Heard implements TargetPort.Listener {
-    private final CountDownLatch answered = new CountDownLatch(1);
+  /** Records the outcome of one request as the name of an end or a failure. */
+  private static final class RecordingListener implements TargetPort.Listener {
+    private final CountDownLatch headReceived = new CountDownLatch(1);
     private final CompletableFuture<String> outcome = new CompletableFuture<>();
-    private final boolean wanted;
+    private final boolean mayBeSent;
 
-    private Heard(boolean wanted) {
-      this.wanted = wanted;
+    private RecordingListener(boolean mayBeSent) {
+      this.mayBeSent = mayBeSent;
     }
 
     @Override
     public boolean mayBeSent() {
-      return wanted;
+      return mayBeSent;
     }
 
     @Override
@@ -124,7 +123,7 @@
 
     @Override
     public void answered(AnswerHead head) {
-      answered.countDown();
+      headReceived.countDown();
     }
 
     @Override
@@ -141,18 +140,19 @@
     }
 
     void awaitHead() throws InterruptedException {
-      assertTrue(answered.await(PATIENCE_SECONDS, TimeUnit.SECONDS), "no head came");
+      assertTrue(
+          headReceived.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), "no response head was received");
     }
 
     String outcome() throws Exception {
-      return outcome.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return outcome.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
   }
 
   @BeforeEach
   void open() throws IOException {
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    targetSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
     ControlThread control = new ControlThread(group.next(), context, log);
@@ -161,7 +161,7 @@
 
   @AfterEach
   void close() throws Exception {
-    target.close();
+    targetSocket.close();
     group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await();
     log.close();
   }
@@ -172,16 +172,16 @@
         TargetKind.ENGINE,
         new ServiceName("engines"),
         new DataCentre("north"),
-        new Address("127.0.0.1", target.getLocalPort()),
+        new Address("127.0.0.1", targetSocket.getLocalPort()),
         1,
         LifeState.LIVE);
   }
 
-  private Heard send(byte[] body) {
+  private RecordingListener send(byte[] body) {
     return send(body, true);
   }
 
-  private Heard send(byte[] body, boolean wanted) {
+  private RecordingListener send(byte[] body, boolean mayBeSent) {
     IncomingRequest request =
         new IncomingRequest(
             HttpMethod.POST,
@@ -200,26 +200,28 @@
             request,
             description(),
             Optional.empty(),
-            PROBE_MILLIS,
+            PROBE_TIMEOUT_MILLIS,
             OptionalLong.empty(),
             Optional.empty(),
             Optional.empty(),
             false);
-    Heard heard = new Heard(wanted);
-    group.next().execute(() -> connector.send(dispatch, heard));
-    return heard;
+    RecordingListener listener = new RecordingListener(mayBeSent);
+    group.next().execute(() -> connector.send(dispatch, listener));
+    return listener;
   }
 
   private CompletableFuture<ProbeResult> probe() {
     CompletableFuture<ProbeResult> result = new CompletableFuture<>();
-    group.next().execute(() -> connector.probe(description(), PROBE_MILLIS, result::complete));
+    group
+        .next()
+        .execute(() -> connector.probe(description(), PROBE_TIMEOUT_MILLIS, result::complete));
     return result;
   }
 
-  /** Takes the next connection and reads the head of its request. */
-  private Socket takeRequest() throws IOException {
-    Socket socket = target.accept();
-    socket.setSoTimeout(PATIENCE_SECONDS * 1_000);
+  /** Accepts the next connection and reads the head of its request. */
+  private Socket acceptRequest() throws IOException {
+    Socket socket = targetSocket.accept();
+    socket.setSoTimeout(TIMEOUT_SECONDS * 1_000);
     readHead(socket);
     return socket;
   }
@@ -230,7 +232,7 @@
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = input.read();
       if (next < 0) {
-        throw new IOException("the request was cut short");
+        throw new IOException("request head is truncated");
       }
       head.append((char) next);
     }
@@ -242,75 +244,75 @@
   }
 
   @Test
-  void takesNoFailedWriteForTheEndOfAnAnswer() throws Exception {
-    Heard heard = send(new byte[LONG_BODY]);
-    try (Socket socket = takeRequest()) {
+  void failsAnUnframedResponseAfterAFailedWrite() throws Exception {
+    RecordingListener listener = send(new byte[LONG_BODY_BYTES]);
+    try (Socket socket = acceptRequest()) {
       write(socket, UNFRAMED);
-      heard.awaitHead();
+      listener.awaitHead();
       socket.setSoLinger(true, 0);
     }
 
-    assertEquals("RESET", heard.outcome());
+    assertEquals("RESET", listener.outcome());
   }
 
   @Test
-  void closesAConnectionWhoseTargetHasEndedTheAnswer() throws Exception {
-    Heard heard = send(new byte[0]);
-    try (Socket socket = takeRequest()) {
+  void closesTheConnectionAfterTheTargetEndsTheResponse() throws Exception {
+    RecordingListener listener = send(new byte[0]);
+    try (Socket socket = acceptRequest()) {
       write(socket, UNFRAMED);
       socket.shutdownOutput();
 
-      assertEquals("CONNECTION_CLOSED", heard.outcome());
+      assertEquals("CONNECTION_CLOSED", listener.outcome());
       assertEquals(-1, socket.getInputStream().read());
     }
   }
 
   @Test
-  void failsAndClosesIfTheTargetEndsBeforeAnyHead() throws Exception {
-    Heard heard = send(new byte[0]);
-    try (Socket socket = takeRequest()) {
+  void failsAndClosesIfTheTargetClosesBeforeTheHead() throws Exception {
+    RecordingListener listener = send(new byte[0]);
+    try (Socket socket = acceptRequest()) {
       socket.shutdownOutput();
 
-      assertEquals("RESET", heard.outcome());
+      assertEquals("RESET", listener.outcome());
       assertEquals(-1, socket.getInputStream().read());
     }
   }
 
   @Test
-  void doesNotFindATargetAliveThatEndsBeforeAnyHead() throws Exception {
+  void reportsUnknownIfAProbeIsClosedBeforeTheHead() throws Exception {
     CompletableFuture<ProbeResult> result = probe();
-    try (Socket socket = takeRequest()) {
+    try (Socket socket = acceptRequest()) {
       socket.shutdownOutput();
 
-      assertEquals(ProbeResult.UNKNOWN, result.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertEquals(ProbeResult.UNKNOWN, result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
       assertEquals(-1, socket.getInputStream().read());
     }
   }
 
   @Test
-  void closesAProbesConnectionOnceTheTargetHasAnswered() throws Exception {
+  void closesTheConnectionOfACompletedProbe() throws Exception {
     CompletableFuture<ProbeResult> result = probe();
-    try (Socket socket = takeRequest()) {
+    try (Socket socket = acceptRequest()) {
       write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n");
 
-      assertEquals(ProbeResult.ALIVE, result.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertEquals(ProbeResult.ALIVE, result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
       assertEquals(-1, socket.getInputStream().read());
     }
   }
 
   /**
-   * An address can be another process's by the time a target is probed. That process answers, which
-   * was taken for a sign of the one before.
+   * Guards against taking the response of another process at a reused address as proof that the
+   * probed target is alive.
    */
   @Test
-  void namesTheTargetThatAProbeIsMeantFor() throws Exception {
+  void sendsTheIdOfTheProbedTarget() throws Exception {
     CompletableFuture<ProbeResult> result = probe();
-    try (Socket socket = target.accept()) {
-      String question = readHead(socket);
+    try (Socket socket = targetSocket.accept()) {
+      String requestHead = readHead(socket);
       write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 
-      assertEquals(ProbeResult.ALIVE, result.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
-      assertTrue(question.contains("\r\nExpected: i-1\r\n"), question);
+      assertEquals(ProbeResult.ALIVE, result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      assertTrue(requestHead.contains("\r\nExpected: i-1\r\n"), requestHead);
     }
   }
 
@@ -322,42 +324,42 @@
     "503 Service Unavailable, ALIVE",
     "421 Misdirected Request, GONE",
   })
-  void findsATargetAliveByAnyAnswerButThatItIsNotMeant(String line, ProbeResult expected)
+  void reportsATargetAliveForAnyStatusExcept421(String line, ProbeResult expected)
       throws Exception {
     CompletableFuture<ProbeResult> result = probe();
-    try (Socket socket = takeRequest()) {
+    try (Socket socket = acceptRequest()) {
       write(socket, "HTTP/1.1 " + line + "\r\nContent-Length: 0\r\n\r\n");
 
-      assertEquals(expected, result.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertEquals(expected, result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
   @Test
-  void findsATargetGoneWhoseAddressRefusesConnections() throws Exception {
-    target.close();
+  void reportsATargetGoneIfTheConnectionIsRefused() throws Exception {
+    targetSocket.close();
 
-    assertEquals(ProbeResult.GONE, probe().get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    assertEquals(ProbeResult.GONE, probe().get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
-  /** A busy target looks like this: its process is there, and it has no time to answer. */
+  /** A live but overloaded target can reset or close the connection of a probe. */
   @Test
-  void doesNotKnowOfATargetThatBreaksOrLeavesItsProbe() throws Exception {
+  void reportsUnknownIfAProbeIsReset() throws Exception {
     CompletableFuture<ProbeResult> result = probe();
-    try (Socket socket = takeRequest()) {
+    try (Socket socket = acceptRequest()) {
       socket.setSoLinger(true, 0);
     }
 
-    assertEquals(ProbeResult.UNKNOWN, result.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+    assertEquals(ProbeResult.UNKNOWN, result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
-  /** The target may have said that it leaves while the connection came about. */
+  /** The target may announce that it is draining while the connection is being established. */
   @Test
-  void aRequestThatIsNotWantedAnyMoreIsNotSent() throws Exception {
-    Heard heard = send(new byte[1], false);
+  void doesNotSendAWithdrawnRequest() throws Exception {
+    RecordingListener listener = send(new byte[1], false);
 
-    try (Socket connection = target.accept()) {
+    try (Socket connection = targetSocket.accept()) {
       assertEquals(-1, connection.getInputStream().read());
     }
-    assertEquals(TargetFailure.WITHDRAWN.name(), heard.outcome());
+    assertEquals(TargetFailure.WITHDRAWN.name(), listener.outcome());
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetResponseHandlerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/TargetResponseHandlerTest.java
@@ -22,10 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An answer without length or chunks was reported as whole whenever its connection ended, also when
- * this host had closed it, for instance because the rest of a long request could not be written.
- * The decoder reports every end of a connection in the same way; only the handler sees whose it is.
- * A caller then got the part that had come by then as a complete answer.
+ * Guards against reporting a truncated response without length or chunks as complete. The decoder
+ * reports every end of a connection alike; only the handler knows which side closed it.
  */
 class TargetResponseHandlerTest {
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\n\r\npart";
@@ -55,15 +53,15 @@
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
   }
 
-  private void endByTarget() {
+  private void closeByTarget() {
     channel.pipeline().fireUserEventTriggered(ChannelInputShutdownEvent.INSTANCE);
     channel.runPendingTasks();
   }
 
   @Test
-  void takesTheTargetsCloseForTheEndOfAnUnframedAnswer() {
+  void completesAnUnframedResponseAtTheTargetsClose() {
     receive(UNFRAMED);
-    endByTarget();
+    closeByTarget();
 
     assertEquals("CONNECTION_CLOSED", recorder.outcome());
     assertEquals("part", recorder.body());
@@ -71,7 +69,7 @@
   }
 
   @Test
-  void takesNoCloseOfThisHostForTheEndOfAnAnswer() {
+  void failsAnUnframedResponseWhenThisHostCloses() {
     receive(UNFRAMED);
     channel.close();
 
@@ -79,7 +77,7 @@
   }
 
   @Test
-  void takesNoResetForTheEndOfAnAnswer() {
+  void failsAnUnframedResponseAtAReset() {
     receive(UNFRAMED);
     channel.pipeline().fireExceptionCaught(new IOException("reset"));
     channel.runPendingTasks();
@@ -89,8 +87,8 @@
   }
 
   @Test
-  void failsAtACloseBeforeAnyHead() {
-    endByTarget();
+  void failsAtACloseBeforeTheHead() {
+    closeByTarget();
 
     assertEquals("RESET", recorder.outcome());
     assertFalse(channel.isOpen());
@@ -99,17 +97,17 @@
   @Test
   void failsAtACloseWithinAHead() {
     receive("HTTP/1.1 200 OK\r\nContent-Le");
-    endByTarget();
+    closeByTarget();
 
     assertFalse(channel.isOpen());
     assertEquals("ERROR", recorder.outcome());
   }
 
   @Test
-  void hearsNothingAfterItWasToldToForget() {
+  void reportsNothingAfterStopReporting() {
     receive(UNFRAMED);
     recorder.stopReporting();
-    endByTarget();
+    closeByTarget();
 
     assertEquals("open", recorder.outcome());
     assertFalse(channel.isOpen());
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
@@ -23,7 +23,8 @@
     known.take(new SharedDocument(DocumentKind.CONFIGURATION, "{\"values\":{}}", "d1", 3, NOW));
     known.take(new SharedDocument(DocumentKind.TARGETS, "{\"values\":{}}", "d2", 4, NOW));
     byte[] answer =
-        PeerDocuments.writeResponse(PeerDocuments.PATH, known, NOW).getBytes(StandardCharsets.UTF_8);
+        PeerDocuments.writeResponse(PeerDocuments.PATH, known, NOW)
+            .getBytes(StandardCharsets.UTF_8);
     assertEquals(2, PeerDocuments.readResponse(answer).orElseThrow().size());
     for (int length = 0; length < answer.length; length++) {
       assertEquals(Optional.empty(), PeerDocuments.readResponse(Arrays.copyOf(answer, length)));
