--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadClient.java
@@ -11,15 +11,13 @@
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.http.DocumentClient;
 
-/**
- * Sends reports of load to other hosts, over one connection to each that is kept while it is used.
- */
+/** Sends load reports to other hosts, over one connection to each, which is closed when unused. */
 public final class LoadClient implements LoadPort, AutoCloseable {
-  /** Hosts answer within a few milliseconds; one that stands still is not waited for. */
+  /** Well above the usual response time of a host; a stalled host must not delay reports. */
   private static final long TIMEOUT_MILLIS = 250;
 
-  /** Receivers in use get a report each second. */
-  private static final long UNUSED_MILLIS = 10_000;
+  /** Receivers in use get a report every second. */
+  private static final long IDLE_CONNECTION_TIMEOUT_MILLIS = 10_000;
 
   private static final int OK = 200;
 
@@ -28,7 +26,7 @@
 
   private static final class Connection {
     private final DocumentClient client;
-    private long usedAt;
+    private long lastUsedMillis;
 
     private Connection(DocumentClient client) {
       this.client = client;
@@ -41,15 +39,15 @@
 
   @Override
   public void send(Address receiver, LoadReport report, Consumer<Receipt> receipt) {
-    long now = ControlThread.nowMillis();
-    closeUnused(now);
+    long nowMillis = ControlThread.nowMillis();
+    closeIdleConnections(nowMillis);
     Connection connection =
         connections.computeIfAbsent(
             receiver, address -> new Connection(new DocumentClient(control.loop(), address)));
-    connection.usedAt = now;
+    connection.lastUsedMillis = nowMillis;
     connection.client.post(
         LoadMessages.PATH,
-        LoadMessages.write(report, now),
+        LoadMessages.write(report, nowMillis),
         TIMEOUT_MILLIS,
         document -> control.run(() -> receipt.accept(receipt(document))));
   }
@@ -57,8 +55,8 @@
   private static Receipt receipt(Optional<DocumentClient.Document> document) {
     return document
         .map(
-            answer ->
-                switch (answer.status()) {
+            response ->
+                switch (response.status()) {
                   case OK -> Receipt.TAKEN;
                   case LoadMessages.FULL_REPORT_NEEDED_STATUS -> Receipt.WHOLE_NEEDED;
                   default -> Receipt.LOST;
@@ -66,12 +64,12 @@
         .orElse(Receipt.LOST);
   }
 
-  private void closeUnused(long now) {
-    Iterator<Connection> each = connections.values().iterator();
-    while (each.hasNext()) {
-      Connection connection = each.next();
-      if (now - connection.usedAt > UNUSED_MILLIS) {
-        each.remove();
+  private void closeIdleConnections(long nowMillis) {
+    Iterator<Connection> iterator = connections.values().iterator();
+    while (iterator.hasNext()) {
+      Connection connection = iterator.next();
+      if (nowMillis - connection.lastUsedMillis > IDLE_CONNECTION_TIMEOUT_MILLIS) {
+        iterator.remove();
         connection.client.close();
       }
     }
@@ -79,6 +77,8 @@
 
   @Override
   public void close() {
-    control.loop().execute(() -> connections.values().forEach(each -> each.client.close()));
+    control
+        .loop()
+        .execute(() -> connections.values().forEach(connection -> connection.client.close()));
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -36,20 +36,20 @@
 import org.gatereel.core.statement.TargetFact;
 
 /**
- * Reports of load as JSON.
+ * Encodes load reports as JSON.
  *
- * <p>Steady clocks of two hosts have nothing in common, so a failure travels as its age.
+ * <p>Times are sent as ages, because the monotonic clocks of two hosts are unrelated.
  */
 final class LoadMessages {
   static final String PATH = "/loads";
 
-  /** The answer of a receiver that lacks what a report builds on. */
+  /** The status of a receiver that has not received the report that a delta is based on. */
   static final int FULL_REPORT_NEEDED_STATUS = 409;
 
-  /** The age of a failure that nobody saw. */
+  /** The value of {@code failedAgoMillis} if no failure was recorded. */
   private static final long NO_FAILURE = -1;
 
-  /** What a host of a later version says beside is passed over. */
+  /** Ignores unknown fields, which hosts of a later version can send. */
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
           .addModule(new Jdk8Module())
@@ -58,7 +58,7 @@
 
   private LoadMessages() {}
 
-  /** A report on the wire. */
+  /** A load report on the wire. */
   @JsonInclude(JsonInclude.Include.NON_ABSENT)
   private record Message(
       String sender,
@@ -68,7 +68,7 @@
       long session,
       long sequence,
       OptionalLong builtOn,
-      List<Entry> loads,
+      List<LoadEntry> loads,
       List<Demand> demand,
       @JsonInclude(JsonInclude.Include.NON_EMPTY) List<Evidence> evidence,
       @JsonInclude(JsonInclude.Include.NON_EMPTY) List<Poison> poison,
@@ -94,12 +94,12 @@
     }
   }
 
-  /** One target of a report, as an array of its values. */
+  /** The load of one target, as an array of values. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-  private record Entry(
+  private record LoadEntry(
       String target, int open, int reading, int copies, int errors, long failedAgoMillis) {}
 
-  /** What is asked for under one key, as an array of its values; the account may be null. */
+  /** The request rate of one demand key, as an array of values; the account may be null. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   private record Demand(String service, int rank, String account, double perSecond) {
     static Demand of(DemandKey key, double perSecond) {
@@ -113,7 +113,7 @@
     }
   }
 
-  /** What was counted under one key, as an array of its values. */
+  /** The rollout evidence of one key, as an array of values. */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   private record Evidence(
       String service,
@@ -152,21 +152,21 @@
   }
 
   /**
-   * What was seen of a request under which targets end, as an array of its values; the target is
-   * null where the request was seen to run well.
+   * An execution of a suspected poison request, as an array of values; the target is that which
+   * crashed, or null if the execution succeeded.
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   private record Poison(String request, String target, long ranMillis, long agoMillis) {
-    static Poison of(PoisonFact fact, long now) {
+    static Poison of(PoisonFact fact, long nowMillis) {
       return new Poison(
           fact.request().value(),
           fact.ended().map(TargetIdCodec::encode).orElse(null),
           fact.at() - fact.sentAt(),
-          Math.max(0, now - fact.at()));
+          Math.max(0, nowMillis - fact.at()));
     }
 
-    PoisonFact fact(long now) {
-      long at = now - Math.max(0, agoMillis);
+    PoisonFact fact(long nowMillis) {
+      long at = nowMillis - Math.max(0, agoMillis);
       return new PoisonFact(
           new Fingerprint(request),
           Optional.ofNullable(target).map(TargetIdCodec::decode),
@@ -176,35 +176,36 @@
   }
 
   /**
-   * What a target said, as an array of its values; the number is null where the kind has none.
+   * A fact that a target announced, as an array of values; the value is null for kinds without one.
    *
-   * <p>The kind is a text, so that a report with kinds of a later version can be read.
+   * <p>The kind is a string, so that reports with kinds of a later version can be read.
    */
   @JsonFormat(shape = JsonFormat.Shape.ARRAY)
   private record Fact(String kind, String target, Double value, long agoMillis) {
-    static Fact of(TargetFact fact, long now) {
+    static Fact of(TargetFact fact, long nowMillis) {
       return new Fact(
           fact.kind().name(),
           TargetIdCodec.encode(fact.target()),
           fact.value().isPresent() ? fact.value().getAsDouble() : null,
-          Math.max(0, now - fact.since()));
+          Math.max(0, nowMillis - fact.since()));
     }
 
-    /** Returns the fact; empty if this version does not know its kind, or its value is none. */
-    Optional<TargetFact> fact(long now) {
-      OptionalDouble number = value == null ? OptionalDouble.empty() : OptionalDouble.of(value);
+    /** Returns the fact; empty if its kind is unknown or its value is invalid. */
+    Optional<TargetFact> fact(long nowMillis) {
+      OptionalDouble factValue = value == null ? OptionalDouble.empty() : OptionalDouble.of(value);
       return Enums.getIfPresent(FactKind.class, Strings.nullToEmpty(kind))
           .toJavaUtil()
-          .filter(known -> target != null)
+          .filter(factKind -> target != null)
           .flatMap(
-              known ->
-                  known.make(TargetIdCodec.decode(target), number, now - Math.max(0, agoMillis)));
+              factKind ->
+                  factKind.make(
+                      TargetIdCodec.decode(target), factValue, nowMillis - Math.max(0, agoMillis)));
     }
   }
 
-  static byte[] write(LoadReport report, long now) {
-    List<Entry> entries = new ArrayList<>();
-    report.loads().forEach((target, load) -> entries.add(entry(target, load, now)));
+  static byte[] write(LoadReport report, long nowMillis) {
+    List<LoadEntry> entries = new ArrayList<>();
+    report.loads().forEach((target, load) -> entries.add(loadEntry(target, load, nowMillis)));
     List<Demand> demand = new ArrayList<>();
     report.demand().forEach((key, perSecond) -> demand.add(Demand.of(key, perSecond)));
     List<Evidence> evidence = new ArrayList<>();
@@ -221,43 +222,43 @@
             entries,
             demand,
             evidence,
-            report.poison().stream().map(fact -> Poison.of(fact, now)).toList(),
-            report.targetFacts().stream().map(fact -> Fact.of(fact, now)).toList());
+            report.poison().stream().map(fact -> Poison.of(fact, nowMillis)).toList(),
+            report.targetFacts().stream().map(fact -> Fact.of(fact, nowMillis)).toList());
     try {
       return MAPPER.writeValueAsBytes(message);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a record of texts and numbers is JSON", e);
+      throw new IllegalStateException("load report could not be written as JSON", e);
     }
   }
 
-  private static Entry entry(TargetId target, TargetLoad load, long now) {
+  private static LoadEntry loadEntry(TargetId target, TargetLoad load, long nowMillis) {
     boolean failed = load.failedAt() != TargetLoad.NEVER;
-    return new Entry(
+    return new LoadEntry(
         TargetIdCodec.encode(target),
         load.open(),
         load.reading(),
         load.copies(),
         load.errors(),
-        failed ? Math.max(0, now - load.failedAt()) : NO_FAILURE);
+        failed ? Math.max(0, nowMillis - load.failedAt()) : NO_FAILURE);
   }
 
-  /** Reads a report that came at {@code now}; empty if it is none. */
-  static Optional<LoadReport> read(byte[] body, long now) {
+  /** Reads a report received at {@code nowMillis}; empty if it is malformed. */
+  static Optional<LoadReport> read(byte[] body, long nowMillis) {
     try {
       return Optional.ofNullable(MAPPER.readValue(body, Message.class))
           .filter(Message::isComplete)
-          .map(message -> report(message, now));
+          .map(message -> report(message, nowMillis));
     } catch (IOException e) {
-      // The sender is told that this is malformed, and logs that it was not taken.
+      // The sender receives an error status and logs that the report was not accepted.
       return Optional.empty();
     }
   }
 
-  private static LoadReport report(Message message, long now) {
+  private static LoadReport report(Message message, long nowMillis) {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
     message
         .loads()
-        .forEach(entry -> loads.put(TargetIdCodec.decode(entry.target()), load(entry, now)));
+        .forEach(entry -> loads.put(TargetIdCodec.decode(entry.target()), load(entry, nowMillis)));
     Map<DemandKey, Double> demand = new HashMap<>();
     message.demand().forEach(entry -> demand.put(entry.key(), Math.max(0, entry.perSecond())));
     Map<EvidenceKey, Tally> evidence = new HashMap<>();
@@ -272,17 +273,17 @@
         loads,
         demand,
         evidence,
-        message.poison().stream().map(entry -> entry.fact(now)).toList(),
-        message.facts().stream().flatMap(entry -> entry.fact(now).stream()).toList());
+        message.poison().stream().map(entry -> entry.fact(nowMillis)).toList(),
+        message.facts().stream().flatMap(entry -> entry.fact(nowMillis).stream()).toList());
   }
 
-  private static TargetLoad load(Entry entry, long now) {
+  private static TargetLoad load(LoadEntry entry, long nowMillis) {
     boolean failed = entry.failedAgoMillis() != NO_FAILURE;
     return new TargetLoad(
         Math.max(0, entry.open()),
         Math.max(0, entry.reading()),
         Math.max(0, entry.copies()),
         Math.max(0, entry.errors()),
-        failed ? now - Math.max(0, entry.failedAgoMillis()) : TargetLoad.NEVER);
+        failed ? nowMillis - Math.max(0, entry.failedAgoMillis()) : TargetLoad.NEVER);
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerClient.java
@@ -9,9 +9,11 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.http.DocumentClient;
 
-/** Asks one other host at a time for documents, over a connection that is kept while it serves. */
+/**
+ * Fetches documents from one other host at a time, over a connection kept until the host changes.
+ */
 public final class PeerClient implements AutoCloseable {
-  /** Hosts of a data centre answer in a few milliseconds unless they stand still. */
+  /** Well above the usual response time within a data centre. */
   private static final long TIMEOUT_MILLIS = 250;
 
   private static final int OK = 200;
@@ -24,22 +26,28 @@
     this.loop = loop;
   }
 
-  /** Asks a host for what it has; the answer is empty if there is none in time. */
+  /**
+   * Fetches the documents of a host; the result is empty after a timeout or an error.
+   *
+   * @param known the documents that this host has already
+   */
   public void fetch(
-      Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> answer) {
+      Address host, DocumentCache known, Consumer<Optional<List<PeerReading>>> callback) {
     if (!host.equals(peer)) {
       close();
       client = new DocumentClient(loop, host);
       peer = host;
     }
     client.get(
-        PeerDocuments.writeQuery(known), TIMEOUT_MILLIS, document -> answer.accept(read(document)));
+        PeerDocuments.writeQuery(known),
+        TIMEOUT_MILLIS,
+        document -> callback.accept(read(document)));
   }
 
   private static Optional<List<PeerReading>> read(Optional<DocumentClient.Document> document) {
     return document
-        .filter(found -> found.status() == OK)
-        .flatMap(found -> PeerDocuments.readResponse(found.body()));
+        .filter(received -> received.status() == OK)
+        .flatMap(received -> PeerDocuments.readResponse(received.body()));
   }
 
   @Override
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerDocuments.java
@@ -17,10 +17,10 @@
 import org.gatereel.core.forward.SharedDocument;
 
 /**
- * The question that hosts ask each other for documents, and its answer, as HTTP and JSON.
+ * Encodes the requests for documents between hosts as query strings, and the responses as JSON.
  *
- * <p>The question's parameters are the digests that the asker knows; the answer is a list of {@link
- * PeerReading}, without the contents that the asker has.
+ * <p>A request contains the digests of the requester's documents. The response is a list of {@link
+ * PeerReading}, without the contents that the requester already has.
  */
 final class PeerDocuments {
   static final String PATH = "/documents";
@@ -31,7 +31,7 @@
 
   private PeerDocuments() {}
 
-  /** Writes the question of a host that has {@code known}. */
+  /** Returns the request target of a host that has the documents {@code known}. */
   static String writeQuery(DocumentCache known) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
     for (DocumentKind kind : DocumentKind.values()) {
@@ -40,32 +40,35 @@
     return query.toString();
   }
 
-  /** Writes the answer to a question. */
-  static String writeResponse(String question, DocumentCache known, long now) {
-    QueryStringDecoder query = new QueryStringDecoder(question);
+  /** Returns the response to a request with the given target. */
+  static String writeResponse(String requestTarget, DocumentCache known, long nowMillis) {
+    QueryStringDecoder query = new QueryStringDecoder(requestTarget);
     List<PeerReading> readings = new ArrayList<>();
     for (DocumentKind kind : DocumentKind.values()) {
       List<String> digests = query.parameters().getOrDefault(kind.name(), List.of());
-      known.find(kind).ifPresent(document -> readings.add(reading(document, digests, now)));
+      known
+          .find(kind)
+          .ifPresent(document -> readings.add(peerReading(document, digests, nowMillis)));
     }
     try {
       return MAPPER.writeValueAsString(readings);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a record of texts and numbers is JSON", e);
+      throw new IllegalStateException("documents could not be written as JSON", e);
     }
   }
 
-  private static PeerReading reading(SharedDocument document, List<String> digests, long now) {
-    boolean had = digests.contains(document.digest());
+  private static PeerReading peerReading(
+      SharedDocument document, List<String> digests, long nowMillis) {
+    boolean requesterHasContent = digests.contains(document.digest());
     return new PeerReading(
         document.kind(),
-        had ? Optional.empty() : Optional.of(document.content()),
+        requesterHasContent ? Optional.empty() : Optional.of(document.content()),
         document.digest(),
         document.version(),
-        now - document.provenAt());
+        nowMillis - document.provenAt());
   }
 
-  /** Reads an answer; empty if it is none. */
+  /** Reads a response; empty if it is malformed or truncated. */
   static Optional<List<PeerReading>> readResponse(byte[] body) {
     try {
       return Optional.ofNullable(MAPPER.readValue(body, READINGS));
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -12,82 +12,83 @@
 import org.gatereel.forward.http.StatusServer;
 
 /**
- * Answers other hosts that ask for documents or for loans, or tell their load.
+ * Serves documents and tokens to other hosts and receives their load reports.
  *
- * <p>Whether the proof of a document is too old is the asker's to say.
+ * <p>Documents are served with their age; the requesting host decides whether they are too old.
  */
 public final class PeerServer implements AutoCloseable {
   private static final int OK = 200;
-  private static final StatusServer.Page TAKEN = new StatusServer.Page(OK, "");
-  private static final StatusServer.Page WHOLE_NEEDED =
+  private static final StatusServer.Page ACCEPTED = new StatusServer.Page(OK, "");
+  private static final StatusServer.Page FULL_REPORT_NEEDED =
       new StatusServer.Page(LoadMessages.FULL_REPORT_NEEDED_STATUS, "");
 
-  /** Another host is to be asked. */
-  private static final StatusServer.Page NOT_LENT = new StatusServer.Page(409, "not lent here\n");
+  /** The tokens must be requested from another host. */
+  private static final StatusServer.Page NOT_ISSUED_HERE =
+      new StatusServer.Page(409, "not lent here\n");
 
   private static final StatusServer.Page MALFORMED = new StatusServer.Page(400, "malformed\n");
 
   private final ControlThread control;
-  private final DocumentCache known;
+  private final DocumentCache documentCache;
   private final CoreContext context;
-  private final Lender lender;
-  private final Predicate<LoadReport> takeLoads;
+  private final Lender issuer;
+  private final Predicate<LoadReport> loadReceiver;
   private final StatusServer server;
 
   /**
    * Makes a server; nothing is bound yet.
    *
-   * @param context tells how old documents are
-   * @param lender lends what all hosts share
-   * @param takeLoads takes in a host's load, or returns false if all of it has to be told
+   * @param context the clock for the age of documents
+   * @param issuer issues tokens of limits that all hosts share
+   * @param loadReceiver processes a load report; returns false if the full report is needed
    */
   public PeerServer(
       ControlThread control,
-      DocumentCache known,
+      DocumentCache documentCache,
       CoreContext context,
-      Lender lender,
-      Predicate<LoadReport> takeLoads) {
+      Lender issuer,
+      Predicate<LoadReport> loadReceiver) {
     this.control = control;
-    this.known = known;
+    this.documentCache = documentCache;
     this.context = context;
-    this.lender = lender;
-    this.takeLoads = takeLoads;
+    this.issuer = issuer;
+    this.loadReceiver = loadReceiver;
     this.server =
         new StatusServer(control.loop())
-            .addQueryPage(PeerDocuments.PATH, this::documents)
-            .addAsyncPage(TokenMessages.PATH, this::loans)
-            .addReceiver(LoadMessages.PATH, this::loads);
+            .addQueryPage(PeerDocuments.PATH, this::serveDocuments)
+            .addAsyncPage(TokenMessages.PATH, this::issueTokens)
+            .addReceiver(LoadMessages.PATH, this::receiveLoadReport);
   }
 
   public void start(Address address) {
     server.start(address);
   }
 
-  private StatusServer.Page documents(String question) {
-    // The asker takes the age for true, so that it must count the time this host was suspended.
+  private StatusServer.Page serveDocuments(String requestTarget) {
+    // The age must include any time for which this host was suspended.
     control.updateClocks();
     return new StatusServer.Page(
-        OK, PeerDocuments.writeResponse(question, known, context.knowledgeTime()));
+        OK, PeerDocuments.writeResponse(requestTarget, documentCache, context.knowledgeTime()));
   }
 
-  private void loans(String question, Consumer<StatusServer.Page> answer) {
-    TokenMessages.readQuery(question, ControlThread.nowMillis())
+  private void issueTokens(String requestTarget, Consumer<StatusServer.Page> callback) {
+    TokenMessages.readQuery(requestTarget, ControlThread.nowMillis())
         .ifPresentOrElse(
-            asked ->
-                lender.lend(
-                    asked.subject(),
-                    asked.count(),
-                    loan -> answer.accept(loan.map(PeerServer::page).orElse(NOT_LENT))),
-            () -> answer.accept(MALFORMED));
+            query ->
+                issuer.lend(
+                    query.subject(),
+                    query.count(),
+                    grant -> callback.accept(grant.map(PeerServer::page).orElse(NOT_ISSUED_HERE))),
+            () -> callback.accept(MALFORMED));
   }
 
-  private static StatusServer.Page page(Loan loan) {
-    return new StatusServer.Page(OK, TokenMessages.writeResponse(loan));
+  private static StatusServer.Page page(Loan grant) {
+    return new StatusServer.Page(OK, TokenMessages.writeResponse(grant));
   }
 
-  private StatusServer.Page loads(byte[] body) {
+  private StatusServer.Page receiveLoadReport(byte[] body) {
     return LoadMessages.read(body, ControlThread.nowMillis())
-        .map(report -> takeLoads.test(report) ? TAKEN : WHOLE_NEEDED)
+        .map(report -> loadReceiver.test(report) ? ACCEPTED : FULL_REPORT_NEEDED)
         .orElse(MALFORMED);
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetIdCodec.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetIdCodec.java
@@ -3,8 +3,8 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * Runs of targets as short texts: the name, and where it is known the start in base 36 after a
- * sign, nine bytes in place of fourteen.
+ * Encodes the incarnation of a target as a short string: the target's id, followed by {@code @} and
+ * the start time in base 36 if it is known.
  */
 final class TargetIdCodec {
   private static final char SEPARATOR = '@';
@@ -14,11 +14,11 @@
 
   static String encode(TargetId target) {
     String name = target.value();
-    boolean plain = target.born() == TargetId.UNKNOWN_BORN && name.indexOf(SEPARATOR) < 0;
-    return plain ? name : name + SEPARATOR + Long.toString(target.born(), RADIX);
+    boolean omitsStart = target.born() == TargetId.UNKNOWN_BORN && name.indexOf(SEPARATOR) < 0;
+    return omitsStart ? name : name + SEPARATOR + Long.toString(target.born(), RADIX);
   }
 
-  /** Reads a run; a text that was not written here names a target whose start is not known. */
+  /** Decodes an id; a string without a valid start time is an id with an unknown start time. */
   static TargetId decode(String text) {
     int separator = text.lastIndexOf(SEPARATOR);
     if (separator < 0) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenClient.java
@@ -15,18 +15,19 @@
 import org.gatereel.forward.http.DocumentClient;
 
 /**
- * Asks lenders for loans: each of them one question after the other, over a connection that is kept
- * while it is used.
+ * Requests retry and limit tokens from the hosts that issue them.
+ *
+ * <p>Requests to one host are sent one at a time over one connection, which is closed when unused.
  */
 public final class TokenClient implements LoanPort, AutoCloseable {
-  /** A request waits for the answer meanwhile; hosts of a data centre need a few milliseconds. */
+  /** A caller's request waits for the response, which usually takes a few milliseconds. */
   private static final long TIMEOUT_MILLIS = 150;
 
-  /** Who asked first waits for this answer too, and has to have one within its own time. */
-  private static final long PASSED_ON_TIMEOUT_MILLIS = 60;
+  /** Shorter, because the host that sent the request waits for this response as well. */
+  private static final long FORWARDED_TIMEOUT_MILLIS = 60;
 
-  /** Lenders of targets with limits are asked several times a second. */
-  private static final long UNUSED_MILLIS = 10_000;
+  /** Hosts that issue tokens in use receive several requests per second. */
+  private static final long IDLE_CONNECTION_TIMEOUT_MILLIS = 10_000;
 
   private static final int OK = 200;
   private static final byte[] NO_BODY = {};
@@ -34,61 +35,62 @@
   private final ControlThread control;
   private final Map<Address, Connection> connections = new HashMap<>();
 
-  private record Question(LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+  private record PendingRequest(LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
     long timeoutMillis() {
-      boolean passedOn = subject instanceof LoanSubject.Requests requests && requests.passedOn();
-      return passedOn ? PASSED_ON_TIMEOUT_MILLIS : TIMEOUT_MILLIS;
+      boolean forwarded = subject instanceof LoanSubject.Requests requests && requests.passedOn();
+      return forwarded ? FORWARDED_TIMEOUT_MILLIS : TIMEOUT_MILLIS;
     }
   }
 
-  /** The way to one lender. */
+  /** The connection to one host, with the requests that wait for it. */
   private final class Connection {
     private final DocumentClient client;
-    private final Queue<Question> questions = new ArrayDeque<>();
-    private boolean asking;
-    private long usedAt;
+    private final Queue<PendingRequest> queuedRequests = new ArrayDeque<>();
+    private boolean awaitingResponse;
+    private long lastUsedMillis;
 
-    private Connection(Address lender) {
-      client = new DocumentClient(control.loop(), lender);
+    private Connection(Address issuer) {
+      client = new DocumentClient(control.loop(), issuer);
     }
 
-    private void ask(Question question) {
-      usedAt = ControlThread.nowMillis();
-      questions.add(question);
-      askNext();
+    private void enqueue(PendingRequest request) {
+      lastUsedMillis = ControlThread.nowMillis();
+      queuedRequests.add(request);
+      sendNext();
     }
 
-    private void askNext() {
-      if (asking || questions.isEmpty()) {
+    private void sendNext() {
+      if (awaitingResponse || queuedRequests.isEmpty()) {
         return;
       }
-      asking = true;
-      Question question = questions.remove();
+      awaitingResponse = true;
+      PendingRequest request = queuedRequests.remove();
       client.post(
-          TokenMessages.writeQuery(question.subject(), question.count(), usedAt),
+          TokenMessages.writeQuery(request.subject(), request.count(), lastUsedMillis),
           NO_BODY,
-          question.timeoutMillis(),
-          document -> answered(question, document));
+          request.timeoutMillis(),
+          document -> onResponse(request, document));
     }
 
-    private void answered(Question question, Optional<DocumentClient.Document> document) {
-      asking = false;
-      control.run(() -> question.answer().accept(document.flatMap(TokenClient::read)));
+    private void onResponse(PendingRequest request, Optional<DocumentClient.Document> document) {
+      awaitingResponse = false;
+      control.run(() -> request.callback().accept(document.flatMap(TokenClient::read)));
       if (document.isEmpty()) {
-        // Whoever waits behind it would wait as long for a host that does not answer.
-        giveUpAll();
+        // Each queued request would wait for the same timeout of an unresponsive host.
+        failQueuedRequests();
       }
-      askNext();
+      sendNext();
     }
 
-    private void giveUpAll() {
-      Queue<Question> waiting = new ArrayDeque<>(questions);
-      questions.clear();
-      waiting.forEach(question -> control.run(() -> question.answer().accept(Optional.empty())));
+    private void failQueuedRequests() {
+      Queue<PendingRequest> failedRequests = new ArrayDeque<>(queuedRequests);
+      queuedRequests.clear();
+      failedRequests.forEach(
+          request -> control.run(() -> request.callback().accept(Optional.empty())));
     }
 
-    private boolean isUnused(long now) {
-      return !asking && now - usedAt > UNUSED_MILLIS;
+    private boolean isIdle(long nowMillis) {
+      return !awaitingResponse && nowMillis - lastUsedMillis > IDLE_CONNECTION_TIMEOUT_MILLIS;
     }
   }
 
@@ -98,9 +100,11 @@
 
   @Override
   public void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
-    closeUnused();
-    connections.computeIfAbsent(lender, Connection::new).ask(new Question(subject, count, answer));
+      Address issuer, LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
+    closeIdleConnections();
+    connections
+        .computeIfAbsent(issuer, Connection::new)
+        .enqueue(new PendingRequest(subject, count, callback));
   }
 
   private static Optional<Loan> read(DocumentClient.Document document) {
@@ -109,13 +113,13 @@
         : Optional.empty();
   }
 
-  private void closeUnused() {
-    long now = ControlThread.nowMillis();
-    Iterator<Connection> each = connections.values().iterator();
-    while (each.hasNext()) {
-      Connection connection = each.next();
-      if (connection.isUnused(now)) {
-        each.remove();
+  private void closeIdleConnections() {
+    long nowMillis = ControlThread.nowMillis();
+    Iterator<Connection> iterator = connections.values().iterator();
+    while (iterator.hasNext()) {
+      Connection connection = iterator.next();
+      if (connection.isIdle(nowMillis)) {
+        iterator.remove();
         connection.client.close();
       }
     }
@@ -123,6 +127,8 @@
 
   @Override
   public void close() {
-    control.loop().execute(() -> connections.values().forEach(each -> each.client.close()));
+    control
+        .loop()
+        .execute(() -> connections.values().forEach(connection -> connection.client.close()));
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenMessages.java
@@ -17,9 +17,9 @@
 import org.gatereel.core.statement.LimitFact;
 
 /**
- * The question of a host that needs something that another one lends: its target, and its answer.
+ * Encodes requests for retry and limit tokens as query strings, and the responses as text.
  *
- * <p>Steady clocks of two hosts have nothing in common, so a time travels as its age.
+ * <p>Times are sent as ages, because the monotonic clocks of two hosts are unrelated.
  */
 final class TokenMessages {
   static final String PATH = "/loans";
@@ -34,52 +34,55 @@
   private static final String COUNT = "count";
   private static final String SEPARATOR = " ";
 
-  /** No host needs more at once; a larger number is a mistake. */
-  private static final int MOST = 1_000;
+  /** A request for more tokens is malformed. */
+  private static final int MAX_TOKENS_PER_REQUEST = 1_000;
 
   private TokenMessages() {}
 
   /**
-   * What is asked for.
+   * A request for tokens.
    *
-   * @param count how many, at least one
+   * @param count the number of tokens, at least 1
    */
   record Query(LoanSubject subject, int count) {}
 
-  /** Writes a question that is sent at {@code now}. */
-  static String writeQuery(LoanSubject subject, int count, long now) {
+  /** Returns the request target of a request sent at {@code nowMillis}. */
+  static String writeQuery(LoanSubject subject, int count, long nowMillis) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
-    if (subject instanceof LoanSubject.Repeats repeats) {
-      query.addParam(SERVICE, repeats.service().value());
-    } else if (subject instanceof LoanSubject.Requests requests) {
-      AnnouncedLimit limit = requests.limit().limit();
-      query.addParam(TARGET, TargetIdCodec.encode(requests.limit().target()));
+    if (subject instanceof LoanSubject.Repeats retryTokens) {
+      query.addParam(SERVICE, retryTokens.service().value());
+    } else if (subject instanceof LoanSubject.Requests limitTokens) {
+      AnnouncedLimit limit = limitTokens.limit().limit();
+      query.addParam(TARGET, TargetIdCodec.encode(limitTokens.limit().target()));
       query.addParam(PER_SECOND, Double.toString(limit.perSecond()));
-      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, now - limit.since())));
-      query.addParam(DATA_CENTRE, requests.dataCentre().value());
-      query.addParam(URGENT, Boolean.toString(requests.urgent()));
-      query.addParam(PASSED_ON, Boolean.toString(requests.passedOn()));
+      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, nowMillis - limit.since())));
+      query.addParam(DATA_CENTRE, limitTokens.dataCentre().value());
+      query.addParam(URGENT, Boolean.toString(limitTokens.urgent()));
+      query.addParam(PASSED_ON, Boolean.toString(limitTokens.passedOn()));
     }
     query.addParam(COUNT, Integer.toString(count));
     return query.toString();
   }
 
-  /** Reads a question that came at {@code now}; empty if it is none. */
-  static Optional<Query> readQuery(String target, long now) {
-    Map<String, List<String>> parameters = new QueryStringDecoder(target).parameters();
+  /** Reads a request received at {@code nowMillis}; empty if it is malformed. */
+  static Optional<Query> readQuery(String requestTarget, long nowMillis) {
+    Map<String, List<String>> parameters = new QueryStringDecoder(requestTarget).parameters();
     Optional<LoanSubject> subject =
-        parameters.containsKey(TARGET) ? requests(parameters, now) : repeats(parameters);
+        parameters.containsKey(TARGET)
+            ? limitTokens(parameters, nowMillis)
+            : retryTokens(parameters);
     return text(parameters, COUNT)
         .map(Ints::tryParse)
-        .filter(count -> count > 0 && count <= MOST)
-        .flatMap(count -> subject.map(asked -> new Query(asked, count)));
+        .filter(count -> count > 0 && count <= MAX_TOKENS_PER_REQUEST)
+        .flatMap(count -> subject.map(found -> new Query(found, count)));
   }
 
-  private static Optional<LoanSubject> repeats(Map<String, List<String>> parameters) {
+  private static Optional<LoanSubject> retryTokens(Map<String, List<String>> parameters) {
     return text(parameters, SERVICE).map(name -> new LoanSubject.Repeats(new ServiceName(name)));
   }
 
-  private static Optional<LoanSubject> requests(Map<String, List<String>> parameters, long now) {
+  private static Optional<LoanSubject> limitTokens(
+      Map<String, List<String>> parameters, long nowMillis) {
     Optional<String> target = text(parameters, TARGET);
     Optional<String> dataCentre = text(parameters, DATA_CENTRE);
     Optional<Double> perSecond =
@@ -89,7 +92,7 @@
     if (target.isEmpty() || dataCentre.isEmpty() || perSecond.isEmpty() || age.isEmpty()) {
       return Optional.empty();
     }
-    AnnouncedLimit limit = new AnnouncedLimit(perSecond.get(), now - age.get());
+    AnnouncedLimit limit = new AnnouncedLimit(perSecond.get(), nowMillis - age.get());
     return Optional.of(
         new LoanSubject.Requests(
             new LimitFact(TargetIdCodec.decode(target.get()), limit),
@@ -108,16 +111,17 @@
     return text(parameters, name).map(Boolean::parseBoolean).orElse(false);
   }
 
-  static String writeResponse(Loan loan) {
-    return loan.granted() + SEPARATOR + loan.againMillis();
+  static String writeResponse(Loan grant) {
+    return grant.granted() + SEPARATOR + grant.againMillis();
   }
 
-  /** Reads what was lent; empty if that is no answer. */
+  /** Reads the response to a request for tokens; empty if it is malformed. */
   static Optional<Loan> readResponse(byte[] body) {
     String[] parts = new String(body, StandardCharsets.UTF_8).strip().split(SEPARATOR, 2);
     Integer granted = Ints.tryParse(parts[0]);
-    Long again = parts.length < 2 ? null : Longs.tryParse(parts[1]);
-    boolean valid = granted != null && again != null && granted >= 0 && again >= 0;
-    return valid ? Optional.of(new Loan(granted, again)) : Optional.empty();
+    Long retryAfterMillis = parts.length < 2 ? null : Longs.tryParse(parts[1]);
+    boolean valid =
+        granted != null && retryAfterMillis != null && granted >= 0 && retryAfterMillis >= 0;
+    return valid ? Optional.of(new Loan(granted, retryAfterMillis)) : Optional.empty();
   }
 }
