--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -35,7 +35,7 @@
 
 class LoadMessagesTest {
   private static final long SENT_AT = 5_000;
-  private static final long CAME_AT = 900_000;
+  private static final long RECEIVED_AT = 900_000;
 
   private static final ServiceName ENGINES = new ServiceName("engines");
 
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aReportIsReadAsItWasWrittenWithAgesOnTheReadersClock() {
+  void readsWhatWasWrittenWithTimesOnTheReadersClock() {
     LoadReport sent =
         report(
             OptionalLong.of(16),
@@ -66,25 +66,26 @@
     LoadReport expected =
         report(
             OptionalLong.of(16),
-            Map.of(new TargetId("e1"), new TargetLoad(3, 1, 2, 0, CAME_AT - 40)));
+            Map.of(new TargetId("e1"), new TargetLoad(3, 1, 2, 0, RECEIVED_AT - 40)));
 
     assertEquals(
-        Optional.of(expected), LoadMessages.read(LoadMessages.write(sent, SENT_AT), CAME_AT));
+        Optional.of(expected), LoadMessages.read(LoadMessages.write(sent, SENT_AT), RECEIVED_AT));
   }
 
   @Test
-  void aWholeReportWithoutFailuresSaysSo() {
+  void readsAFullReportWithoutFailures() {
     LoadReport sent =
         report(
             OptionalLong.empty(),
             Map.of(new TargetId("e1"), new TargetLoad(0, 0, 0, 0, TargetLoad.NEVER)));
 
-    assertEquals(Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), CAME_AT));
+    assertEquals(
+        Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), RECEIVED_AT));
   }
 
   @Test
-  void textThatIsNoReportIsNotTaken() {
-    for (String text :
+  void rejectsMalformedReports() {
+    for (String json :
         new String[] {
           "",
           "{}",
@@ -97,14 +98,14 @@
         }) {
       assertEquals(
           Optional.empty(),
-          LoadMessages.read(text.getBytes(StandardCharsets.UTF_8), CAME_AT),
-          text);
+          LoadMessages.read(json.getBytes(StandardCharsets.UTF_8), RECEIVED_AT),
+          json);
     }
   }
 
-  /** The figures by which {@code LoadLink} keeps to its share of traffic hold. */
+  /** Checks the size per target that {@code LoadLink} assumes for its limit on traffic. */
   @Property(tries = 50, seed = "20261202")
-  void aTargetTakesSomeThirtyBytes(@ForAll @IntRange(min = 1, max = 500) int targets) {
+  void usesAtMost32BytesPerTarget(@ForAll @IntRange(min = 1, max = 500) int targets) {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
     for (int index = 0; index < targets; index++) {
       loads.put(new TargetId(String.format("i-%010x", index)), new TargetLoad(3, 1, 2, 0, SENT_AT));
@@ -115,43 +116,44 @@
   }
 
   @Test
-  void whatWasCountedDuringARolloutIsReadAsItWasWritten() {
-    LoadReport bare = report(OptionalLong.of(16), Map.of());
+  void readsRolloutEvidenceAsWritten() {
+    LoadReport minimal = report(OptionalLong.of(16), Map.of());
     LoadReport sent =
         new LoadReport(
-            bare.sender(),
-            bare.replyTo(),
-            bare.scope(),
-            bare.session(),
-            bare.sequence(),
-            bare.builtOn(),
-            bare.loads(),
-            bare.demand(),
+            minimal.sender(),
+            minimal.replyTo(),
+            minimal.scope(),
+            minimal.session(),
+            minimal.sequence(),
+            minimal.builtOn(),
+            minimal.loads(),
+            minimal.demand(),
             Map.of(
                 new EvidenceKey(ENGINES, 7, "r", Signal.FIRST_EVENT, true),
                 new Tally(5, 1, 4, 12.25)),
             List.of(),
             List.of());
 
-    assertEquals(Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), CAME_AT));
-    String text = new String(LoadMessages.write(bare, SENT_AT), StandardCharsets.UTF_8);
-    assertTrue(!text.contains("evidence"), text);
+    assertEquals(
+        Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), RECEIVED_AT));
+    String json = new String(LoadMessages.write(minimal, SENT_AT), StandardCharsets.UTF_8);
+    assertTrue(!json.contains("evidence"), json);
   }
 
   @Test
-  void whatIsToldOfRequestsUnderWhichTargetsEndIsReadAsItWasWritten() {
+  void readsPoisonFactsWithTimesOnTheReadersClock() {
     Fingerprint request = new Fingerprint("00112233445566778899aabbccddeeff");
-    LoadReport bare = report(OptionalLong.of(16), Map.of());
+    LoadReport minimal = report(OptionalLong.of(16), Map.of());
     LoadReport sent =
         new LoadReport(
-            bare.sender(),
-            bare.replyTo(),
-            bare.scope(),
-            bare.session(),
-            bare.sequence(),
-            bare.builtOn(),
-            bare.loads(),
-            bare.demand(),
+            minimal.sender(),
+            minimal.replyTo(),
+            minimal.scope(),
+            minimal.session(),
+            minimal.sequence(),
+            minimal.builtOn(),
+            minimal.loads(),
+            minimal.demand(),
             Map.of(),
             List.of(
                 PoisonFact.end(
@@ -161,58 +163,60 @@
                     SENT_AT),
                 PoisonFact.sound(request, SENT_AT - 3_000)),
             List.of());
-    byte[] text = LoadMessages.write(sent, SENT_AT);
+    byte[] json = LoadMessages.write(sent, SENT_AT);
 
-    LoadReport read = LoadMessages.read(text, CAME_AT).orElseThrow();
+    LoadReport read = LoadMessages.read(json, RECEIVED_AT).orElseThrow();
 
     assertEquals(
         List.of(
             PoisonFact.end(
                 request,
                 new TargetId("i-9a102b0d4e", 1_790_000_000_000L),
-                CAME_AT - 1_080,
-                CAME_AT),
-            PoisonFact.sound(request, CAME_AT - 3_000)),
+                RECEIVED_AT - 1_080,
+                RECEIVED_AT),
+            PoisonFact.sound(request, RECEIVED_AT - 3_000)),
         read.poison());
-    int bytes = text.length - LoadMessages.write(bare, SENT_AT).length;
+    int bytes = json.length - LoadMessages.write(minimal, SENT_AT).length;
     assertTrue(bytes <= 2 * 90, "bytes: " + bytes);
   }
 
   @Test
-  void whatTargetsTakeIsReadAsItWasWritten() {
-    TargetId one = new TargetId("i-9a102b0d4e", 1_790_000_000_000L);
-    TargetId other = new TargetId("i-7f3a91c2aa");
-    LoadReport bare = report(OptionalLong.of(16), Map.of());
+  void readsAnnouncedLimitsWithTimesOnTheReadersClock() {
+    TargetId firstTarget = new TargetId("i-9a102b0d4e", 1_790_000_000_000L);
+    TargetId secondTarget = new TargetId("i-7f3a91c2aa");
+    LoadReport minimal = report(OptionalLong.of(16), Map.of());
     LoadReport sent =
         new LoadReport(
-            bare.sender(),
-            bare.replyTo(),
-            bare.scope(),
-            bare.session(),
-            bare.sequence(),
-            bare.builtOn(),
-            bare.loads(),
-            bare.demand(),
+            minimal.sender(),
+            minimal.replyTo(),
+            minimal.scope(),
+            minimal.session(),
+            minimal.sequence(),
+            minimal.builtOn(),
+            minimal.loads(),
+            minimal.demand(),
             Map.of(),
             List.of(),
             List.of(
-                new LimitFact(one, new AnnouncedLimit(5.4, SENT_AT - 900)),
-                new LimitFact(other, new AnnouncedLimit(Double.POSITIVE_INFINITY, SENT_AT - 40))));
-    byte[] text = LoadMessages.write(sent, SENT_AT);
+                new LimitFact(firstTarget, new AnnouncedLimit(5.4, SENT_AT - 900)),
+                new LimitFact(
+                    secondTarget, new AnnouncedLimit(Double.POSITIVE_INFINITY, SENT_AT - 40))));
+    byte[] json = LoadMessages.write(sent, SENT_AT);
 
-    LoadReport read = LoadMessages.read(text, CAME_AT).orElseThrow();
+    LoadReport read = LoadMessages.read(json, RECEIVED_AT).orElseThrow();
 
     assertEquals(
         List.of(
-            new LimitFact(one, new AnnouncedLimit(5.4, CAME_AT - 900)),
-            new LimitFact(other, new AnnouncedLimit(Double.POSITIVE_INFINITY, CAME_AT - 40))),
+            new LimitFact(firstTarget, new AnnouncedLimit(5.4, RECEIVED_AT - 900)),
+            new LimitFact(
+                secondTarget, new AnnouncedLimit(Double.POSITIVE_INFINITY, RECEIVED_AT - 40))),
         read.targetFacts());
-    int bytes = text.length - LoadMessages.write(bare, SENT_AT).length;
+    int bytes = json.length - LoadMessages.write(minimal, SENT_AT).length;
     assertTrue(bytes <= 2 * 50, "bytes: " + bytes);
   }
 
   @Test
-  void runsOfTargetsKeepTheirStart() {
+  void keepsTheStartTimesOfTargets() {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
     for (TargetId target :
         new TargetId[] {
@@ -225,58 +229,59 @@
     }
     LoadReport sent = report(OptionalLong.empty(), loads);
 
-    assertEquals(Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), CAME_AT));
+    assertEquals(
+        Optional.of(sent), LoadMessages.read(LoadMessages.write(sent, SENT_AT), RECEIVED_AT));
   }
 
   @Test
-  void whatTargetsSayOfLeavingAndRestIsToldByItsAge() {
+  void readsDrainAndBackoffFactsWithTimesOnTheReadersClock() {
     TargetId target = new TargetId("i-1", 7);
-    LoadReport bare = report(OptionalLong.of(16), Map.of());
-    byte[] text =
+    LoadReport minimal = report(OptionalLong.of(16), Map.of());
+    byte[] json =
         LoadMessages.write(
             withFacts(
-                bare,
+                minimal,
                 new LeavingFact(target, SENT_AT - 300),
                 new RestFact(target, SENT_AT - 200, SENT_AT + 2_800)),
             SENT_AT);
 
     assertEquals(
         List.of(
-            new LeavingFact(target, CAME_AT - 300),
-            new RestFact(target, CAME_AT - 200, CAME_AT + 2_800)),
-        LoadMessages.read(text, CAME_AT).orElseThrow().targetFacts());
+            new LeavingFact(target, RECEIVED_AT - 300),
+            new RestFact(target, RECEIVED_AT - 200, RECEIVED_AT + 2_800)),
+        LoadMessages.read(json, RECEIVED_AT).orElseThrow().targetFacts());
   }
 
-  /** Hosts of two versions stand beside each other for as long as a roll-out takes. */
+  /** During an upgrade, hosts of two versions exchange reports. */
   @Test
-  void whatALaterVersionSaysBesideIsPassedOver() {
+  void ignoresUnknownFieldsAndKindsOfLaterVersions() {
     TargetId target = new TargetId("i-1", 7);
-    LoadReport bare = report(OptionalLong.of(16), Map.of());
-    String text =
+    LoadReport minimal = report(OptionalLong.of(16), Map.of());
+    String json =
         new String(
-            LoadMessages.write(withFacts(bare, new LeavingFact(target, SENT_AT - 300)), SENT_AT),
+            LoadMessages.write(withFacts(minimal, new LeavingFact(target, SENT_AT - 300)), SENT_AT),
             StandardCharsets.UTF_8);
-    String later =
-        text.replace("[[\"LEAVING\"", "[[\"MOOD\",\"i-2\",4.5,10,\"more\"],[\"LEAVING\"")
+    String laterVersion =
+        json.replace("[[\"LEAVING\"", "[[\"MOOD\",\"i-2\",4.5,10,\"more\"],[\"LEAVING\"")
             .replace("{\"sender\"", "{\"news\":{\"a\":1},\"sender\"");
-    assertTrue(later.length() > text.length() + 30, later);
+    assertTrue(laterVersion.length() > json.length() + 30, laterVersion);
 
     LoadReport read =
-        LoadMessages.read(later.getBytes(StandardCharsets.UTF_8), CAME_AT).orElseThrow();
+        LoadMessages.read(laterVersion.getBytes(StandardCharsets.UTF_8), RECEIVED_AT).orElseThrow();
 
-    assertEquals(List.of(new LeavingFact(target, CAME_AT - 300)), read.targetFacts());
+    assertEquals(List.of(new LeavingFact(target, RECEIVED_AT - 300)), read.targetFacts());
   }
 
-  private static LoadReport withFacts(LoadReport bare, TargetFact... facts) {
+  private static LoadReport withFacts(LoadReport minimal, TargetFact... facts) {
     return new LoadReport(
-        bare.sender(),
-        bare.replyTo(),
-        bare.scope(),
-        bare.session(),
-        bare.sequence(),
-        bare.builtOn(),
-        bare.loads(),
-        bare.demand(),
+        minimal.sender(),
+        minimal.replyTo(),
+        minimal.scope(),
+        minimal.session(),
+        minimal.sequence(),
+        minimal.builtOn(),
+        minimal.loads(),
+        minimal.demand(),
         Map.of(),
         List.of(),
         List.of(facts));
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/PeerDocumentsTest.java
@@ -10,24 +10,21 @@
 import org.gatereel.core.forward.SharedDocument;
 import org.junit.jupiter.api.Test;
 
-/**
- * The end of a connection was taken for the end of an answer. What another host has must not look
- * like less than it is; an answer that is cut is no answer.
- */
+/** Guards against accepting a truncated list of another host's documents. */
 class PeerDocumentsTest {
   private static final long NOW = 1_000;
 
   @Test
-  void aCutAnswerOfAnotherHostIsNone() {
+  void rejectsATruncatedResponse() {
     DocumentCache known = new DocumentCache();
     known.take(new SharedDocument(DocumentKind.CONFIGURATION, "{\"values\":{}}", "d1", 3, NOW));
     known.take(new SharedDocument(DocumentKind.TARGETS, "{\"values\":{}}", "d2", 4, NOW));
-    byte[] answer =
+    byte[] response =
         PeerDocuments.writeResponse(PeerDocuments.PATH, known, NOW)
             .getBytes(StandardCharsets.UTF_8);
-    assertEquals(2, PeerDocuments.readResponse(answer).orElseThrow().size());
-    for (int length = 0; length < answer.length; length++) {
-      assertEquals(Optional.empty(), PeerDocuments.readResponse(Arrays.copyOf(answer, length)));
+    assertEquals(2, PeerDocuments.readResponse(response).orElseThrow().size());
+    for (int length = 0; length < response.length; length++) {
+      assertEquals(Optional.empty(), PeerDocuments.readResponse(Arrays.copyOf(response, length)));
     }
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenClientTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenClientTest.java
@@ -24,12 +24,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * The answer of a host that lends is numbers, of which a part are numbers too. One without a
- * length, whose connection ended after a first digit, was taken for the whole.
- */
+/** Guards against reading a truncated response, in which a part of a number is a number as well. */
 class TokenClientTest {
-  private static final int PATIENCE_SECONDS = 20;
+  private static final int TIMEOUT_SECONDS = 20;
 
   @ParameterizedTest
   @CsvSource({
@@ -40,43 +37,43 @@
     "X: y||12 3, 0",
     "Content-Length: 2||12, 0",
   })
-  void takesNoPartOfANumberForTheNumber(String answer, int expected) throws Exception {
+  void readsOnlyCompleteResponses(String response, int expected) throws Exception {
     MultiThreadIoEventLoopGroup group =
         new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     CoreContext context =
         new CoreContext(new HostId("test"), new DataCentre("north"), new SplittableRandom(1));
-    try (ServerSocket lender = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    try (ServerSocket issuer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ForwardLog log = new ForwardLog("test");
         TokenClient client = new TokenClient(new ControlThread(group.next(), context, log))) {
-      Address address = new Address("127.0.0.1", lender.getLocalPort());
-      CompletableFuture<Integer> lent = new CompletableFuture<>();
-      LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("s"));
+      Address address = new Address("127.0.0.1", issuer.getLocalPort());
+      CompletableFuture<Integer> granted = new CompletableFuture<>();
+      LoanSubject retryTokens = new LoanSubject.Repeats(new ServiceName("s"));
       group
           .next()
           .execute(
               () ->
                   client.borrow(
                       address,
-                      repeats,
+                      retryTokens,
                       12,
-                      loan -> lent.complete(loan.map(Loan::granted).orElse(0))));
-      try (Socket socket = lender.accept()) {
-        readQuestion(socket);
-        String bytes = ("HTTP/1.1 200 OK|" + answer).replace("|", "\r\n");
+                      grant -> granted.complete(grant.map(Loan::granted).orElse(0))));
+      try (Socket socket = issuer.accept()) {
+        readRequest(socket);
+        String bytes = ("HTTP/1.1 200 OK|" + response).replace("|", "\r\n");
         socket.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
       }
 
-      assertEquals(expected, lent.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertEquals(expected, granted.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     } finally {
       group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await();
     }
   }
 
-  private static void readQuestion(Socket socket) throws Exception {
+  private static void readRequest(Socket socket) throws Exception {
     InputStream input = socket.getInputStream();
-    StringBuilder question = new StringBuilder();
-    while (question.indexOf("\r\n\r\n") < 0) {
-      question.append((char) input.read());
+    StringBuilder requestHead = new StringBuilder();
+    while (requestHead.indexOf("\r\n\r\n") < 0) {
+      requestHead.append((char) input.read());
     }
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenMessagesTest.java
@@ -15,35 +15,35 @@
 
 class TokenMessagesTest {
   private static final long SENT_AT = 50_000;
-  private static final long CAME_AT = 900;
+  private static final long RECEIVED_AT = 900;
 
-  private static LoanSubject.Requests requests(double perSecond, long since) {
+  private static LoanSubject.Requests limitTokens(double perSecond, long announcedAt) {
     LimitFact limit =
-        new LimitFact(new TargetId("a b&c", 77), new AnnouncedLimit(perSecond, since));
+        new LimitFact(new TargetId("a b&c", 77), new AnnouncedLimit(perSecond, announcedAt));
     return new LoanSubject.Requests(limit, new DataCentre("north hall"), true, true);
   }
 
   @Test
-  void aQuestionForRepeatsIsReadAsItWasWritten() {
-    LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("a b&c=d"));
+  void readsARequestForRetryTokensAsWritten() {
+    LoanSubject retryTokens = new LoanSubject.Repeats(new ServiceName("a b&c=d"));
 
     assertEquals(
-        Optional.of(new TokenMessages.Query(repeats, 12)),
-        TokenMessages.readQuery(TokenMessages.writeQuery(repeats, 12, SENT_AT), CAME_AT));
+        Optional.of(new TokenMessages.Query(retryTokens, 12)),
+        TokenMessages.readQuery(TokenMessages.writeQuery(retryTokens, 12, SENT_AT), RECEIVED_AT));
   }
 
   @Test
-  void theAgeOfALimitTravelsAndNotItsTime() {
-    String written = TokenMessages.writeQuery(requests(5.4, SENT_AT - 40), 3, SENT_AT);
+  void sendsTheAgeOfALimit() {
+    String query = TokenMessages.writeQuery(limitTokens(5.4, SENT_AT - 40), 3, SENT_AT);
 
     assertEquals(
-        Optional.of(new TokenMessages.Query(requests(5.4, CAME_AT - 40), 3)),
-        TokenMessages.readQuery(written, CAME_AT));
+        Optional.of(new TokenMessages.Query(limitTokens(5.4, RECEIVED_AT - 40), 3)),
+        TokenMessages.readQuery(query, RECEIVED_AT));
   }
 
   @Test
-  void whatIsNoQuestionIsNone() {
-    for (String target :
+  void rejectsMalformedRequests() {
+    for (String requestTarget :
         new String[] {
           "/loans",
           "/loans?service=a",
@@ -59,25 +59,26 @@
           "/loans?target=a&count=1&dataCentre=n&perSecond=1&ageMillis=-1",
           "/loans?target=a&count=1&dataCentre=&perSecond=1&ageMillis=0"
         }) {
-      assertEquals(Optional.empty(), TokenMessages.readQuery(target, CAME_AT), target);
+      assertEquals(
+          Optional.empty(), TokenMessages.readQuery(requestTarget, RECEIVED_AT), requestTarget);
     }
   }
 
   @Test
-  void anAnswerIsReadAsItWasWritten() {
-    Loan loan = new Loan(3, 250);
+  void readsAResponseAsWritten() {
+    Loan grant = new Loan(3, 250);
 
-    assertEquals(Optional.of(loan), answer(TokenMessages.writeResponse(loan)));
+    assertEquals(Optional.of(grant), readResponse(TokenMessages.writeResponse(grant)));
   }
 
   @Test
-  void anAnswerThatIsNoneLendsNothing() {
+  void rejectsMalformedResponses() {
     for (String text : new String[] {"", "3", "three 0", "-3 0", "3 -1", "3 x", "3 0 0"}) {
-      assertEquals(Optional.empty(), answer(text), text);
+      assertEquals(Optional.empty(), readResponse(text), text);
     }
   }
 
-  private static Optional<Loan> answer(String text) {
+  private static Optional<Loan> readResponse(String text) {
     return TokenMessages.readResponse(text.getBytes(StandardCharsets.UTF_8));
   }
 }
