--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
@@ -18,14 +18,14 @@
 /**
  * The settings of a forwarding host: JSON with comments.
  *
- * @param host the name of this host, unique among live ones
- * @param dataCentre where it stands
- * @param callers IP:PORT on which callers are taken
- * @param status IP:PORT on which readiness is asked for
- * @param metrics IP:PORT on which metrics are asked for
- * @param peers IP:PORT on which other hosts ask for documents
+ * @param host the id of this host, unique among running hosts
+ * @param dataCentre the data centre of this host
+ * @param callers IP:PORT for callers' connections
+ * @param status IP:PORT for readiness checks
+ * @param metrics IP:PORT for metrics
+ * @param peers IP:PORT for requests of other hosts
  * @param platform IP:PORT of the platform's store
- * @param bounds the times and amounts that the operators promise their users
+ * @param bounds the limits that operators guarantee to users
  */
 public record ForwardSettings(
     @JsonProperty(required = true) String host,
@@ -47,22 +47,22 @@
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
           .build();
 
-  private static final int MOST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   /**
-   * What the operators promise.
+   * The limits that operators guarantee to users.
    *
-   * @param strictRevocation whether a host out of touch must stop taking keys
-   * @param revocationMillis how long a removed key may still be taken
-   * @param configurationMillis how long a change may take to be in force
-   * @param drainMillis how long a leaving target may still get new requests
-   * @param graceMillis how long a host may take to stop
-   * @param retryRatio how many repeats a service's requests allow for each of them
-   * @param retrySlack how many repeats are allowed beside, over all hosts
-   * @param retryWindowMillis the span over which repeats and requests are counted
-   * @param exposureShare the part of a service's requests that a bad version may get
-   * @param exposureSlack how many requests it may get beside, over all hosts
-   * @param rollbackMillis how long after it is known to be bad it may still get any
+   * @param strictRevocation whether a host without a current configuration rejects all keys
+   * @param revocationMillis the time for which a revoked key may still be accepted
+   * @param configurationMillis the time until a configuration change takes effect
+   * @param drainMillis the time for which a draining target may still receive new requests
+   * @param graceMillis the grace period for the shutdown of a host
+   * @param retryRatio the retries allowed per request of a service
+   * @param retrySlack the retries allowed in addition, over all hosts
+   * @param retryWindowMillis the window in which retries and requests are counted
+   * @param exposureShare the ratio of a service's requests that a bad version may receive
+   * @param exposureSlack the requests that it may receive in addition, over all hosts
+   * @param rollbackMillis the time for which a version known to be bad may still receive requests
    */
   public record Bounds(
       boolean strictRevocation,
@@ -76,12 +76,12 @@
       double exposureShare,
       double exposureSlack,
       long rollbackMillis) {
-    /** Returns what holds for roll-outs. */
+    /** Returns the limits for rollouts. */
     public RolloutBounds rollouts() {
       return new RolloutBounds(exposureShare, exposureSlack, rollbackMillis);
     }
 
-    /** Returns within which time a host must know of any change. */
+    /** Returns the maximum time until a host knows of a change to configuration or targets. */
     public long maxStalenessMillis() {
       return Math.min(configurationMillis, drainMillis);
     }
@@ -90,7 +90,7 @@
   /**
    * Reads a settings file.
    *
-   * @throws ForwardSettingsException if it cannot be read or has mistakes; it names all it can
+   * @throws ForwardSettingsException if the file cannot be read or the settings are invalid
    */
   public static ForwardSettings read(Path file) throws ForwardSettingsException {
     try {
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Reads settings from a text.
+   * Parses settings.
    *
-   * @throws ForwardSettingsException if it has mistakes
+   * @throws ForwardSettingsException if they are invalid
    */
   public static ForwardSettings parse(String text) throws ForwardSettingsException {
     ForwardSettings settings;
@@ -119,7 +119,7 @@
     return settings;
   }
 
-  /** Returns an address of these settings, which was checked when they were read. */
+  /** Parses an address of validated settings. */
   public static Address address(String text) {
     int colon = text.lastIndexOf(':');
     return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -144,11 +144,12 @@
     checkPositive(mistakes, "bounds.graceMillis", bounds.graceMillis());
     checkPositive(mistakes, "bounds.retryWindowMillis", bounds.retryWindowMillis());
     if (bounds.retryRatio() < 0 || bounds.retrySlack() < 0) {
-      mistakes.add("bounds.retryRatio, bounds.retrySlack: not below 0");
+      mistakes.add("bounds.retryRatio, bounds.retrySlack: must not be below 0");
     }
     checkPositive(mistakes, "bounds.rollbackMillis", bounds.rollbackMillis());
     if (bounds.exposureShare() < 0 || bounds.exposureShare() > 1 || bounds.exposureSlack() < 0) {
-      mistakes.add("bounds.exposureShare: between 0 and 1; bounds.exposureSlack: not below 0");
+      mistakes.add(
+          "bounds.exposureShare: must be between 0 and 1; bounds.exposureSlack: must not be below 0");
     }
     return mistakes;
   }
@@ -171,8 +172,8 @@
       return;
     }
     int port = address(value).port();
-    if (port < 1 || port > MOST_PORT) {
-      mistakes.add(name + ": the port must be between 1 and " + MOST_PORT);
+    if (port < 1 || port > MAX_PORT) {
+      mistakes.add(name + ": the port must be between 1 and " + MAX_PORT);
     }
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.gatereel.core.GatereelException;
 
-/** Settings that cannot be used, with every mistake that was found. */
+/** Thrown for settings that are invalid or cannot be read. */
 public final class ForwardSettingsException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
     this.mistakes = List.copyOf(mistakes);
   }
 
-  /** Returns one sentence for each mistake. */
+  /** Returns one message for each error found. */
   public List<String> mistakes() {
     return mistakes;
   }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void namesEveryMistakeAtOnce() {
+  void reportsEveryError() {
     List<String> found =
         mistakes(
             VALID.replace("10.0.0.1:80", "nowhere").replace("\"h\"", "\" \"").replace("8000", "0"));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void namesAFieldThatIsMissingOrUnknown() {
+  void reportsMissingAndUnknownFields() {
     assertTrue(
         mistakes(VALID.replace("{\"host\"", "{\"x\": 1, \"host\"")).get(0).contains("\"x\""));
     assertTrue(mistakes(VALID.replace("\"host\": \"h\",", "")).get(0).contains("host"));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void refusesWhatIsNoJsonAndPortsThatCannotBe() {
+  void rejectsInvalidJsonAndPorts() {
     assertEquals(1, mistakes("host=h").size());
     assertTrue(mistakes(VALID.replace(":80\"", ":70000\"")).get(0).contains("port"));
   }
