--- a/gatereel-forward/src/main/java/org/gatereel/forward/log/BoundedLogHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/log/BoundedLogHandler.java
@@ -14,41 +14,41 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log records from a thread of its own, so that whoever logs never waits for the reader.
+ * Writes log records in a separate thread, so that logging never blocks.
  *
- * <p>When the queue is full, records are dropped and counted; the count is written as soon as there
- * is room again.
+ * <p>Records are dropped and counted while the queue is full. The count is written with the next
+ * records.
  */
 public final class BoundedLogHandler extends Handler {
-  private static final int CAPACITY = 4_096;
-  private static final long PAUSE_MILLIS = 50;
-  private static final long STOP_MILLIS = 500;
+  private static final int MAX_QUEUED_RECORDS = 4_096;
+  private static final long BATCH_DELAY_MILLIS = 50;
+  private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
-  private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(CAPACITY);
+  private final BlockingQueue<LogRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED_RECORDS);
   private final AtomicLong dropped = new AtomicLong();
   private final OutputStream output;
-  private final long stopMillis;
-  private final Thread writer = new Thread(this::run, "log");
+  private final long closeTimeoutMillis;
+  private final Thread writer = new Thread(this::writeQueued, "log");
   private volatile boolean closed;
 
   public BoundedLogHandler(OutputStream output, String host) {
-    this(output, host, STOP_MILLIS);
+    this(output, host, CLOSE_TIMEOUT_MILLIS);
   }
 
   /**
    * Makes a handler.
    *
-   * @param stopMillis how long {@link #close} waits until all that is queued is written
+   * @param closeTimeoutMillis how long {@link #close} waits for queued records to be written
    */
-  BoundedLogHandler(OutputStream output, String host, long stopMillis) {
+  BoundedLogHandler(OutputStream output, String host, long closeTimeoutMillis) {
     this.output = output;
-    this.stopMillis = stopMillis;
+    this.closeTimeoutMillis = closeTimeoutMillis;
     setFormatter(new JsonLogFormatter(host));
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** Returns how many records were dropped so far. */
+  /** Returns the number of dropped records. */
   public long dropped() {
     return dropped.get();
   }
@@ -63,8 +63,8 @@
   @Override
   public void flush() {}
 
-  private void run() {
-    long reported = 0;
+  private void writeQueued() {
+    long reportedDrops = 0;
     try {
       while (!closed || !queue.isEmpty()) {
         List<LogRecord> batch = nextBatch();
@@ -72,10 +72,10 @@
         for (LogRecord record : batch) {
           text.append(getFormatter().format(record));
         }
-        long lost = dropped.get();
-        if (lost > reported) {
-          text.append("{\"name\":\"LOG_DROPPED\",\"lines\":").append(lost).append("}\n");
-          reported = lost;
+        long totalDrops = dropped.get();
+        if (totalDrops > reportedDrops) {
+          text.append("{\"name\":\"LOG_DROPPED\",\"lines\":").append(totalDrops).append("}\n");
+          reportedDrops = totalDrops;
         }
         output.write(text.toString().getBytes(StandardCharsets.UTF_8));
         output.flush();
@@ -83,19 +83,19 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException e) {
-      // Nobody reads the log any more; there is no other place to say so.
+      // The log output is closed, so the failure cannot be logged.
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Waits for a record, then a little longer for others: one write costs less than many. */
+  /** Waits for a record, then collects others for a short time to write them together. */
   private List<LogRecord> nextBatch() throws InterruptedException {
     List<LogRecord> batch = new ArrayList<>();
-    LogRecord first = queue.poll(PAUSE_MILLIS * 10, TimeUnit.MILLISECONDS);
+    LogRecord first = queue.poll(BATCH_DELAY_MILLIS * 10, TimeUnit.MILLISECONDS);
     if (first != null) {
       batch.add(first);
       if (!closed) {
-        TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(BATCH_DELAY_MILLIS);
       }
       queue.drainTo(batch);
     }
@@ -106,7 +106,7 @@
   public void close() {
     closed = true;
     try {
-      writer.join(stopMillis);
+      writer.join(closeTimeoutMillis);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/log/ForwardLog.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/log/ForwardLog.java
@@ -9,9 +9,7 @@
 import java.util.logging.Logger;
 import org.gatereel.core.event.EventCode;
 
-/**
- * The structured log of a forwarding process: numbered events, one line each, to standard output.
- */
+/** Writes the structured log of a forwarding host to standard output, one event per line. */
 public final class ForwardLog implements AutoCloseable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -20,14 +18,14 @@
   public ForwardLog(String host) {
     handler = new BoundedLogHandler(new FileOutputStream(FileDescriptor.out), host);
     Logger root = LogManager.getLogManager().getLogger("");
-    for (Handler present : root.getHandlers()) {
-      root.removeHandler(present);
+    for (Handler existingHandler : root.getHandlers()) {
+      root.removeHandler(existingHandler);
     }
     root.addHandler(handler);
     root.setLevel(Level.INFO);
   }
 
-  /** Logs an event of the catalogue. */
+  /** Logs an event of the event catalogue. */
   public void event(EventCode code, String subject, String detail) {
     LOGGER
         .atInfo()
@@ -35,12 +33,12 @@
         .log("event");
   }
 
-  /** Logs a failure of this process itself. */
-  public void failure(String what, Throwable cause) {
-    LOGGER.atSevere().withCause(cause).log("%s", what);
+  /** Logs an internal error. */
+  public void failure(String message, Throwable cause) {
+    LOGGER.atSevere().withCause(cause).log("%s", message);
   }
 
-  /** Returns how many lines were dropped because nobody read them in time. */
+  /** Returns the number of lines dropped because the output was too slow. */
   public long dropped() {
     return handler.dropped();
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/log/JsonLogFormatter.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/log/JsonLogFormatter.java
@@ -9,7 +9,7 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** Writes log records as JSON, one a line; records of libraries have no event number. */
+/** Formats each log record as one line of JSON; records of libraries have no event number. */
 public final class JsonLogFormatter extends Formatter {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -43,7 +43,7 @@
     try {
       return MAPPER.writeValueAsString(line) + System.lineSeparator();
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an object of strings can always be written", e);
+      throw new IllegalStateException("log record could not be written as JSON", e);
     }
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/log/BoundedLogHandlerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/log/BoundedLogHandlerTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Timeout;
 
 class BoundedLogHandlerTest {
-  private static final int MORE_THAN_FITS = 10_000;
+  private static final int RECORD_COUNT = 10_000;
 
-  /** Longer than any machine takes to write a full queue; a test must not measure the machine. */
-  private static final long LONG_MILLIS = 15_000;
+  /** Long enough to write a full queue even on a slow machine. */
+  private static final long CLOSE_TIMEOUT_MILLIS = 15_000;
 
-  /** An output whose reader does not read until it is told to. */
-  private static final class StuckOutput extends OutputStream {
-    final CountDownLatch reads = new CountDownLatch(1);
+  /** An output that blocks until {@code unblocked} is counted down. */
+  private static final class BlockingOutput extends OutputStream {
+    final CountDownLatch unblocked = new CountDownLatch(1);
     final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
     @Override
@@ -31,7 +31,7 @@
     @Override
     public void write(byte[] bytes, int offset, int length) {
       try {
-        reads.await();
+        unblocked.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -41,31 +41,31 @@
 
   @Test
   @Timeout(20)
-  void neverBlocksAndCountsWhatItDrops() {
-    StuckOutput output = new StuckOutput();
-    BoundedLogHandler handler = new BoundedLogHandler(output, "h", LONG_MILLIS);
-    for (int i = 0; i < MORE_THAN_FITS; i++) {
+  void neverBlocksAndCountsDroppedRecords() {
+    BlockingOutput output = new BlockingOutput();
+    BoundedLogHandler handler = new BoundedLogHandler(output, "h", CLOSE_TIMEOUT_MILLIS);
+    for (int i = 0; i < RECORD_COUNT; i++) {
       handler.publish(new LogRecord(Level.INFO, "line"));
     }
     long dropped = handler.dropped();
-    output.reads.countDown();
+    output.unblocked.countDown();
     handler.close();
 
     String text = output.written.toString(StandardCharsets.UTF_8);
     long lines = text.lines().filter(line -> line.contains("\"message\":\"line\"")).count();
     assertTrue(dropped > 0);
-    assertEquals(MORE_THAN_FITS, lines + dropped);
+    assertEquals(RECORD_COUNT, lines + dropped);
     assertTrue(text.contains("LOG_DROPPED"));
   }
 
   @Test
   @Timeout(20)
-  void aStopDoesNotWaitForAReaderThatNeverReads() {
-    StuckOutput output = new StuckOutput();
+  void closeDoesNotWaitForBlockedOutput() {
+    BlockingOutput output = new BlockingOutput();
     BoundedLogHandler handler = new BoundedLogHandler(output, "h");
     handler.publish(new LogRecord(Level.INFO, "line"));
     handler.close();
     assertEquals(0, output.written.size());
-    output.reads.countDown();
+    output.unblocked.countDown();
   }
 }
