--- a/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
@@ -10,19 +10,19 @@
 import org.gatereel.forward.log.ForwardLog;
 
 /**
- * Drives the core on the thread that also moves the bytes.
+ * Runs the core on the event loop that also does the network I/O.
  *
- * <p>Entry hosts have less than one core; handing each event to another thread would cost a wake-up
- * and gain nothing. All methods are called on that thread.
+ * <p>Entry hosts have less than one processor core, so another thread would add wake-ups without a
+ * gain. All methods must be called on the event loop, except {@link #nowMillis} and {@link #loop}.
  */
 public final class ControlThread {
   private final EventLoop loop;
   private final CoreContext context;
   private final ForwardLog log;
-  private final SuspensionWatch suspensions = new SuspensionWatch();
-  private ScheduledFuture<?> scheduled;
-  private long scheduledFor = Long.MAX_VALUE;
-  private boolean running;
+  private final SuspensionWatch suspensionWatch = new SuspensionWatch();
+  private ScheduledFuture<?> scheduledTask;
+  private long scheduledAtMillis = Long.MAX_VALUE;
+  private boolean inStep;
 
   public ControlThread(EventLoop loop, CoreContext context, ForwardLog log) {
     this.loop = loop;
@@ -30,7 +30,7 @@
     this.log = log;
   }
 
-  /** Returns the steady clock in milliseconds. */
+  /** Returns the monotonic clock in milliseconds. */
   public static long nowMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
@@ -39,38 +39,38 @@
     return loop;
   }
 
-  /** Runs a step of the core at the present time, then what has become due. */
+  /** Runs a step of the core at the current time, then all timers that are due. */
   public void run(Runnable step) {
-    if (running) {
+    if (inStep) {
       step.run();
       return;
     }
-    running = true;
+    inStep = true;
     try {
       updateClocks();
       step.run();
       context.timers().runDue(context.now());
     } catch (RuntimeException e) {
-      // One event must not end the service of all others; the log has it for whoever is on call.
+      // A failed event must not prevent the handling of later ones.
       log.failure("an event could not be handled", e);
     } finally {
-      running = false;
+      inStep = false;
     }
-    logNotes();
+    logPendingEvents();
     scheduleNext();
   }
 
-  /** Brings the core's clocks up to the present time, also by what this host was suspended. */
+  /** Sets the core's clocks to the current time, including any time this host was suspended. */
   public void updateClocks() {
-    long steadyMillis = nowMillis();
-    long lost = suspensions.observe(steadyMillis, System.currentTimeMillis());
-    context.moveTo(steadyMillis);
-    if (lost > 0) {
-      context.noteLost(lost);
+    long monotonicMillis = nowMillis();
+    long suspendedMillis = suspensionWatch.observe(monotonicMillis, System.currentTimeMillis());
+    context.moveTo(monotonicMillis);
+    if (suspendedMillis > 0) {
+      context.noteLost(suspendedMillis);
     }
   }
 
-  private void logNotes() {
+  private void logPendingEvents() {
     for (Action action : context.takeActions()) {
       if (action instanceof Action.Note note) {
         log.event(note.code(), note.subject(), note.detail());
@@ -79,21 +79,21 @@
   }
 
   private void scheduleNext() {
-    OptionalLong deadline = context.timers().nextDeadline();
-    if (deadline.isEmpty() || deadline.getAsLong() >= scheduledFor) {
+    OptionalLong nextDeadline = context.timers().nextDeadline();
+    if (nextDeadline.isEmpty() || nextDeadline.getAsLong() >= scheduledAtMillis) {
       return;
     }
-    if (scheduled != null) {
-      scheduled.cancel(false);
+    if (scheduledTask != null) {
+      scheduledTask.cancel(false);
     }
-    scheduledFor = deadline.getAsLong();
-    long delay = Math.max(0, scheduledFor - nowMillis());
-    scheduled = loop.schedule(this::timeHasCome, delay, TimeUnit.MILLISECONDS);
+    scheduledAtMillis = nextDeadline.getAsLong();
+    long delayMillis = Math.max(0, scheduledAtMillis - nowMillis());
+    scheduledTask = loop.schedule(this::runDueTimers, delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void timeHasCome() {
-    scheduled = null;
-    scheduledFor = Long.MAX_VALUE;
+  private void runDueTimers() {
+    scheduledTask = null;
+    scheduledAtMillis = Long.MAX_VALUE;
     run(() -> {});
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -34,18 +34,19 @@
 import org.gatereel.forward.peer.TokenClient;
 import org.gatereel.forward.settings.ForwardSettings;
 
-/** One forwarding process: its thread, its core, its listeners, and how it starts and stops. */
+/** A forwarding host: connects the core to its servers and clients, and starts and stops them. */
 public final class ForwardHost implements AutoCloseable {
-  /** How long the balancer may go on sending callers after readiness was withdrawn. */
-  private static final long BALANCER_MILLIS = 2_600;
+  /** For this time after readiness is withdrawn, the load balancer may still send callers. */
+  private static final long BALANCER_DELAY_MILLIS = 2_600;
 
-  private static final long LEFT_FOR_EXIT_MILLIS = 900;
+  /** The part of the grace period that is reserved for the exit of the process. */
+  private static final long EXIT_RESERVE_MILLIS = 900;
 
-  /** Callers give a connection one second to come up; a refusal must still reach them. */
-  private static final long LONGEST_CLOSED_MILLIS = 800;
+  /** Callers time out connecting after one second; a rejection must reach them before. */
+  private static final long MAX_ACCEPT_DELAY_MILLIS = 800;
 
-  private static final long OPEN_CHECK_MILLIS = 20;
-  private static final long DRAIN_CHECK_MILLIS = 100;
+  private static final long ACCEPT_CHECK_INTERVAL_MILLIS = 20;
+  private static final long DRAIN_CHECK_INTERVAL_MILLIS = 100;
 
   private final ForwardSettings settings;
   private final ForwardLog log;
@@ -58,9 +59,9 @@
   private final TargetListKeeper targetList;
   private final HostDirectory directory;
   private final DocumentCache documents = new DocumentCache();
-  private final TokenClient loans;
+  private final TokenClient tokenClient;
   private final LoadClient loadClient;
-  private final LoadExchange loads;
+  private final LoadExchange loadExchange;
   private final PoisonControl poison;
   private final RolloutControl rollouts;
   private final Forwarder forwarder;
@@ -72,10 +73,10 @@
   private boolean stopping;
 
   /**
-   * Makes a host; nothing is bound yet.
+   * Makes a host; no address is bound before {@link #start}.
    *
-   * @param dialect how callers and targets are spoken to
-   * @param readyPath where the balancer asks for readiness
+   * @param dialect the headers and documents by which callers, hosts and targets communicate
+   * @param readyPath the path of the page on which the load balancer checks readiness
    */
   public ForwardHost(
       ForwardSettings settings, ForwardLog log, TargetDialect dialect, String readyPath) {
@@ -101,15 +102,15 @@
     targetList = new TargetListKeeper(targets, bounds.maxStalenessMillis());
     Address peerAddress = ForwardSettings.address(settings.peers());
     directory = new HostDirectory(context, peerAddress);
-    loans = new TokenClient(control);
+    tokenClient = new TokenClient(control);
     loadClient = new LoadClient(control);
-    loads = new LoadExchange(context, targets, directory, peerAddress, loadClient);
+    loadExchange = new LoadExchange(context, targets, directory, peerAddress, loadClient);
     poison = new PoisonControl(context);
-    loads.exchangePoison(poison);
-    poison.onNews((fact, source) -> loads.changed());
+    loadExchange.exchangePoison(poison);
+    poison.onNews((fact, source) -> loadExchange.changed());
     rollouts = new RolloutControl(context, bounds.rollouts());
-    rollouts.hearOthers(loads::othersEvidence);
-    loads.tellEvidence(rollouts::ownEvidence);
+    rollouts.hearOthers(loadExchange::othersEvidence);
+    loadExchange.tellEvidence(rollouts::ownEvidence);
     forwarder =
         new Forwarder(
             context,
@@ -119,8 +120,8 @@
             new TargetConnector(control, dialect),
             metrics,
             directory,
-            loans,
-            loads,
+            tokenClient,
+            loadExchange,
             rollouts,
             poison);
     callers = new CallerServer(control, configuration, forwarder, dialect.headers());
@@ -134,8 +135,8 @@
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
     metrics.gauge("hosts", directory::hosts);
-    metrics.gauge("load_sources", loads::sources);
-    metrics.gauge("load_age_millis", loads::ageMillis);
+    metrics.gauge("load_sources", loadExchange::sources);
+    metrics.gauge("load_age_millis", loadExchange::ageMillis);
     metrics.gauge("poison_requests_suspected", poison::suspected);
     metrics.gauge("poison_requests_held", poison::held);
     metrics.gauge("limited_targets", forwarder.limits().book()::size);
@@ -173,67 +174,73 @@
     return targets;
   }
 
-  /** Returns what takes in the platform's list of targets. */
+  /** Returns the receiver of the platform's list of targets. */
   public TargetListKeeper targetList() {
     return targetList;
   }
 
-  /** Returns the documents that this host knows and passes on. */
+  /** Returns the documents that this host serves to other hosts. */
   public DocumentCache documents() {
     return documents;
   }
 
-  /** Returns what lends other hosts what all share. */
+  /** Returns the issuer of tokens for other hosts. */
   public Lender lender() {
-    return (subject, count, answer) -> control.run(() -> forwarder.lend(subject, count, answer));
+    return (subject, count, callback) ->
+        control.run(() -> forwarder.lend(subject, count, callback));
   }
 
-  /** Returns what hosts have told each other of their load. */
+  /** Returns the exchange of load reports between hosts. */
   public LoadExchange loads() {
-    return loads;
+    return loadExchange;
   }
 
-  /** Takes in what another host tells of its load; returns false if it has to tell all of it. */
+  /** Processes another host's load report; returns false if the full report is needed. */
   public boolean receiveLoadReport(LoadReport report) {
-    boolean[] taken = new boolean[1];
-    control.run(() -> taken[0] = loads.take(report));
-    return taken[0];
+    boolean[] accepted = new boolean[1];
+    control.run(() -> accepted[0] = loadExchange.take(report));
+    return accepted[0];
   }
 
-  /** Returns which requests are held back. */
+  /** Returns the control of suspected and quarantined requests. */
   public PoisonControl poison() {
     return poison;
   }
 
-  /** Returns which versions of targets requests may go to. */
+  /** Returns the control of which versions of targets receive requests. */
   public RolloutControl rollouts() {
     return rollouts;
   }
 
-  /** Returns what takes in the entries of all hosts. */
+  /** Returns the directory of all hosts. */
   public HostDirectory directory() {
     return directory;
   }
 
-  /** Binds the listeners and serves. */
+  /** Binds the listeners and starts serving; fails if an address cannot be bound. */
   public void start() {
     callers.start(ForwardSettings.address(settings.callers()));
     status.start(ForwardSettings.address(settings.status()));
     metricsServer.start(ForwardSettings.address(settings.metrics()));
     log.event(EventCode.HOST_STARTED, settings.host(), "callers=" + settings.callers());
-    long openBy = ControlThread.nowMillis() + LONGEST_CLOSED_MILLIS;
-    control.loop().execute(() -> openOnceKnown(openBy));
-    control.loop().execute(() -> control.run(loads::start));
+    long acceptDeadlineMillis = ControlThread.nowMillis() + MAX_ACCEPT_DELAY_MILLIS;
+    control.loop().execute(() -> acceptOnceReady(acceptDeadlineMillis));
+    control.loop().execute(() -> control.run(loadExchange::start));
   }
 
-  /** Takes callers once configuration and targets are known, or in any case after a short while. */
-  private void openOnceKnown(long openBy) {
-    boolean known = configuration.current().isPresent() && !targets.all().isEmpty();
-    if (known || ControlThread.nowMillis() >= openBy) {
+  /** Accepts callers once configuration and targets are known, at the latest at the deadline. */
+  private void acceptOnceReady(long acceptDeadlineMillis) {
+    boolean isConfigured = configuration.current().isPresent() && !targets.all().isEmpty();
+    if (isConfigured || ControlThread.nowMillis() >= acceptDeadlineMillis) {
       callers.startAccepting();
       return;
     }
-    control.loop().schedule(() -> openOnceKnown(openBy), OPEN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+    control
+        .loop()
+        .schedule(
+            () -> acceptOnceReady(acceptDeadlineMillis),
+            ACCEPT_CHECK_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   private StatusServer.Page describeRollouts() {
@@ -251,7 +258,7 @@
         : new StatusServer.Page(503, "not ready\n");
   }
 
-  /** Notes that the settings file was read again. */
+  /** Logs that the settings file was read again. */
   public void logSettingsReload(String outcome) {
     control
         .loop()
@@ -261,10 +268,10 @@
                     () -> context.note(EventCode.SETTINGS_RELOADED, settings.host(), outcome)));
   }
 
-  /** Withdraws readiness, finishes what is open, and returns when that is done or time is up. */
+  /** Withdraws readiness and waits until all requests have ended or the grace period expires. */
   public void drain() throws InterruptedException {
-    long deadline =
-        ControlThread.nowMillis() + settings.bounds().graceMillis() - LEFT_FOR_EXIT_MILLIS;
+    long deadlineMillis =
+        ControlThread.nowMillis() + settings.bounds().graceMillis() - EXIT_RESERVE_MILLIS;
     control
         .loop()
         .execute(
@@ -275,36 +282,40 @@
                   EventCode.HOST_DRAINING,
                   settings.host(),
                   "openRequests=" + forwarder.openExchanges());
-              long restUntil = ControlThread.nowMillis() + BALANCER_MILLIS;
-              forwarder.beginStop(restUntil, deadline);
-              checkDrained(restUntil, deadline);
+              long balancerDeadlineMillis = ControlThread.nowMillis() + BALANCER_DELAY_MILLIS;
+              forwarder.beginStop(balancerDeadlineMillis, deadlineMillis);
+              checkDrained(balancerDeadlineMillis, deadlineMillis);
             });
     drained.await(settings.bounds().graceMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void checkDrained(long restUntil, long deadline) {
-    long now = ControlThread.nowMillis();
-    if (now >= restUntil) {
+  private void checkDrained(long balancerDeadlineMillis, long deadlineMillis) {
+    long nowMillis = ControlThread.nowMillis();
+    if (nowMillis >= balancerDeadlineMillis) {
       callers.closeIdleConnections();
     }
-    boolean done = now >= restUntil && forwarder.openExchanges() == 0;
-    if (done || now >= deadline) {
+    boolean done = nowMillis >= balancerDeadlineMillis && forwarder.openExchanges() == 0;
+    if (done || nowMillis >= deadlineMillis) {
       callers.stopListening();
       control.run(forwarder::stopAll);
       log.event(EventCode.HOST_STOPPED, settings.host(), "inTime=" + done);
-      control.loop().schedule(drained::countDown, DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+      control
+          .loop()
+          .schedule(drained::countDown, DRAIN_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
     control
         .loop()
         .schedule(
-            () -> checkDrained(restUntil, deadline), DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            () -> checkDrained(balancerDeadlineMillis, deadlineMillis),
+            DRAIN_CHECK_INTERVAL_MILLIS,
+            TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void close() {
     callers.close();
-    loans.close();
+    tokenClient.close();
     loadClient.close();
     status.close();
     metricsServer.close();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardMetrics.java
@@ -32,57 +32,57 @@
 
   private final PrometheusMeterRegistry registry =
       new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-  private final Map<RouteKind, Timer> answered = new EnumMap<>(RouteKind.class);
-  private final Map<RouteKind, Counter> interrupted = new EnumMap<>(RouteKind.class);
-  private final Map<Refusal, Counter> refused = new EnumMap<>(Refusal.class);
+  private final Map<RouteKind, Timer> responseTimers = new EnumMap<>(RouteKind.class);
+  private final Map<RouteKind, Counter> interruptedCounters = new EnumMap<>(RouteKind.class);
+  private final Map<Refusal, Counter> rejectedCounters = new EnumMap<>(Refusal.class);
 
   public ForwardMetrics() {
     for (RouteKind kind : RouteKind.values()) {
-      answered.put(
+      responseTimers.put(
           kind,
           Timer.builder("gatereel_forward_answered")
               .description("time from a request to the end of its answer")
               .tag("kind", kind.name())
               .serviceLevelObjectives(BUCKETS)
               .register(registry));
-      interrupted.put(
+      interruptedCounters.put(
           kind,
           Counter.builder("gatereel_forward_interrupted")
               .description("answers broken off after they had begun")
               .tag("kind", kind.name())
               .register(registry));
     }
-    for (Refusal refusal : Refusal.values()) {
-      refused.put(
-          refusal,
+    for (Refusal rejection : Refusal.values()) {
+      rejectedCounters.put(
+          rejection,
           Counter.builder("gatereel_forward_refused")
               .description("final answers of this host's own")
-              .tag("reason", refusal.name())
+              .tag("reason", rejection.name())
               .register(registry));
     }
   }
 
   @Override
   public void answered(Route route, long millis) {
-    answered.get(route.kind()).record(millis, TimeUnit.MILLISECONDS);
+    responseTimers.get(route.kind()).record(millis, TimeUnit.MILLISECONDS);
   }
 
   @Override
-  public void refused(Refusal refusal) {
-    refused.get(refusal).increment();
+  public void refused(Refusal rejection) {
+    rejectedCounters.get(rejection).increment();
   }
 
   @Override
   public void interrupted(Route route) {
-    interrupted.get(route.kind()).increment();
+    interruptedCounters.get(route.kind()).increment();
   }
 
-  /** Adds a value that is asked for when metrics are read. */
+  /** Adds a gauge whose value is read on each scrape. */
   public void gauge(String name, Supplier<Number> value) {
     Gauge.builder("gatereel_forward_" + name, value).register(registry);
   }
 
-  /** Returns all metrics as text. */
+  /** Returns all metrics in Prometheus' text format. */
   public String scrape() {
     return registry.scrape();
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/HeaderNames.java
@@ -3,26 +3,27 @@
 import java.util.Set;
 
 /**
- * The names of the headers by which callers, this host and targets understand each other.
+ * The names of the headers used between callers, hosts and targets.
  *
- * @param requestId the caller's id of a request; a target's answer carries it back
- * @param remainingMillis how long the caller waits, in milliseconds
- * @param key the caller's key, which no target is shown
- * @param account the client account that a target is told
- * @param expectedTarget the id of the target that is meant
- * @param signature the mark of a target's own answer
- * @param notExecuted a target's promise that it did not run the request
- * @param limit how many requests a second a target takes from all hosts together, as a decimal
+ * @param requestId the caller's id of a request, which a target's response repeats
+ * @param remainingMillis the time that remains until the caller's deadline, in milliseconds
+ * @param key the caller's key, which is not forwarded to targets
+ * @param account the client account of a forwarded request
+ * @param expectedTarget the id of the target that a request is addressed to
+ * @param signature present in responses that the target itself made
+ * @param notExecuted present in responses to requests that the target did not execute
+ * @param limit the requests per second that a target accepts from all hosts together, a decimal
  *     number
- * @param leaving a target's word that it is about to end
- * @param tokenCounts the tokens of the prompt and the most that come out, joined by a comma
- * @param promptParts the parts of the prompt in their order, each as name:tokens, joined by commas
- * @param copyTo the address of the engine that is to hold a copy of the run
- * @param continueFrom the copy that a run goes on from
- * @param urgency 0 for the most urgent
- * @param reservedNames names, in small letters, that only this host may set towards targets
- * @param knownResponseHeaders names, in small letters, of the headers of targets' answers that are
- *     read or need no reading
+ * @param leaving present if the target announces that it is draining
+ * @param tokenCounts the number of prompt tokens and the maximum number of output tokens, separated
+ *     by a comma
+ * @param promptParts the parts of the prompt in order, each as name:tokens, separated by commas
+ * @param copyTo the address of the engine that stores a copy of the execution
+ * @param continueFrom the address of the copy from which the execution continues
+ * @param urgency 0 for the most urgent requests
+ * @param reservedNames names in lower case that callers' requests may not set towards targets
+ * @param knownResponseHeaders names in lower case of response headers that are read or deliberately
+ *     ignored
  */
 public record HeaderNames(
     String requestId,
@@ -41,7 +42,7 @@
     String urgency,
     Set<String> reservedNames,
     Set<String> knownResponseHeaders) {
-  /** The name that the standard for server-sent events gives. */
+  /** Defined by the specification of server-sent events. */
   public static final String LAST_EVENT_ID = "Last-Event-Id";
 
   public HeaderNames {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/TargetDialect.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/TargetDialect.java
@@ -3,20 +3,19 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** How targets are spoken to beyond the requests that are forwarded. */
+/** The headers, paths and documents by which hosts communicate with targets. */
 public interface TargetDialect {
-  /** Returns the names of the headers. */
   HeaderNames headers();
 
-  /** Returns where an engine tells its state without taking part in its queue. */
+  /** Returns the path of an engine's state report, which bypasses its request queue. */
   String probePath();
 
-  /** Reads what a target tells at {@link #probePath}. */
-  TargetReport readReport(byte[] answer);
+  /** Reads the response of {@link #probePath}; {@link TargetReport#NONE} if it is malformed. */
+  TargetReport readReport(byte[] body);
 
-  /** Returns where an engine tells which parts of prompts it keeps. */
+  /** Returns the path of the list of prompt parts that an engine caches. */
   String promptsPath();
 
-  /** Reads the names of the parts from that answer; empty if it is none. */
-  Optional<Set<String>> readPrompts(byte[] answer);
+  /** Reads the response of {@link #promptsPath}; empty if it is malformed. */
+  Optional<Set<String>> readPrompts(byte[] body);
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/TargetReport.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/TargetReport.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * What a target's report on its state says.
+ * A target's report on its own state.
  *
- * @param startedAtMillis when the target began; empty if the answer is no report, or does not tell
- * @param leaving whether the target is about to end
- * @param unknown the names of fields that nothing reads
+ * @param startedAtMillis the start time of the target's incarnation; empty if not reported
+ * @param leaving whether the target announces that it is draining
+ * @param unknown the names of unknown fields
  */
 public record TargetReport(OptionalLong startedAtMillis, boolean leaving, Set<String> unknown) {
-  /** An answer that is no report. */
+  /** Returned for a response that is not a valid report. */
   public static final TargetReport NONE = new TargetReport(OptionalLong.empty(), false, Set.of());
 
   public TargetReport {
