--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -185,13 +185,13 @@
   }
 
   /** Returns the issuer of tokens for other hosts. */
-  public Lender lender() {
+  public Lender tokenIssuer() {
     return (subject, count, callback) ->
         control.run(() -> forwarder.lend(subject, count, callback));
   }
 
   /** Returns the exchange of load reports between hosts. */
-  public LoadExchange loads() {
+  public LoadExchange loadExchange() {
     return loadExchange;
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettings.java
@@ -112,9 +112,9 @@
     } catch (JsonProcessingException e) {
       throw new ForwardSettingsException(List.of(e.getOriginalMessage()));
     }
-    List<String> mistakes = settings.mistakes();
-    if (!mistakes.isEmpty()) {
-      throw new ForwardSettingsException(mistakes);
+    List<String> errors = settings.validate();
+    if (!errors.isEmpty()) {
+      throw new ForwardSettingsException(errors);
     }
     return settings;
   }
@@ -125,55 +125,55 @@
     return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  private List<String> mistakes() {
-    List<String> mistakes = new ArrayList<>();
-    checkText(mistakes, "host", host);
-    checkText(mistakes, "dataCentre", dataCentre);
-    checkAddress(mistakes, "callers", callers);
-    checkAddress(mistakes, "status", status);
-    checkAddress(mistakes, "metrics", metrics);
-    checkAddress(mistakes, "peers", peers);
-    checkAddress(mistakes, "platform", platform);
+  private List<String> validate() {
+    List<String> errors = new ArrayList<>();
+    checkText(errors, "host", host);
+    checkText(errors, "dataCentre", dataCentre);
+    checkAddress(errors, "callers", callers);
+    checkAddress(errors, "status", status);
+    checkAddress(errors, "metrics", metrics);
+    checkAddress(errors, "peers", peers);
+    checkAddress(errors, "platform", platform);
     if (bounds == null) {
-      mistakes.add("bounds: missing");
-      return mistakes;
+      errors.add("bounds: missing");
+      return errors;
     }
-    checkPositive(mistakes, "bounds.revocationMillis", bounds.revocationMillis());
-    checkPositive(mistakes, "bounds.configurationMillis", bounds.configurationMillis());
-    checkPositive(mistakes, "bounds.drainMillis", bounds.drainMillis());
-    checkPositive(mistakes, "bounds.graceMillis", bounds.graceMillis());
-    checkPositive(mistakes, "bounds.retryWindowMillis", bounds.retryWindowMillis());
+    checkPositive(errors, "bounds.revocationMillis", bounds.revocationMillis());
+    checkPositive(errors, "bounds.configurationMillis", bounds.configurationMillis());
+    checkPositive(errors, "bounds.drainMillis", bounds.drainMillis());
+    checkPositive(errors, "bounds.graceMillis", bounds.graceMillis());
+    checkPositive(errors, "bounds.retryWindowMillis", bounds.retryWindowMillis());
     if (bounds.retryRatio() < 0 || bounds.retrySlack() < 0) {
-      mistakes.add("bounds.retryRatio, bounds.retrySlack: must not be below 0");
+      errors.add("bounds.retryRatio, bounds.retrySlack: must not be below 0");
     }
-    checkPositive(mistakes, "bounds.rollbackMillis", bounds.rollbackMillis());
+    checkPositive(errors, "bounds.rollbackMillis", bounds.rollbackMillis());
     if (bounds.exposureShare() < 0 || bounds.exposureShare() > 1 || bounds.exposureSlack() < 0) {
-      mistakes.add(
+      errors.add(
           "bounds.exposureShare: must be between 0 and 1; bounds.exposureSlack: must not be below 0");
     }
-    return mistakes;
+    return errors;
   }
 
-  private static void checkText(List<String> mistakes, String name, String value) {
+  private static void checkText(List<String> errors, String name, String value) {
     if (value == null || value.isBlank()) {
-      mistakes.add(name + ": a text is needed");
+      errors.add(name + ": a text is needed");
     }
   }
 
-  private static void checkPositive(List<String> mistakes, String name, long value) {
+  private static void checkPositive(List<String> errors, String name, long value) {
     if (value <= 0) {
-      mistakes.add(name + ": must be above 0");
+      errors.add(name + ": must be above 0");
     }
   }
 
-  private static void checkAddress(List<String> mistakes, String name, String value) {
+  private static void checkAddress(List<String> errors, String name, String value) {
     if (value == null || !value.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
-      mistakes.add(name + ": IP:PORT is needed");
+      errors.add(name + ": IP:PORT is needed");
       return;
     }
     int port = address(value).port();
     if (port < 1 || port > MAX_PORT) {
-      mistakes.add(name + ": the port must be between 1 and " + MAX_PORT);
+      errors.add(name + ": the port must be between 1 and " + MAX_PORT);
     }
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
@@ -7,15 +7,15 @@
 public final class ForwardSettingsException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
-  private final transient List<String> mistakes;
+  private final transient List<String> errors;
 
-  ForwardSettingsException(List<String> mistakes) {
-    super(String.join("; ", mistakes));
-    this.mistakes = List.copyOf(mistakes);
+  ForwardSettingsException(List<String> errors) {
+    super(String.join("; ", errors));
+    this.errors = List.copyOf(errors);
   }
 
   /** Returns one message for each error found. */
-  public List<String> mistakes() {
-    return mistakes;
+  public List<String> errors() {
+    return errors;
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
@@ -22,9 +22,8 @@
       }
       """;
 
-  private static List<String> mistakes(String text) {
-    return assertThrows(ForwardSettingsException.class, () -> ForwardSettings.parse(text))
-        .mistakes();
+  private static List<String> errors(String text) {
+    return assertThrows(ForwardSettingsException.class, () -> ForwardSettings.parse(text)).errors();
   }
 
   @Test
@@ -38,7 +37,7 @@
   @Test
   void reportsEveryError() {
     List<String> found =
-        mistakes(
+        errors(
             VALID.replace("10.0.0.1:80", "nowhere").replace("\"h\"", "\" \"").replace("8000", "0"));
 
     assertEquals(
@@ -51,16 +50,14 @@
 
   @Test
   void reportsMissingAndUnknownFields() {
-    assertTrue(
-        mistakes(VALID.replace("{\"host\"", "{\"x\": 1, \"host\"")).get(0).contains("\"x\""));
-    assertTrue(mistakes(VALID.replace("\"host\": \"h\",", "")).get(0).contains("host"));
-    assertTrue(
-        mistakes(VALID.replace("\"graceMillis\": 8000,", "")).get(0).contains("graceMillis"));
+    assertTrue(errors(VALID.replace("{\"host\"", "{\"x\": 1, \"host\"")).get(0).contains("\"x\""));
+    assertTrue(errors(VALID.replace("\"host\": \"h\",", "")).get(0).contains("host"));
+    assertTrue(errors(VALID.replace("\"graceMillis\": 8000,", "")).get(0).contains("graceMillis"));
   }
 
   @Test
   void rejectsInvalidJsonAndPorts() {
-    assertEquals(1, mistakes("host=h").size());
-    assertTrue(mistakes(VALID.replace(":80\"", ":70000\"")).get(0).contains("port"));
+    assertEquals(1, errors("host=h").size());
+    assertTrue(errors(VALID.replace(":80\"", ":70000\"")).get(0).contains("port"));
   }
 }
