--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/IncomingRequest.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/IncomingRequest.java
@@ -33,8 +33,8 @@
   /**
    * Reads a request.
    *
-   * @throws MalformedRequestException if a required header is missing, or a header is repeated or
-   *     is not a number
+   * @throws MalformedRequestException if the request target is not a path, a required header is
+   *     missing, or a header is repeated or is not a number
    */
   static IncomingRequest read(FullHttpRequest request, HeaderNames names)
       throws MalformedRequestException {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/PipelineQueue.java
@@ -8,8 +8,8 @@
 /**
  * Queues the pipelined requests of one connection while an earlier request is handled.
  *
- * <p>A request is current from when it is returned until {@link #completeCurrent} is called.
- * Requests offered in between are queued, so that at most one is handled at a time.
+ * <p>At most one request is current, which means that it is being handled or is about to be. All
+ * requests offered until {@link #completeCurrent} is called are queued.
  */
 final class PipelineQueue<T> {
   private final Deque<T> queuedRequests = new ArrayDeque<>();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -23,7 +23,8 @@
  *
  * <p>If the incarnation is unknown, any response head except 421 (Misdirected Request) proves that
  * the target is alive; 421 means that another process uses the address. If the incarnation is
- * known, the target's report must contain its start time.
+ * known, only a report with its start time proves that it is alive; a report with another start
+ * time proves that it has ended.
  */
 final class ProbeHandler extends TargetResponseHandler {
   /** A longer body is not read as a report. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/PromptParts.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/PromptParts.java
@@ -7,8 +7,8 @@
 /**
  * Parses the list of a prompt's parts, {@code NAME:TOKENS,NAME:TOKENS}.
  *
- * <p>The result is only a hint for the choice of an engine, so malformed entries are ignored here;
- * the engine validates them.
+ * <p>The result is only a hint for the choice of an engine, so malformed entries are ignored. The
+ * engine validates them.
  */
 final class PromptParts {
   private static final Splitter PARTS = Splitter.on(',').trimResults().omitEmptyStrings();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -22,7 +22,7 @@
   private static final StatusServer.Page FULL_REPORT_NEEDED =
       new StatusServer.Page(LoadMessages.FULL_REPORT_NEEDED_STATUS, "");
 
-  /** The tokens must be requested from another host. */
+  /** This host does not issue the requested tokens; another host does. */
   private static final StatusServer.Page NOT_ISSUED_HERE =
       new StatusServer.Page(409, "not lent here\n");
 
@@ -36,10 +36,10 @@
   private final StatusServer server;
 
   /**
-   * Makes a server; nothing is bound yet.
+   * Makes a server; no address is bound before {@link #start}.
    *
    * @param context the clock for the age of documents
-   * @param issuer issues tokens of limits that all hosts share
+   * @param issuer issues retry and limit tokens to other hosts
    * @param loadReceiver processes a load report; returns false if the full report is needed
    */
   public PeerServer(
