--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/CallerConnection.java
@@ -16,25 +16,24 @@
 import org.gatereel.core.forward.Rejection;
 
 /**
- * One caller's connection: its requests are answered one after the other, in their order.
+ * A caller's connection, whose requests are handled one at a time in the order received.
  *
- * <p>Reading goes on while a request is being answered, because only so is it noticed that the
- * caller has gone.
+ * <p>Reading continues while a request is handled, so that a disconnect of the caller is detected.
  */
 final class CallerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-  private static final int MOST_WAITING = 8;
+  private static final int MAX_QUEUED_REQUESTS = 8;
 
   private final CallerServer server;
   private final Channel channel;
-  private final SlowHeadGuard guard;
+  private final RequestHeadTimeoutHandler headTimeout;
   private final PipelineQueue<FullHttpRequest> requests = new PipelineQueue<>();
-  private Optional<Exchange> exchange = Optional.empty();
+  private Optional<Exchange> currentExchange = Optional.empty();
   private ScheduledFuture<?> idleTimer;
 
-  CallerConnection(CallerServer server, Channel channel, SlowHeadGuard guard) {
+  CallerConnection(CallerServer server, Channel channel, RequestHeadTimeoutHandler headTimeout) {
     this.server = server;
     this.channel = channel;
-    this.guard = guard;
+    this.headTimeout = headTimeout;
   }
 
   @Override
@@ -50,40 +49,41 @@
       return;
     }
     request.retain();
-    if (requests.size() > MOST_WAITING) {
+    if (requests.size() > MAX_QUEUED_REQUESTS) {
       channel.config().setAutoRead(false);
     }
   }
 
   private void handle(FullHttpRequest request) {
     stopIdleTimer();
-    guard.holdBack();
-    CallerAnswer mine = new CallerAnswer(this, channel, request, mayStayOpen(request));
+    headTimeout.deferTimeoutResponse();
+    CallerResponseWriter response =
+        new CallerResponseWriter(this, channel, request, canStayOpen(request));
     if (request.decoderResult().isFailure()) {
-      mine.reject(refusal(request.decoderResult().cause()), 0);
+      response.reject(rejectionFor(request.decoderResult().cause()), 0);
       return;
     }
     if (request.method().equals(HttpMethod.CONNECT)) {
-      // What follows a success is a tunnel's bytes, without a frame that would show a cut.
-      mine.reject(Rejection.MALFORMED, 0);
+      // After a successful CONNECT the bytes are unframed, so truncation would go undetected.
+      response.reject(Rejection.MALFORMED, 0);
       return;
     }
     try {
       IncomingRequest incoming = IncomingRequest.read(request, server.names());
-      server.control().run(() -> exchange = accept(incoming, mine));
+      server.control().run(() -> currentExchange = accept(incoming, response));
     } catch (MalformedRequestException e) {
-      mine.reject(Rejection.MALFORMED, 0);
+      response.reject(Rejection.MALFORMED, 0);
     }
   }
 
-  private static boolean mayStayOpen(FullHttpRequest request) {
-    // A caller that waits to be asked for its body sends either that or its next request.
-    boolean nextIsKnown =
+  private static boolean canStayOpen(FullHttpRequest request) {
+    // After a rejection, a caller that expects 100 (Continue) may send its body or a new request.
+    boolean isNextMessageKnown =
         request.decoderResult().isSuccess()
             || (isBodyTooLong(request.decoderResult().cause())
                 && !HttpUtil.is100ContinueExpected(request));
     return HttpUtil.isKeepAlive(request)
-        && nextIsKnown
+        && isNextMessageKnown
         && !request.method().equals(HttpMethod.CONNECT);
   }
 
@@ -91,11 +91,11 @@
     return cause instanceof TooLongHttpContentException;
   }
 
-  private Optional<Exchange> accept(IncomingRequest incoming, CallerAnswer mine) {
-    return server.forwarder().accept(incoming, mine);
+  private Optional<Exchange> accept(IncomingRequest incoming, CallerResponseWriter response) {
+    return server.forwarder().accept(incoming, response);
   }
 
-  private static Rejection refusal(Throwable cause) {
+  private static Rejection rejectionFor(Throwable cause) {
     if (isBodyTooLong(cause)) {
       return Rejection.BODY_TOO_LARGE;
     }
@@ -104,27 +104,27 @@
     return tooLong ? Rejection.HEAD_TOO_LARGE : Rejection.MALFORMED;
   }
 
-  /** An answer was written to its end. */
-  void answered(boolean keepAlive) {
-    exchange = Optional.empty();
+  /** Handles the next pipelined request after a response was written completely. */
+  void onResponseComplete(boolean keepAlive) {
+    currentExchange = Optional.empty();
     if (!keepAlive) {
       return;
     }
     startIdleTimer();
-    // Not from within the answer before, which may still be in the middle of a decision.
+    // Runs later, because the code that completed this response may still be executing.
     requests
-        .done()
+        .completeCurrent()
         .ifPresentOrElse(
-            next -> channel.eventLoop().execute(() -> handleWaiting(next)), this::answersGiven);
+            next -> channel.eventLoop().execute(() -> handleQueued(next)),
+            this::onAllResponsesComplete);
   }
 
-  /** All answers that were owed are given; what waited for that may be written now. */
-  private void answersGiven() {
-    guard.letGo();
+  private void onAllResponsesComplete() {
+    headTimeout.allowTimeoutResponse();
     channel.pipeline().fireUserEventTriggered(CallerEvent.ALL_ANSWERED);
   }
 
-  private void handleWaiting(FullHttpRequest next) {
+  private void handleQueued(FullHttpRequest next) {
     try {
       if (channel.isActive()) {
         channel.config().setAutoRead(true);
@@ -135,8 +135,8 @@
     }
   }
 
-  /** Returns whether an answer is owed. */
-  boolean isAnswering() {
+  /** Returns whether a request awaits its response. */
+  boolean hasPendingResponse() {
     return !requests.isIdle();
   }
 
@@ -144,13 +144,13 @@
     return server.isDraining();
   }
 
-  void closeIfResting() {
+  void closeIfIdle() {
     if (requests.isIdle()) {
       channel.close();
     }
   }
 
-  /** Closes, also in the middle of an answer, which is then cut. */
+  /** Closes the connection; a response being written is truncated. */
   void close() {
     channel.close();
   }
@@ -158,7 +158,7 @@
   private void startIdleTimer() {
     stopIdleTimer();
     long millis = server.limits().idleTimeoutMillis();
-    idleTimer = channel.eventLoop().schedule(this::closeIfResting, millis, TimeUnit.MILLISECONDS);
+    idleTimer = channel.eventLoop().schedule(this::closeIfIdle, millis, TimeUnit.MILLISECONDS);
   }
 
   private void stopIdleTimer() {
@@ -171,10 +171,10 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) throws Exception {
     stopIdleTimer();
-    server.closed(this);
+    server.removeConnection(this);
     requests.drain().forEach(FullHttpRequest::release);
-    exchange.ifPresent(open -> server.control().run(open::onCallerDisconnected));
-    exchange = Optional.empty();
+    currentExchange.ifPresent(current -> server.control().run(current::onCallerDisconnected));
+    currentExchange = Optional.empty();
     super.channelInactive(context);
   }
 
--- /dev/null
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/RequestHeadTimeoutHandler.java
@@ -0,0 +1,125 @@
+package org.gatereel.forward.http;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaderValues;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.ReferenceCountUtil;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Closes a connection with 408 (Request Timeout) if a request head is not received in time.
+ *
+ * <p>While an earlier request awaits its response, the caller would take a 408 for that response.
+ * The 408 is therefore delayed until no response is pending, and cancelled if the head is complete
+ * by then.
+ */
+final class RequestHeadTimeoutHandler extends ChannelInboundHandlerAdapter {
+  private final long timeoutMillis;
+  private ScheduledFuture<?> timer;
+  private ChannelHandlerContext context;
+  private boolean readingBody;
+  private boolean deferred;
+  private boolean timedOut;
+  private boolean timeoutSent;
+
+  RequestHeadTimeoutHandler(long timeoutMillis) {
+    this.timeoutMillis = timeoutMillis;
+  }
+
+  @Override
+  public void handlerAdded(ChannelHandlerContext addedContext) {
+    context = addedContext;
+  }
+
+  @Override
+  public void channelRead(ChannelHandlerContext readContext, Object bytes) throws Exception {
+    if (timeoutSent) {
+      // The 408 promises that the request was not executed.
+      ReferenceCountUtil.release(bytes);
+      return;
+    }
+    if (timer == null && !readingBody) {
+      timer = context.executor().schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
+    }
+    super.channelRead(readContext, bytes);
+  }
+
+  private void onTimeout() {
+    if (deferred) {
+      timedOut = true;
+    } else {
+      sendTimeoutResponse();
+    }
+  }
+
+  private void sendTimeoutResponse() {
+    timeoutSent = true;
+    DefaultFullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, HttpResponseStatus.REQUEST_TIMEOUT, Unpooled.EMPTY_BUFFER);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    context.channel().writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+  }
+
+  /** Delays a 408 while a request awaits its response. */
+  void deferTimeoutResponse() {
+    deferred = true;
+  }
+
+  /** Sends a delayed 408 and allows further ones, because no request awaits its response. */
+  void allowTimeoutResponse() {
+    deferred = false;
+    if (timedOut) {
+      sendTimeoutResponse();
+    }
+  }
+
+  private void onHeadComplete() {
+    readingBody = true;
+    cancelTimer();
+  }
+
+  private void onBodyComplete() {
+    readingBody = false;
+  }
+
+  private void cancelTimer() {
+    timedOut = false;
+    if (timer != null) {
+      timer.cancel(false);
+      timer = null;
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext context) throws Exception {
+    cancelTimer();
+    super.channelInactive(context);
+  }
+
+  /** Notifies the timeout handler of complete heads and bodies; must follow the codec. */
+  static final class ParsedMessageObserver extends ChannelInboundHandlerAdapter {
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
+      RequestHeadTimeoutHandler headTimeout =
+          context.pipeline().get(RequestHeadTimeoutHandler.class);
+      if (message instanceof HttpRequest) {
+        headTimeout.onHeadComplete();
+      }
+      if (message instanceof LastHttpContent) {
+        headTimeout.onBodyComplete();
+      }
+      super.channelRead(context, message);
+    }
+  }
+}
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
@@ -29,15 +29,14 @@
 import org.gatereel.forward.TargetDialect;
 
 /**
- * Sends requests to targets, each on a connection of its own.
+ * Sends requests to targets, each on a new connection.
  *
- * <p>A connection that is used once can hold no surplus answer of an earlier request, and cannot
- * have been forgotten by the target while it rested; so what comes back belongs to the request, and
- * a connection that does not come about proves that the target did not get it. Nothing is sent
- * again here.
+ * <p>A new connection carries no leftover response of an earlier request and has not been closed by
+ * the target while idle. So a response always belongs to its request, and a failure to connect
+ * proves that the target did not receive the request. Requests are not retried by this class.
  */
 public final class TargetConnector implements TargetPort {
-  private static final int CONNECT_MILLIS = 250;
+  private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
   private final ControlThread control;
   private final TargetDialect dialect;
@@ -54,7 +53,7 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS);
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
   @Override
@@ -65,10 +64,11 @@
             control,
             request.method(),
             listener,
-            head -> TargetHead.read(head, request.id(), names));
-    Channel channel = open(dispatch.target().address(), handler, outgoing(request, dispatch));
+            head -> TargetResponseHead.read(head, request.id(), names));
+    Channel channel =
+        open(dispatch.target().address(), handler, outgoingRequest(request, dispatch));
     return () -> {
-      handler.forget();
+      handler.stopReporting();
       channel.close();
     };
   }
@@ -96,28 +96,29 @@
   public void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> heard,
-      Consumer<Optional<Set<String>>> answer) {
+      Consumer<Statements> announcementListener,
+      Consumer<Optional<Set<String>>> result) {
     DocumentClient client = new DocumentClient(control.loop(), target.address());
     client.get(
         dialect.promptsPath(),
         timeoutMillis,
         document -> {
-          Optional<Set<String>> kept =
+          Optional<Set<String>> parts =
               document
                   .filter(found -> found.status() == HttpResponseStatus.OK.code())
                   .flatMap(found -> dialect.readPrompts(found.body()));
           control.run(
               () -> {
                 document.ifPresent(
-                    found -> heard.accept(StatementHeaders.read(found.head(), names)));
-                answer.accept(kept);
+                    found ->
+                        announcementListener.accept(AnnouncementHeaders.read(found.head(), names)));
+                result.accept(parts);
               });
           client.close();
         });
   }
 
-  private Channel open(Address address, TargetHandler handler, FullHttpRequest request) {
+  private Channel open(Address address, TargetResponseHandler handler, FullHttpRequest request) {
     ChannelFuture connecting =
         bootstrap
             .clone()
@@ -125,7 +126,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(AnswerFraming.codec()).addLast(handler);
+                    channel.pipeline().addLast(ResponseFraming.codec()).addLast(handler);
                   }
                 })
             .connect(address.ip(), address.port());
@@ -133,7 +134,7 @@
         done -> {
           if (!done.isSuccess()) {
             handler.connectFailed(done.cause());
-          } else if (handler.connected()) {
+          } else if (handler.prepareSend()) {
             connecting.channel().writeAndFlush(request);
           } else {
             connecting.channel().close();
@@ -142,15 +143,15 @@
     return connecting.channel();
   }
 
-  private FullHttpRequest outgoing(IncomingRequest request, Dispatch dispatch) {
-    FullHttpRequest outgoing =
+  private FullHttpRequest outgoingRequest(IncomingRequest request, Dispatch dispatch) {
+    FullHttpRequest outgoingRequest =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             request.method(),
             request.uri(),
             Unpooled.wrappedBuffer(request.body()));
-    HttpHeaders headers = outgoing.headers();
-    HopByHop.copy(request.headers(), headers, names.reserved());
+    HttpHeaders headers = outgoingRequest.headers();
+    HopByHopHeaders.copy(request.headers(), headers, names.reservedNames());
     if (hasBody(request)) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
     }
@@ -167,7 +168,7 @@
     if (dispatch.urgent()) {
       headers.set(names.urgency(), 0);
     }
-    return outgoing;
+    return outgoingRequest;
   }
 
   private static boolean hasBody(IncomingRequest request) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/settings/ForwardSettingsException.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import org.gatereel.core.GatereelException;
 
-/** Settings that cannot be used, with every mistake that was found. */
+/** Thrown for settings that are invalid or cannot be read. */
 public final class ForwardSettingsException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
-  private final transient List<String> mistakes;
+  private final transient List<String> errors;
 
-  ForwardSettingsException(List<String> mistakes) {
-    super(String.join("; ", mistakes));
-    this.mistakes = List.copyOf(mistakes);
+  ForwardSettingsException(List<String> errors) {
+    super(String.join("; ", errors));
+    this.errors = List.copyOf(errors);
   }
 
-  /** Returns one sentence for each mistake. */
-  public List<String> mistakes() {
-    return mistakes;
+  /** Returns one message for each error found. */
+  public List<String> errors() {
+    return errors;
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/PipelineQueueTest.java
@@ -12,28 +12,28 @@
   private final PipelineQueue<String> queue = new PipelineQueue<>();
 
   @Test
-  void handsRequestsOutOneAfterTheOther() {
+  void returnsRequestsOneAtATime() {
     assertTrue(queue.offer("a"));
     assertFalse(queue.offer("b"));
 
-    assertEquals(Optional.of("b"), queue.done());
-    assertEquals(Optional.empty(), queue.done());
+    assertEquals(Optional.of("b"), queue.completeCurrent());
+    assertEquals(Optional.empty(), queue.completeCurrent());
     assertTrue(queue.isIdle());
   }
 
   @Test
-  void letsNoRequestPassTheOneThatIsAboutToBeHandled() {
+  void queuesARequestWhileTheNextOneIsAboutToBeHandled() {
     queue.offer("a");
     queue.offer("b");
-    assertEquals(Optional.of("b"), queue.done());
+    assertEquals(Optional.of("b"), queue.completeCurrent());
 
     assertFalse(queue.offer("c"));
 
-    assertEquals(Optional.of("c"), queue.done());
+    assertEquals(Optional.of("c"), queue.completeCurrent());
   }
 
   @Test
-  void handsOverWhatWaits() {
+  void drainsTheQueuedRequests() {
     queue.offer("a");
     queue.offer("b");
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/settings/ForwardSettingsTest.java
@@ -22,9 +22,8 @@
       }
       """;
 
-  private static List<String> mistakes(String text) {
-    return assertThrows(ForwardSettingsException.class, () -> ForwardSettings.parse(text))
-        .mistakes();
+  private static List<String> errors(String text) {
+    return assertThrows(ForwardSettingsException.class, () -> ForwardSettings.parse(text)).errors();
   }
 
   @Test
@@ -36,9 +35,9 @@
   }
 
   @Test
-  void namesEveryMistakeAtOnce() {
+  void reportsEveryError() {
     List<String> found =
-        mistakes(
+        errors(
             VALID.replace("10.0.0.1:80", "nowhere").replace("\"h\"", "\" \"").replace("8000", "0"));
 
     assertEquals(
@@ -50,17 +49,15 @@
   }
 
   @Test
-  void namesAFieldThatIsMissingOrUnknown() {
-    assertTrue(
-        mistakes(VALID.replace("{\"host\"", "{\"x\": 1, \"host\"")).get(0).contains("\"x\""));
-    assertTrue(mistakes(VALID.replace("\"host\": \"h\",", "")).get(0).contains("host"));
-    assertTrue(
-        mistakes(VALID.replace("\"graceMillis\": 8000,", "")).get(0).contains("graceMillis"));
+  void reportsMissingAndUnknownFields() {
+    assertTrue(errors(VALID.replace("{\"host\"", "{\"x\": 1, \"host\"")).get(0).contains("\"x\""));
+    assertTrue(errors(VALID.replace("\"host\": \"h\",", "")).get(0).contains("host"));
+    assertTrue(errors(VALID.replace("\"graceMillis\": 8000,", "")).get(0).contains("graceMillis"));
   }
 
   @Test
-  void refusesWhatIsNoJsonAndPortsThatCannotBe() {
-    assertEquals(1, mistakes("host=h").size());
-    assertTrue(mistakes(VALID.replace(":80\"", ":70000\"")).get(0).contains("port"));
+  void rejectsInvalidJsonAndPorts() {
+    assertEquals(1, errors("host=h").size());
+    assertTrue(errors(VALID.replace(":80\"", ":70000\"")).get(0).contains("port"));
   }
 }
