--- a/gatereel-core/src/main/java/org/gatereel/core/choice/Consideration.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/CostTerm.java
@@ -5,19 +5,19 @@
  *
  * <p>Each is a cost, so that a reason to prefer a target is negative.
  */
-public enum Consideration {
+public enum CostTerm {
   /** Requests share the steps of an engine, or the workers of a plain service. */
   OPEN {
     @Override
     double cost(Candidate candidate) {
-      return candidate.open();
+      return candidate.openRequests();
     }
   },
   /** Two prompts at one engine hold each other up, and all that runs there. */
   READING {
     @Override
     double cost(Candidate candidate) {
-      return READING_LOAD * candidate.reading();
+      return READING_LOAD * candidate.prefills();
     }
   },
   /** A copy may become a run, and takes memory until then. */
@@ -31,7 +31,7 @@
   MEMORY {
     @Override
     double cost(Candidate candidate) {
-      return candidate.isCrowded() ? DOUBTED_LOAD : 0;
+      return candidate.isMemoryFull() ? DOUBTED_LOAD : 0;
     }
   },
   /** Bytes between data centres are paid for, and a cut between them breaks the request. */
@@ -39,7 +39,7 @@
     @Override
     double cost(Candidate candidate) {
       double cost = candidate.isEngine() ? FAR_RUN_LOAD : FAR_CALL_LOAD;
-      return candidate.isFar() ? cost : 0;
+      return candidate.isRemote() ? cost : 0;
     }
   },
   /** This host saw it fail and waits before it asks again. */
@@ -60,7 +60,7 @@
   RESTS_ELSEWHERE {
     @Override
     double cost(Candidate candidate) {
-      return candidate.restsElsewhere() ? DOUBTED_LOAD : 0;
+      return candidate.backsOffElsewhere() ? DOUBTED_LOAD : 0;
     }
   },
   /** It answers with errors more often than others of its service. */
@@ -74,25 +74,25 @@
   DATA_CENTRE_DOUBTED {
     @Override
     double cost(Candidate candidate) {
-      return DOUBTED_LOAD * candidate.doubts();
+      return DOUBTED_LOAD * candidate.excessDataCentreFailures();
     }
   },
   /** It has read the prompt before, which spares all that runs there the time to read it. */
   PROMPT_READ {
     @Override
     double cost(Candidate candidate) {
-      return candidate.hasReadPrompt() ? -PROMPT_LOAD : 0;
+      return candidate.hasPromptCached() ? -PROMPT_LOAD : 0;
     }
   },
   /** Hosts that know the same must not all choose the same. */
   JITTER {
     @Override
     double cost(Candidate candidate) {
-      return JITTER_LOAD * candidate.situation().random().nextDouble();
+      return JITTER_LOAD * candidate.context().random().nextDouble();
     }
 
     @Override
-    boolean isReason() {
+    boolean isReported() {
       return false;
     }
   };
@@ -133,28 +133,28 @@
   /** Less than the smallest difference that matters otherwise. */
   private static final double JITTER_LOAD = 0.25;
 
-  private static final Consideration[] ALL = values();
+  private static final CostTerm[] ALL = values();
 
   abstract double cost(Candidate candidate);
 
   /** Returns whether this says something of a target, as chance does not. */
-  boolean isReason() {
+  boolean isReported() {
     return true;
   }
 
   /** Returns whether nothing speaks against a target but its load. */
-  static boolean isSound(Candidate candidate) {
+  static boolean isHealthy(Candidate candidate) {
     return !candidate.isFailing()
         && !candidate.failedElsewhere()
-        && !candidate.restsElsewhere()
+        && !candidate.backsOffElsewhere()
         && candidate.excessErrors() == 0
-        && candidate.doubts() == 0;
+        && candidate.excessDataCentreFailures() == 0;
   }
 
   /** Sums up what all considerations say of a target. */
-  static double sum(Candidate candidate) {
+  static double totalCost(Candidate candidate) {
     double sum = 0;
-    for (Consideration consideration : ALL) {
+    for (CostTerm consideration : ALL) {
       sum += consideration.cost(candidate);
     }
     return sum;
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/DataCentreDoubts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/DataCentreFailures.java
@@ -15,22 +15,22 @@
  * so stands against all that others were known to run there. A target found to have ended counts as
  * well: those beside it may have ended with it, which the list does not tell yet.
  */
-final class DataCentreDoubts {
+final class DataCentreFailures {
   private final long now;
   private final Map<DataCentre, Long> lastFailures = new HashMap<>();
   private final Map<DataCentre, Integer> doubts = new HashMap<>();
 
-  private DataCentreDoubts(long now) {
+  private DataCentreFailures(long now) {
     this.now = now;
   }
 
   /** Sums up what was seen of targets. */
-  static DataCentreDoubts of(
-      Iterable<TargetState> targets, Function<TargetState, Evidence> seen, long now) {
-    DataCentreDoubts summed = new DataCentreDoubts(now);
-    Map<TargetState, Evidence> evidence = new HashMap<>();
+  static DataCentreFailures of(
+      Iterable<TargetState> targets, Function<TargetState, TargetHealth> seen, long now) {
+    DataCentreFailures summed = new DataCentreFailures(now);
+    Map<TargetState, TargetHealth> evidence = new HashMap<>();
     for (TargetState target : targets) {
-      Evidence found = seen.apply(target);
+      TargetHealth found = seen.apply(target);
       evidence.put(target, found);
       if (found.failed()) {
         summed.lastFailures.merge(dataCentre(target), found.failedAt(), Math::max);
@@ -44,7 +44,7 @@
     return target.description().dataCentre();
   }
 
-  private void count(TargetState target, Evidence seen) {
+  private void count(TargetState target, TargetHealth seen) {
     if (seen.failed()) {
       doubts.merge(dataCentre(target), 1, Integer::sum);
     } else if (workedSince(target, seen)) {
@@ -52,7 +52,7 @@
     }
   }
 
-  private boolean workedSince(TargetState target, Evidence seen) {
+  private boolean workedSince(TargetState target, TargetHealth seen) {
     return seen.workedSince(lastFailures.getOrDefault(dataCentre(target), Long.MIN_VALUE), now);
   }
 
@@ -60,7 +60,7 @@
    * Returns by how many targets the data centre of a target is doubted: 0 if it is not, or if the
    * target itself has worked since.
    */
-  int of(TargetState target, Evidence seen) {
+  int of(TargetState target, TargetHealth seen) {
     return workedSince(target, seen) ? 0 : of(dataCentre(target));
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/UsualErrors.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/ErrorBaseline.java
@@ -12,24 +12,24 @@
  * what counts is more than half of the targets gave. So none stands out where all are alike, and
  * never more than half of them do.
  */
-final class UsualErrors {
+final class ErrorBaseline {
   /** Counts differ by chance by about the root of their mean; twice that is seldom chance. */
   private static final double CHANCE = 2;
 
   private final double most;
 
-  private UsualErrors(double most) {
+  private ErrorBaseline(double most) {
     this.most = most;
   }
 
-  static UsualErrors of(Collection<TargetState> targets, ToDoubleFunction<TargetState> errors) {
+  static ErrorBaseline of(Collection<TargetState> targets, ToDoubleFunction<TargetState> errors) {
     double[] counts = targets.stream().mapToDouble(errors).sorted().toArray();
     if (counts.length == 0) {
-      return new UsualErrors(Double.POSITIVE_INFINITY);
+      return new ErrorBaseline(Double.POSITIVE_INFINITY);
     }
     double median = counts[(counts.length - 1) / 2];
     boolean alike = counts[counts.length - 1] == 0;
-    return new UsualErrors(alike ? Double.POSITIVE_INFINITY : median + CHANCE * Math.sqrt(median));
+    return new ErrorBaseline(alike ? Double.POSITIVE_INFINITY : median + CHANCE * Math.sqrt(median));
   }
 
   /** Returns by how much a number of errors exceeds what is usual; 0 if it does not. */
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/Situation.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/SelectionContext.java
@@ -6,11 +6,11 @@
 import org.gatereel.core.model.TargetId;
 
 /** What is the same for all candidates of one choice. */
-record Situation(
+record SelectionContext(
     long now,
-    DataCentre here,
-    int fitting,
-    DataCentreDoubts doubts,
-    UsualErrors errors,
-    Optional<TargetId> readAt,
+    DataCentre localDataCentre,
+    int fittingRequests,
+    DataCentreFailures dataCentreFailures,
+    ErrorBaseline errorBaseline,
+    Optional<TargetId> promptCachedAt,
     RandomGenerator random) {}
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetChoice.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetChoice.java
@@ -19,8 +19,8 @@
 
   static TargetChoice of(Candidate candidate) {
     StringJoiner reasons = new StringJoiner(",").setEmptyValue(NONE);
-    for (Consideration consideration : Consideration.values()) {
-      double cost = consideration.isReason() ? consideration.cost(candidate) : 0;
+    for (CostTerm consideration : CostTerm.values()) {
+      double cost = consideration.isReported() ? consideration.cost(candidate) : 0;
       if (cost != 0) {
         reasons.add(consideration + ":" + String.format(Locale.ROOT, "%.1f", cost));
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/Evidence.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
@@ -11,7 +11,7 @@
  * @param failedAt when it last failed
  * @param workedAt when it last worked
  */
-record Evidence(boolean failed, long failedAt, long workedAt) {
+record TargetHealth(boolean failed, long failedAt, long workedAt) {
   /**
    * How long something seen says something of the present: longer than engines of a data centre
    * that fail together stay apart in time, shorter than most restarts take.
@@ -30,14 +30,14 @@
    * <p>Hosts tell failures at once and signs of life never: a run of theirs that nobody reports
    * broken went well until the moment from which no news can have arrived yet.
    */
-  static Evidence of(TargetState target, TargetLoad others, long now) {
+  static TargetHealth of(TargetState target, TargetLoad others, long now) {
     long failedAt = Math.max(target.lastFailureAt(), others.failedAt());
     boolean runsElsewhere =
         target.description().kind() == TargetKind.ENGINE
             && others.open() > others.reading()
             && !isRecent(others.failedAt(), now);
     long seenElsewhere = runsElsewhere ? now - NEWS_MILLIS : Long.MIN_VALUE;
-    return new Evidence(
+    return new TargetHealth(
         isRecent(failedAt, now) && failedAt >= target.lastSignAt(),
         failedAt,
         Math.max(target.lastSignAt(), seenElsewhere));
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -80,7 +80,7 @@
   }
 
   private Optional<TargetState> holder(TargetQuery query, Predicate<TargetState> allowed) {
-    return best(query.withoutReader(), allowed).map(TargetChoice::target);
+    return best(query.withoutPromptCache(), allowed).map(TargetChoice::target);
   }
 
   private boolean isSound(TargetState target, DataCentre dataCentre, ServiceName service) {
@@ -91,14 +91,14 @@
 
   private Optional<TargetChoice> best(TargetQuery query, Predicate<TargetState> allowed) {
     List<TargetState> listed = query.versions().among(targets.listed(query.service()));
-    Situation situation =
-        new Situation(
+    SelectionContext situation =
+        new SelectionContext(
             context.now(),
             context.dataCentre(),
-            query.fitting(),
+            query.fittingRequests(),
             doubts(query.service()),
-            UsualErrors.of(listed, this::errors),
-            query.readAt(),
+            ErrorBaseline.of(listed, this::errors),
+            query.promptCachedAt(),
             context.random());
     List<Candidate> candidates =
         listed.stream()
@@ -106,7 +106,7 @@
             .map(target -> candidate(target, situation))
             .collect(Collectors.toCollection(ArrayList::new));
     Optional<Candidate> drawn = cheapest(draw(candidates));
-    boolean sound = drawn.map(Consideration::isSound).orElse(false);
+    boolean sound = drawn.map(CostTerm::isHealthy).orElse(false);
     return (sound ? drawn : cheapest(candidates)).map(TargetChoice::of);
   }
 
@@ -114,7 +114,7 @@
     return target.errorsHere(context.now()) + loads.othersAt(target.description().id()).errors();
   }
 
-  private Candidate candidate(TargetState target, Situation situation) {
+  private Candidate candidate(TargetState target, SelectionContext situation) {
     TargetId id = target.description().id();
     return new Candidate(target, loads.othersAt(id), restsElsewhere.test(id), situation);
   }
@@ -127,11 +127,11 @@
    */
   private List<Candidate> draw(List<Candidate> candidates) {
     List<Candidate> drawn = new ArrayList<>();
-    candidates.stream().filter(Candidate::hasReadPrompt).forEach(drawn::add);
+    candidates.stream().filter(Candidate::hasPromptCached).forEach(drawn::add);
     Map<Boolean, List<Candidate>> byDistance =
-        candidates.stream().collect(Collectors.partitioningBy(Candidate::isFar));
-    draw(byDistance.get(false), hosts.here(), drawn);
-    draw(byDistance.get(true), hosts.all(), drawn);
+        candidates.stream().collect(Collectors.partitioningBy(Candidate::isRemote));
+    draw(byDistance.get(false), hosts.localHosts(), drawn);
+    draw(byDistance.get(true), hosts.allHosts(), drawn);
     return drawn;
   }
 
@@ -149,7 +149,7 @@
     Candidate best = null;
     double least = Double.POSITIVE_INFINITY;
     for (Candidate candidate : candidates) {
-      double cost = Consideration.sum(candidate);
+      double cost = CostTerm.totalCost(candidate);
       if (cost < least) {
         least = cost;
         best = candidate;
@@ -158,10 +158,10 @@
     return Optional.ofNullable(best);
   }
 
-  private DataCentreDoubts doubts(ServiceName service) {
-    return DataCentreDoubts.of(
+  private DataCentreFailures doubts(ServiceName service) {
+    return DataCentreFailures.of(
         targets.known(service),
-        target -> Evidence.of(target, loads.othersAt(target.description().id()), context.now()),
+        target -> TargetHealth.of(target, loads.othersAt(target.description().id()), context.now()),
         context.now());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -169,13 +169,13 @@
 
   /** Returns how many hosts have an entry, this one included; at least one. */
   @Override
-  public int all() {
+  public int allHosts() {
     return Math.max(1, counted.size());
   }
 
   /** Returns how many of them are in this data centre; at least one. */
   @Override
-  public int here() {
+  public int localHosts() {
     return Math.max(1, readers.size());
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -57,7 +57,7 @@
     }
 
     private int lend(int count) {
-      double part = (double) directory.here() / directory.hosts();
+      double part = (double) directory.localHosts() / directory.hosts();
       double slack = LENT_PART * MARGIN * limit.slack() * part;
       int lending = 0;
       while (lending < count && lent.hasRoom(context.now(), 0, slack)) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -66,7 +66,7 @@
 
   /** Returns whether a target is known to keep the prompt, so that it need not read it. */
   boolean hasPrompt(TargetState target) {
-    return query.readAt().equals(Optional.of(target.description().id()));
+    return query.promptCachedAt().equals(Optional.of(target.description().id()));
   }
 
   /** Looks for the engine that keeps the prompt, which is then preferred. */
@@ -77,7 +77,7 @@
             service,
             request.promptPart().orElseThrow(),
             found -> {
-              found.target().ifPresent(target -> query = query.readAt(target));
+              found.target().ifPresent(target -> query = query.promptCachedAt(target));
               answer.accept(found);
             });
   }
@@ -94,12 +94,12 @@
     VersionRule rule = rollouts.rule(service);
     if (isNew()) {
       VersionRule drawn = rollouts.ruleForNew(service, route.name());
-      Optional<TargetChoice> chosen = choose(query.among(drawn), spent, false);
+      Optional<TargetChoice> chosen = choose(query.withVersions(drawn), spent, false);
       if (chosen.isPresent()) {
         return chosen;
       }
     }
-    query = query.among(rule);
+    query = query.withVersions(rule);
     return choose(query, spent, again);
   }
 
@@ -182,7 +182,7 @@
     tried.add(target.description().id());
     forwarder.rests().sent(target.description().id());
     return copiesRuns
-        ? copies.begin(target, query.among(forwarder.rollouts().rule(service)))
+        ? copies.begin(target, query.withVersions(forwarder.rollouts().rule(service)))
         : Optional.empty();
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/ConsiderationTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each consideration alone decides between engines that are alike otherwise. */
-class ConsiderationTest {
+class CostTermTest {
   private static final ServiceName ENGINES = new ServiceName("engines");
   private static final Address ELSEWHERE = new Address("10.0.9.9", 7_200);
   private static final int FITTING = 8;
@@ -60,12 +60,12 @@
           loads,
           new HostCount() {
             @Override
-            public int all() {
+            public int allHosts() {
               return hosts;
             }
 
             @Override
-            public int here() {
+            public int localHosts() {
               return hosts;
             }
           },
@@ -224,7 +224,7 @@
   @Test
   void theEngineThatHasReadThePromptIsPreferredUnlessItIsFull() {
     othersHave(Map.of("s1", open(4)));
-    TargetQuery resumed = query.readAt(new TargetId("s1"));
+    TargetQuery resumed = query.promptCachedAt(new TargetId("s1"));
     assertEquals("s1", choose(resumed).target().description().id().value());
     othersHave(Map.of("s1", open(FITTING)));
 
