--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -218,9 +218,9 @@
   }
 
   private void targetAnswered(Event.TargetAnswered answered) {
-    targets.find(answered.target()).ifPresent(target -> targets.answered(target, answered.load()));
+    targets.find(answered.target()).ifPresent(target -> targets.recordResponse(target, answered.load()));
     if (answered.leaving()) {
-      targets.leaving(answered.target());
+      targets.recordLeaving(answered.target());
     }
   }
 
@@ -240,7 +240,7 @@
 
   private void see(HostList list) {
     members.see(list);
-    targets.see(list);
+    targets.applyList(list);
     requestDispatch();
   }
 
@@ -271,13 +271,13 @@
     if (message instanceof PeerMessage.Heartbeat heartbeat) {
       members.heard(from, heartbeat.draining());
       revisions.peerHas(from, heartbeat.revision());
-      heartbeat.leavingTargets().forEach(targets::leaving);
+      heartbeat.leavingTargets().forEach(targets::recordLeaving);
       return;
     }
     members.heard(from);
     if (!copySaid(from, message) && !takeOverSaid(from, message) && !tableSaid(from, message)) {
       if (message instanceof PeerMessage.TargetLeaving leaving) {
-        targets.leaving(leaving.target());
+        targets.recordLeaving(leaving.target());
       } else {
         calls.peerSaid(from, message);
       }
@@ -358,7 +358,7 @@
           new HostStatus.TargetStatus(
               target.description(),
               target.isLeaving(),
-              target.openHere(),
+              target.localOpenRequests(),
               target.estimatedLoad(context.now())));
     }
     List<HostStatus.PeerStatus> peers =
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -125,7 +125,7 @@
       tries++;
       TargetId id = chosen.description().id();
       tried.add(id);
-      targets.opened(chosen);
+      targets.recordOpened(chosen);
       long ticket = context.nextTicket();
       running.put(ticket, this);
       context.emit(
@@ -140,7 +140,7 @@
     }
 
     private void answered(Event.CallAnswered event) {
-      targets.answered(target, event.load());
+      targets.recordResponse(target, event.load());
       closeTarget();
       context.note(EventCode.CALL_ANSWERED, call.executionId(), target.description().id().value());
       context.measure(Measurement.CALL_MILLIS, call.service(), Arm.FIRST, context.now() - askedAt);
@@ -154,7 +154,7 @@
       context.note(
           EventCode.CALL_FAILED, call.executionId(), target.description().id() + ": " + failure);
       closeTarget();
-      targets.failed(target, failure);
+      targets.recordFailure(target, failure);
       boolean allowed = failure.provesNotRun() || repeatable;
       boolean again = allowed && tries < MOST_TRIES && budgets.of(call.service()).spend();
       if (again && tryStart(false)) {
@@ -179,7 +179,7 @@
     }
 
     private void closeTarget() {
-      targets.closed(target);
+      targets.recordClosed(target);
     }
 
     @Override
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/Candidate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/Candidate.java
@@ -15,7 +15,7 @@
     TargetState target, TargetLoad otherHosts, boolean backsOffElsewhere, SelectionContext context) {
   /** Returns by how many errors the target stands out among those of its service. */
   double excessErrors() {
-    return context.errorBaseline().excess(target.errorsHere(context.now()) + otherHosts.errors());
+    return context.errorBaseline().excess(target.localErrors(context.now()) + otherHosts.errors());
   }
 
   /** Returns the requests that the target probably has, of all hosts. */
@@ -25,12 +25,12 @@
 
   /** Returns the prompts that the target is probably reading, of all hosts. */
   int prefills() {
-    return target.readingHere() + otherHosts.reading();
+    return target.localPrefills() + otherHosts.reading();
   }
 
   /** Returns the copies of runs that the target probably holds, of all hosts. */
   int copies() {
-    return target.copiesHere() + otherHosts.copies();
+    return target.localCopies() + otherHosts.copies();
   }
 
   /** Returns whether the target's memory probably has no room for one more request. */
@@ -58,7 +58,7 @@
   /** Returns whether another host saw the target fail, and this one no sign of it since. */
   boolean failedElsewhere() {
     return TargetHealth.isRecent(otherHosts.failedAt(), context.now())
-        && otherHosts.failedAt() > target.lastSignAt();
+        && otherHosts.failedAt() > target.lastDataAt();
   }
 
   /** Returns by how many targets its data centre is doubted; 0 if the target itself works. */
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
@@ -38,9 +38,9 @@
             && !isRecent(others.failedAt(), now);
     long seenElsewhere = runsElsewhere ? now - NEWS_MILLIS : Long.MIN_VALUE;
     return new TargetHealth(
-        isRecent(failedAt, now) && failedAt >= target.lastSignAt(),
+        isRecent(failedAt, now) && failedAt >= target.lastDataAt(),
         failedAt,
-        Math.max(target.lastSignAt(), seenElsewhere));
+        Math.max(target.lastDataAt(), seenElsewhere));
   }
 
   /** Returns whether the target worked after a time, and lately. */
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -90,7 +90,7 @@
   }
 
   private Optional<TargetChoice> best(TargetQuery query, Predicate<TargetState> allowed) {
-    List<TargetState> listed = query.versions().among(targets.listed(query.service()));
+    List<TargetState> listed = query.versions().among(targets.notLeaving(query.service()));
     SelectionContext situation =
         new SelectionContext(
             context.now(),
@@ -111,7 +111,7 @@
   }
 
   private double errors(TargetState target) {
-    return target.errorsHere(context.now()) + loads.othersAt(target.description().id()).errors();
+    return target.localErrors(context.now()) + loads.othersAt(target.description().id()).errors();
   }
 
   private Candidate candidate(TargetState target, SelectionContext situation) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -155,14 +155,14 @@
   void beginReading() {
     if (!continuation) {
       reading = true;
-      target.noteReading(1);
+      target.adjustPrefills(1);
     }
   }
 
   private void endReading() {
     if (reading) {
       reading = false;
-      target.noteReading(-1);
+      target.adjustPrefills(-1);
     }
   }
 
@@ -185,7 +185,7 @@
 
   void noteSign(long now) {
     lastSignAt = now;
-    target.noteSign(now);
+    target.recordDataReceived(now);
   }
 
   /** Marks the end; returns whether it had not ended before. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyPlan.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyPlan.java
@@ -42,8 +42,8 @@
   /** Takes the copy that the last attempt left behind, if its holder takes requests; once. */
   Optional<MemoryCopy> take() {
     Optional<MemoryCopy> taken =
-        left.flatMap(address -> forwarder.targets().at(service, address))
-            .filter(state -> state.seenAt() <= leftAt)
+        left.flatMap(address -> forwarder.targets().findByAddress(service, address))
+            .filter(state -> state.firstSeenAt() <= leftAt)
             .filter(forwarder.rollouts().rule(service)::admits)
             .filter(state -> forwarder.rests().millisTo(state.description().id()) == 0)
             .map(state -> new MemoryCopy(state, request.id()));
@@ -57,8 +57,8 @@
   }
 
   private void hold(Optional<TargetState> next) {
-    holder.ifPresent(state -> state.noteCopies(-1));
-    next.ifPresent(state -> state.noteCopies(1));
+    holder.ifPresent(state -> state.adjustCopies(-1));
+    next.ifPresent(state -> state.adjustCopies(1));
     holder = next;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -203,7 +203,7 @@
     TargetState target = choice.target();
     tries.begin();
     attempt = new Attempt(this, target, from.isPresent(), context.now());
-    forwarder.targets().opened(target);
+    forwarder.targets().recordOpened(target);
     witness.sent(attempt);
     if (route.kind() == RouteKind.STREAM && !search.hasPrompt(target)) {
       attempt.beginReading();
@@ -377,7 +377,7 @@
     }
     silence.stop();
     search.copies().stop();
-    forwarder.targets().closed(ended.target());
+    forwarder.targets().recordClosed(ended.target());
     forwarder.loads().changed();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -101,7 +101,7 @@
   /** A target has said something, here or to another host. */
   private void hear(TargetFact fact) {
     if (fact.kind() == FactKind.LEAVING) {
-      targets.leaving(fact.target());
+      targets.recordLeaving(fact.target());
     }
     loads.changed();
   }
@@ -177,7 +177,7 @@
         result -> {
           probing.remove(id);
           if (result.isAnswer()) {
-            targets.answered(target);
+            targets.recordResponse(target);
           } else {
             lost(target, askedAt);
           }
@@ -187,7 +187,7 @@
   /** Moves every stream that was silent since the probe began. */
   private void lost(TargetState target, long askedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
-    targets.failed(target, TargetFailure.TIMEOUT);
+    targets.recordFailure(target, TargetFailure.TIMEOUT);
     loads.changed();
     for (Exchange exchange : List.copyOf(open)) {
       boolean concerned =
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
@@ -131,7 +131,7 @@
 
   private List<TargetState> engines(ServiceName service, String part) {
     List<TargetState> sound =
-        targets.listed(service).stream()
+        targets.notLeaving(service).stream()
             .filter(target -> !target.isFailing(context.now()))
             .filter(target -> !isResting.test(target.description().id()))
             .toList();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListKeeper.java
@@ -47,9 +47,9 @@
     }
     provenAt = askedAt;
     if (askedAt - returnedAt < RETURN_MILLIS) {
-      targets.seePartial(list);
+      targets.applyPartialList(list);
     } else {
-      targets.see(list);
+      targets.applyList(list);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -130,7 +130,7 @@
   boolean isAnySpent(boolean urgent) {
     Set<TargetId> spent = withoutTokens(urgent);
     return !spent.isEmpty()
-        && query.versions().among(forwarder.targets().listed(service)).stream()
+        && query.versions().among(forwarder.targets().notLeaving(service)).stream()
             .anyMatch(target -> spent.contains(target.description().id()));
   }
 
@@ -141,7 +141,7 @@
    * @param again whether one that was tried will do
    */
   OptionalLong millisToEndOfRest(boolean again) {
-    return query.versions().among(forwarder.targets().listed(service)).stream()
+    return query.versions().among(forwarder.targets().notLeaving(service)).stream()
         .filter(target -> again || !tried.contains(target.description().id()))
         .mapToLong(target -> forwarder.rests().millisTo(target.description().id()))
         .filter(millis -> millis > 0)
@@ -189,9 +189,9 @@
   /** Notes what a target's whole answer says of it. */
   void answered(Attempt from, Answer answer) {
     if (answer.isError()) {
-      forwarder.targets().answeredWithError(from.target());
+      forwarder.targets().recordErrorResponse(from.target());
     } else {
-      forwarder.targets().answered(from.target());
+      forwarder.targets().recordResponse(from.target());
     }
   }
 
@@ -203,7 +203,7 @@
     } else if (failure == TargetFailure.WITHDRAWN) {
       forwarder.limits().giveBack(from.target().description().id());
     } else {
-      forwarder.targets().failed(from.target(), failure);
+      forwarder.targets().recordFailure(from.target(), failure);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
@@ -52,6 +52,6 @@
 
   /** Returns how long the target may be silent at this stage. */
   long patience(SuspicionPolicy policy) {
-    return brought ? policy.silenceMillis(target.gaps()) : policy.firstTokenMillis();
+    return brought ? policy.silenceMillis(target.tokenGaps()) : policy.firstTokenMillis();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -60,7 +60,7 @@
     generation.attempts.put(attempt.number(), attempt);
     generation.workedAt(target.description().id());
     generation.interruptedAt = 0;
-    targets.opened(target);
+    targets.recordOpened(target);
     context.emit(
         new Action.StartAttempt(
             generation.spec, attempt.number(), target.description(), generation.tokensFrom(0)));
@@ -133,7 +133,7 @@
     if (attempt == null) {
       return;
     }
-    targets.answered(attempt.target(), event.load());
+    targets.recordResponse(attempt.target(), event.load());
     if (event.offset() < generation.length()) {
       return;
     }
@@ -150,7 +150,7 @@
   private void noteGap(Generation generation, Attempt attempt) {
     long gap = attempt.tokenAt(context.now());
     if (gap >= 0) {
-      attempt.target().gaps().add(gap);
+      attempt.target().tokenGaps().addGap(gap);
       measure(generation, Measurement.TOKEN_GAP_MILLIS, gap);
       return;
     }
@@ -210,7 +210,7 @@
         generation,
         "attempt " + attempt.number() + ": " + failure + " after " + generation.length());
     cancel(generation, attempt);
-    targets.failed(attempt.target(), failure);
+    targets.recordFailure(attempt.target(), failure);
     if (!generation.attempts.isEmpty()) {
       return;
     }
@@ -296,7 +296,7 @@
 
   private void close(Generation generation, Attempt attempt) {
     generation.attempts.remove(attempt.number());
-    targets.closed(attempt.target());
+    targets.recordClosed(attempt.target());
     targetFreed.run();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/SuspicionPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/SuspicionPolicy.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.generation;
 
-import org.gatereel.core.target.GapTracker;
+import org.gatereel.core.target.TokenGapEstimator;
 
 /**
  * How long an engine may be silent before a second attempt starts beside the first.
@@ -30,8 +30,8 @@
   }
 
   /** Returns the longest silence between two tokens of an engine, in milliseconds. */
-  long silenceMillis(GapTracker gaps) {
-    long usual = Math.max(floorMillis, (long) gaps.bound(deviations));
+  long silenceMillis(TokenGapEstimator gaps) {
+    long usual = Math.max(floorMillis, (long) gaps.upperBound(deviations));
     return Math.min(ceilingMillis, usual);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -265,9 +265,9 @@
 
   private TargetLoad engineLoad(TargetState target) {
     return new TargetLoad(
-        target.openHere(),
-        target.readingHere(),
-        target.copiesHere(),
+        target.localOpenRequests(),
+        target.localPrefills(),
+        target.localCopies(),
         errorsHere(target),
         lateFailure(target));
   }
@@ -281,7 +281,7 @@
   }
 
   private int errorsHere(TargetState target) {
-    return (int) Math.round(target.errorsHere(context.now()));
+    return (int) Math.round(target.localErrors(context.now()));
   }
 
   private long lateFailure(TargetState target) {
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -187,7 +187,7 @@
   }
 
   private Capacity capacity(ServiceName service) {
-    List<TargetState> listed = targets.listed(service);
+    List<TargetState> listed = targets.notLeaving(service);
     boolean engines =
         listed.stream().anyMatch(target -> target.description().kind() == TargetKind.ENGINE);
     UsualWork known = work.get(service);
@@ -227,14 +227,14 @@
 
   private boolean wasFull(ServiceName service) {
     long since = context.now() - FULL_MILLIS;
-    return targets.listed(service).stream().anyMatch(target -> target.lastFullAt() > since);
+    return targets.notLeaving(service).stream().anyMatch(target -> target.lastRefusalAt() > since);
   }
 
   /** Returns how many prompts engines have to read, of all hosts. */
   private int reading(ServiceName service) {
     int reading = 0;
-    for (TargetState target : targets.listed(service)) {
-      reading += target.readingHere() + loads.othersAt(target.description().id()).reading();
+    for (TargetState target : targets.notLeaving(service)) {
+      reading += target.localPrefills() + loads.othersAt(target.description().id()).reading();
     }
     return reading;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/ListChanges.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetListChanges.java
@@ -12,29 +12,29 @@
  * <p>With a line for each target, lists were 35,234 of the 73,367 lines that 73 hosts wrote in 80
  * s, while a third of 78 targets ended and came back every six seconds and all hosts once.
  */
-final class ListChanges {
+final class TargetListChanges {
   /** Names of each kind that a line shows; their number is always whole. */
   private static final int MOST_NAMES = 32;
 
-  private final List<TargetId> came = new ArrayList<>();
+  private final List<TargetId> added = new ArrayList<>();
   private final List<TargetId> leaving = new ArrayList<>();
-  private final List<TargetId> gone = new ArrayList<>();
+  private final List<TargetId> removed = new ArrayList<>();
 
-  void came(TargetId target) {
-    came.add(target);
+  void added(TargetId target) {
+    added.add(target);
   }
 
   void leaving(TargetId target) {
     leaving.add(target);
   }
 
-  void gone(TargetId target) {
-    gone.add(target);
+  void removed(TargetId target) {
+    removed.add(target);
   }
 
   /** Logs what has changed, if anything has. */
-  void note(CoreContext context, long version, int known) {
-    if (came.isEmpty() && leaving.isEmpty() && gone.isEmpty()) {
+  void log(CoreContext context, long version, int known) {
+    if (added.isEmpty() && leaving.isEmpty() && removed.isEmpty()) {
       return;
     }
     context.note(
@@ -42,9 +42,9 @@
         Long.toString(version),
         "known="
             + known
-            + describe(" came", came)
+            + describe(" came", added)
             + describe(" leaving", leaving)
-            + describe(" gone", gone));
+            + describe(" gone", removed));
   }
 
   private static String describe(String kind, List<TargetId> targets) {
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -52,24 +52,24 @@
   }
 
   /** Takes in the platform's list, unless a later one was seen. */
-  public void see(HostList list) {
+  public void applyList(HostList list) {
     if (list.version() >= listVersion) {
-      ListChanges changes = new ListChanges();
+      TargetListChanges changes = new TargetListChanges();
       dropUnnamed(seeAll(list, changes), changes);
-      changes.note(context, listVersion, targets.size());
+      changes.log(context, listVersion, targets.size());
     }
   }
 
   /** Takes in a list that may lack targets which live: known ones that it does not name stay. */
-  public void seePartial(HostList list) {
+  public void applyPartialList(HostList list) {
     if (list.version() >= listVersion) {
-      ListChanges changes = new ListChanges();
+      TargetListChanges changes = new TargetListChanges();
       seeAll(list, changes);
-      changes.note(context, listVersion, targets.size());
+      changes.log(context, listVersion, targets.size());
     }
   }
 
-  private Set<TargetId> seeAll(HostList list, ListChanges changes) {
+  private Set<TargetId> seeAll(HostList list, TargetListChanges changes) {
     Set<TargetId> named = new HashSet<>();
     for (TargetDescription description : list.targets()) {
       named.add(seeTarget(description, changes));
@@ -79,7 +79,7 @@
   }
 
   /** Takes an entry in; returns the run that now has its name, a later one if it came late. */
-  private TargetId seeTarget(TargetDescription description, ListChanges changes) {
+  private TargetId seeTarget(TargetDescription description, TargetListChanges changes) {
     TargetState known = targets.get(description.id());
     if (known == null) {
       Optional<TargetId> later =
@@ -90,7 +90,7 @@
       supersede(description, changes);
       known = new TargetState(description, context.now());
       targets.put(description.id(), known);
-      changes.came(description.id());
+      changes.added(description.id());
     }
     known.update(description);
     if (description.state() == LifeState.LEAVING || saidToLeave.containsKey(description.id())) {
@@ -103,7 +103,7 @@
    * Gives up the target that had the address of a new one, and the earlier run under its name: they
    * ended, though they may still be listed.
    */
-  private void supersede(TargetDescription successor, ListChanges changes) {
+  private void supersede(TargetDescription successor, TargetListChanges changes) {
     if (listVersion < 0) {
       return;
     }
@@ -116,12 +116,12 @@
     }
   }
 
-  private void dropUnnamed(Set<TargetId> named, ListChanges changes) {
+  private void dropUnnamed(Set<TargetId> named, TargetListChanges changes) {
     for (TargetId id : List.copyOf(targets.keySet())) {
       if (!named.contains(id)) {
         turnAway(id);
         targets.remove(id);
-        changes.gone(id);
+        changes.removed(id);
       }
     }
     long before = context.knowledgeTime() - LEAVING_KEPT_MILLIS;
@@ -130,17 +130,17 @@
         .removeIf(run -> run.getValue() < before && !named.contains(run.getKey()));
   }
 
-  private void leave(TargetId id, ListChanges changes) {
+  private void leave(TargetId id, TargetListChanges changes) {
     if (markLeaving(id)) {
       changes.leaving(id);
     }
   }
 
   /** Marks a target as leaving that no list said so of; returns whether that is news. */
-  public boolean leaving(TargetId id) {
+  public boolean recordLeaving(TargetId id) {
     boolean news = markLeaving(id);
     if (news) {
-      int open = targets.get(id).openHere();
+      int open = targets.get(id).localOpenRequests();
       context.note(EventCode.TARGET_LEAVING, id.toString(), "open here: " + open);
     }
     return news;
@@ -213,11 +213,11 @@
     return known(service).stream()
         .filter(target -> target.description().kind() == TargetKind.PLAIN_SERVICE)
         .filter(target -> !target.description().version().equals(version))
-        .anyMatch(target -> target.openHere() > 0);
+        .anyMatch(target -> target.localOpenRequests() > 0);
   }
 
   /** Returns the targets of a service that are not leaving, those that fail just now too. */
-  public List<TargetState> listed(ServiceName service) {
+  public List<TargetState> notLeaving(ServiceName service) {
     return known(service).stream()
         .filter(target -> !target.isLeaving())
         .filter(target -> table.weight(target.description().dataCentre()) > 0)
@@ -225,8 +225,8 @@
   }
 
   /** Returns the target of a service that has an address now and takes requests. */
-  public Optional<TargetState> at(ServiceName service, Address address) {
-    return listed(service).stream()
+  public Optional<TargetState> findByAddress(ServiceName service, Address address) {
+    return notLeaving(service).stream()
         .filter(target -> target.description().address().equals(address))
         .findFirst();
   }
@@ -246,45 +246,45 @@
   }
 
   /** Notes that a request was opened at a target. */
-  public void opened(TargetState target) {
-    target.opened();
+  public void recordOpened(TargetState target) {
+    target.recordOpened();
   }
 
   /** Notes that a request at a target ended, however it did. */
-  public void closed(TargetState target) {
-    target.closed();
+  public void recordClosed(TargetState target) {
+    target.recordClosed();
   }
 
   /** Notes a sign of life with the load that came with it. */
-  public void answered(TargetState target, int load) {
-    target.reported(load, context.now());
-    answered(target);
+  public void recordResponse(TargetState target, int load) {
+    target.recordLoad(load, context.now());
+    recordResponse(target);
   }
 
   /** Notes a sign of life. */
-  public void answered(TargetState target) {
-    if (target.answered()) {
+  public void recordResponse(TargetState target) {
+    if (target.recordResponse()) {
       context.note(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
     }
   }
 
   /** Notes an answer that is an error. */
-  public void answeredWithError(TargetState target) {
-    target.noteError(context.now());
+  public void recordErrorResponse(TargetState target) {
+    target.recordError(context.now());
   }
 
   /** Notes a failure; a goodbye makes the target a leaving one. */
-  public void failed(TargetState target, TargetFailure failure) {
+  public void recordFailure(TargetState target, TargetFailure failure) {
     TargetId id = target.description().id();
     if (failure.saysLeaving()) {
-      target.noteGone(context.now());
-      leaving(id);
+      target.recordGone(context.now());
+      recordLeaving(id);
       return;
     }
     if (failure == TargetFailure.ERROR) {
-      target.noteError(context.now());
+      target.recordError(context.now());
     }
-    if (target.failed(failure, context.now())) {
+    if (target.recordFailure(failure, context.now())) {
       context.note(EventCode.TARGET_FAILING, id.toString(), failure.name());
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
@@ -15,27 +15,27 @@
   /** An error counts half after this time: longer than an engine that fails now and then pauses. */
   private static final long ERROR_HALF_LIFE_MILLIS = 3_000;
 
-  private final GapTracker gaps = new GapTracker();
+  private final TokenGapEstimator tokenGaps = new TokenGapEstimator();
   private final DecayingCount errors = new DecayingCount(ERROR_HALF_LIFE_MILLIS);
-  private final long seenAt;
+  private final long firstSeenAt;
   private TargetDescription description;
   private boolean leaving;
-  private int openHere;
-  private int copiesHere;
-  private int readingHere;
+  private int localOpenRequests;
+  private int localCopies;
+  private int localPrefills;
   private int reportedLoad;
   private int openAtReport;
   private long reportedAt;
   private long failingUntil;
   private long backoffMillis = FIRST_BACKOFF_MILLIS;
   private boolean failing;
-  private long lastSignAt = Long.MIN_VALUE;
+  private long lastDataAt = Long.MIN_VALUE;
   private long lastFailureAt = Long.MIN_VALUE;
-  private long lastFullAt = Long.MIN_VALUE;
+  private long lastRefusalAt = Long.MIN_VALUE;
 
   TargetState(TargetDescription description, long seenAt) {
     this.description = description;
-    this.seenAt = seenAt;
+    this.firstSeenAt = seenAt;
     this.leaving = description.state() == LifeState.LEAVING;
   }
 
@@ -44,12 +44,12 @@
   }
 
   /** Returns when this host first knew of this run of the target. */
-  public long seenAt() {
-    return seenAt;
+  public long firstSeenAt() {
+    return firstSeenAt;
   }
 
-  public GapTracker gaps() {
-    return gaps;
+  public TokenGapEstimator tokenGaps() {
+    return tokenGaps;
   }
 
   public boolean isLeaving() {
@@ -57,8 +57,8 @@
   }
 
   /** Returns how many requests this host has open at the target. */
-  public int openHere() {
-    return openHere;
+  public int localOpenRequests() {
+    return localOpenRequests;
   }
 
   boolean isUsable(long now) {
@@ -82,46 +82,46 @@
   }
 
   /** Returns how many copies of this host's runs the target holds. */
-  public int copiesHere() {
-    return copiesHere;
+  public int localCopies() {
+    return localCopies;
   }
 
   /** Returns how many prompts of this host's requests the target is probably reading. */
-  public int readingHere() {
-    return readingHere;
+  public int localPrefills() {
+    return localPrefills;
   }
 
   /** Notes that the target begins to read a prompt, or has read it or let it go. */
-  public void noteReading(int change) {
-    readingHere = Math.max(0, readingHere + change);
+  public void adjustPrefills(int change) {
+    localPrefills = Math.max(0, localPrefills + change);
   }
 
   /** Notes that a copy is made at the target, or given up there. */
-  public void noteCopies(int change) {
-    copiesHere = Math.max(0, copiesHere + change);
+  public void adjustCopies(int change) {
+    localCopies = Math.max(0, localCopies + change);
   }
 
-  void opened() {
-    openHere++;
+  void recordOpened() {
+    localOpenRequests++;
   }
 
-  void closed() {
-    openHere = Math.max(0, openHere - 1);
+  void recordClosed() {
+    localOpenRequests = Math.max(0, localOpenRequests - 1);
   }
 
   /** Notes that the target answered with an error, which says nothing of whether it lives. */
-  void noteError(long now) {
+  void recordError(long now) {
     errors.increment(now);
   }
 
   /** Returns how many errors this host got from the target lately; old ones count less. */
-  public double errorsHere(long now) {
+  public double localErrors(long now) {
     return errors.at(now);
   }
 
-  void reported(int load, long now) {
+  void recordLoad(int load, long now) {
     reportedLoad = load;
-    openAtReport = openHere;
+    openAtReport = localOpenRequests;
     reportedAt = now;
   }
 
@@ -134,7 +134,7 @@
   public double estimatedLoad(long now) {
     double others = Math.max(0, reportedLoad - openAtReport);
     double age = (double) (now - reportedAt) / REPORT_HALF_LIFE_MILLIS;
-    return openHere + others * Math.pow(0.5, age);
+    return localOpenRequests + others * Math.pow(0.5, age);
   }
 
   /**
@@ -150,13 +150,13 @@
   }
 
   /** Passes the target over for a while that grows with each failure; returns whether it is new. */
-  boolean failed(TargetFailure failure, long now) {
+  boolean recordFailure(TargetFailure failure, long now) {
     if (failure == TargetFailure.FULL) {
       // The refusal is a load report in itself: others fill the target.
-      reported(description.slots() + openHere, now);
+      recordLoad(description.slots() + localOpenRequests, now);
     }
     if (failure == TargetFailure.FULL || failure == TargetFailure.RESTING) {
-      lastFullAt = now;
+      lastRefusalAt = now;
     }
     if (!failure.isFault()) {
       return false;
@@ -170,23 +170,23 @@
   }
 
   /** Notes that the target said goodbye, or that another one answers at its address. */
-  void noteGone(long now) {
+  void recordGone(long now) {
     lastFailureAt = now;
   }
 
   /** Notes that bytes came from the target. */
-  public void noteSign(long now) {
-    lastSignAt = now;
+  public void recordDataReceived(long now) {
+    lastDataAt = now;
   }
 
   /** Returns when bytes last came from the target. */
-  public long lastSignAt() {
-    return lastSignAt;
+  public long lastDataAt() {
+    return lastDataAt;
   }
 
   /** Returns when the target last answered that it has no room. */
-  public long lastFullAt() {
-    return lastFullAt;
+  public long lastRefusalAt() {
+    return lastRefusalAt;
   }
 
   /** Returns when the target last failed. */
@@ -195,7 +195,7 @@
   }
 
   /** Notes a sign of life; returns whether the target was failing. */
-  boolean answered() {
+  boolean recordResponse() {
     boolean recovered = failing;
     failing = false;
     failingUntil = 0;
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
@@ -77,7 +77,7 @@
   @BeforeEach
   void listEngines() {
     context.moveTo(1_000_000);
-    targets.see(
+    targets.applyList(
         new HostList(
             1,
             List.of(),
@@ -134,9 +134,9 @@
   @Test
   void whatOtherHostsHaveOpenCountsLikeOwnRequests() {
     othersHave(Map.of("n1", open(2)));
-    targets.opened(target("n2"));
-    targets.opened(target("n2"));
-    targets.opened(target("n2"));
+    targets.recordOpened(target("n2"));
+    targets.recordOpened(target("n2"));
+    targets.recordOpened(target("n2"));
 
     // Three of one's own there, two of others' here, and one hop to an engine without any.
     assertEquals("s1", chosen());
@@ -157,7 +157,7 @@
   @Test
   void anEngineThatReadsAPromptIsPassedOverForOneThatRunsAsMuch() {
     othersHave(Map.of("n1", new TargetLoad(1, 1, 0, 0, TargetLoad.NEVER), "n2", open(1)));
-    targets.opened(target("s1"));
+    targets.recordOpened(target("s1"));
 
     assertEquals("n2", chosen());
   }
@@ -177,14 +177,14 @@
   void aSignSinceThenOutweighsWhatOthersSaw() {
     othersHave(
         Map.of("n1", new TargetLoad(0, 0, 0, 0, context.now() - 10), "n2", open(1), "s1", open(1)));
-    target("n1").noteSign(context.now());
+    target("n1").recordDataReceived(context.now());
 
     assertEquals("n1", chosen());
   }
 
   @Test
   void aDataCentreWhereMostFailedElsewhereIsAvoided() {
-    targets.see(
+    targets.applyList(
         new HostList(
             2,
             List.of(),
@@ -202,7 +202,7 @@
   /** All engines of a data centre end together; what others had there is no sign of life since. */
   @Test
   void aFailureOutweighsWhatOthersWereKnownToRunBesideIt() {
-    targets.failed(target("n1"), TargetFailure.RESET);
+    targets.recordFailure(target("n1"), TargetFailure.RESET);
     othersHave(Map.of("n2", open(1), "s1", open(3)));
     assertEquals("s1", otherThan("n1"));
 
@@ -213,8 +213,8 @@
 
   @Test
   void anEngineThatFailedHereIsTheLastResort() {
-    targets.failed(target("n1"), TargetFailure.TIMEOUT);
-    targets.failed(target("n2"), TargetFailure.TIMEOUT);
+    targets.recordFailure(target("n1"), TargetFailure.TIMEOUT);
+    targets.recordFailure(target("n2"), TargetFailure.TIMEOUT);
     othersHave(Map.of("s1", open(FITTING + 5)));
 
     assertEquals("s1", chosen());
@@ -239,7 +239,7 @@
       many.add(engine("m" + index, "north"));
       told.put("m" + index, open(index == 0 ? 0 : 1));
     }
-    targets.see(new HostList(3, List.of(), many));
+    targets.applyList(new HostList(3, List.of(), many));
     othersHave(told);
     int rounds = 400;
     long idle = IntStream.range(0, rounds).filter(round -> chosen().equals("m0")).count();
@@ -265,9 +265,9 @@
     hosts = 90;
     partOfTheIdleOne();
     for (int index = 1; index < 40; index++) {
-      targets.failed(target("m" + index), TargetFailure.TIMEOUT);
+      targets.recordFailure(target("m" + index), TargetFailure.TIMEOUT);
     }
-    target("m0").noteSign(context.now());
+    target("m0").recordDataReceived(context.now());
 
     assertEquals("m0", chosen());
   }
@@ -285,7 +285,7 @@
 
   @Test
   void anEngineThatAnsweredThisHostWithErrorsComesBackWithTime() {
-    targets.answeredWithError(target("n1"));
+    targets.recordErrorResponse(target("n1"));
     othersHave(Map.of("n2", open(2), "s1", open(2)));
     assertEquals("n2", chosen());
 
@@ -298,8 +298,8 @@
   @Test
   void errorsThatAllTargetsGiveAreNoReason() {
     othersHave(Map.of("n1", errors(5), "n2", errors(4), "s1", errors(4)));
-    targets.opened(target("n2"));
-    targets.opened(target("s1"));
+    targets.recordOpened(target("n2"));
+    targets.recordOpened(target("s1"));
 
     assertEquals("n1", chosen());
   }
@@ -307,8 +307,8 @@
   @Test
   void theOneThatGivesFarMoreErrorsThanAllGiveStandsOut() {
     othersHave(Map.of("n1", errors(14), "n2", errors(4), "s1", errors(4)));
-    targets.opened(target("n2"));
-    targets.opened(target("s1"));
+    targets.recordOpened(target("n2"));
+    targets.recordOpened(target("s1"));
 
     assertEquals("n2", chosen());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
@@ -45,7 +45,7 @@
 
   private void failed(String name) {
     TargetState target = world.targets.find(new TargetId(name)).orElseThrow();
-    world.targets.failed(target, TargetFailure.NOT_CONNECTED);
+    world.targets.recordFailure(target, TargetFailure.NOT_CONNECTED);
   }
 
   @Test
@@ -62,7 +62,7 @@
   @Test
   void aTargetThatIsListedAsLeavingCastsNone() {
     list(8, 8);
-    world.targets.leaving(new TargetId("n0"));
+    world.targets.recordLeaving(new TargetId("n0"));
 
     assertEquals("n", askAnew().target().substring(0, 1));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -348,7 +348,7 @@
   }
 
   void list(TargetDescription... descriptions) {
-    targets.see(new HostList(listVersion++, List.of(), List.of(descriptions)));
+    targets.applyList(new HostList(listVersion++, List.of(), List.of(descriptions)));
   }
 
   Optional<Exchange> ask(String path, Caller caller) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -253,7 +253,7 @@
     }
     int before = world.sent.size();
     world.pass(5);
-    world.targets.leaving(new TargetId("c1"));
+    world.targets.recordLeaving(new TargetId("c1"));
 
     answer(ONE);
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
@@ -60,7 +60,7 @@
   void failuresOfARunDoNotKeepTheNextOneOut() {
     world.list(run("e1", FIRST, "north"));
     for (int failure = 0; failure < 6; failure++) {
-      world.targets.failed(
+      world.targets.recordFailure(
           world.targets.find(new TargetId("e1", FIRST)).orElseThrow(), TargetFailure.NOT_CONNECTED);
     }
 
@@ -92,7 +92,7 @@
   void theNextRunEndsTheOneBeforeAlsoWhereTheListMayLackTargets() {
     world.list(run("e1", FIRST, "north"));
 
-    world.targets.seePartial(new HostList(9, List.of(), List.of(run("e1", SECOND, "north"))));
+    world.targets.applyPartialList(new HostList(9, List.of(), List.of(run("e1", SECOND, "north"))));
 
     assertFalse(isUsable(FIRST));
     assertTrue(isUsable(SECOND));
@@ -186,7 +186,7 @@
     assertEquals(1, world.sent.size());
     assertEquals(
         1,
-        world.targets.find(world.last().dispatch.target().id()).orElseThrow().readingHere(),
+        world.targets.find(world.last().dispatch.target().id()).orElseThrow().localPrefills(),
         "the prompt is read anew, wherever the stream went");
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -53,7 +53,7 @@
     }
     HostList list = new HostList(world.context.now(), List.of(), targets);
     world.rollouts.learnTargets(list);
-    world.targets.see(list);
+    world.targets.applyList(list);
   }
 
   private void order(ServiceName service, RolloutState state) {
@@ -225,7 +225,7 @@
                   target("new1", ForwardWorld.COUNTERS, "v2"),
                   target("new2", ForwardWorld.COUNTERS, "v3")));
       fresh.rollouts.learnTargets(list);
-      fresh.targets.see(list);
+      fresh.targets.applyList(list);
       long now = fresh.context.now();
       fresh.rollouts.learnOrders(
           List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION, 5)), now);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -250,7 +250,7 @@
   void aRequestThatWaitsForItsConnectionGoesElsewhere() {
     world.ask("/safe/x", caller);
     SentCall waiting = world.last();
-    world.targets.leaving(new TargetId(waiting.target()));
+    world.targets.recordLeaving(new TargetId(waiting.target()));
 
     assertFalse(waiting.listener.mayBeSent());
     waiting.listener.failed(TargetFailure.WITHDRAWN);
@@ -275,7 +275,7 @@
             .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.targets.leaving(holder.id());
+    world.targets.recordLeaving(holder.id());
 
     world.fail(run, TargetFailure.RESET);
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -230,7 +230,7 @@
   private void loseHolderOf(ForwardWorld.SentCall call) {
     Address holder = call.dispatch.copyTo().orElseThrow();
     world.restart(
-        world.targets.at(ForwardWorld.ENGINES, holder).orElseThrow().description().id().value(),
+        world.targets.findByAddress(ForwardWorld.ENGINES, holder).orElseThrow().description().id().value(),
         "e9");
   }
 
@@ -244,7 +244,7 @@
       String heldAt =
           world
               .targets
-              .at(ForwardWorld.ENGINES, holder)
+              .findByAddress(ForwardWorld.ENGINES, holder)
               .orElseThrow()
               .description()
               .dataCentre()
@@ -276,7 +276,7 @@
   /** Has others tell that engines have more prompts to read than callers want to wait for. */
   private void overload() {
     Map<TargetId, TargetLoad> told = new HashMap<>();
-    for (TargetState target : world.targets.listed(ForwardWorld.ENGINES)) {
+    for (TargetState target : world.targets.notLeaving(ForwardWorld.ENGINES)) {
       told.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
     }
     DemandKey asking = new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListKeeperTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListKeeperTest.java
@@ -43,7 +43,7 @@
   }
 
   private Set<String> usable() {
-    return registry.listed(ENGINES).stream()
+    return registry.notLeaving(ENGINES).stream()
         .map(target -> target.description().id().value())
         .collect(Collectors.toSet());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/generation/SuspicionPolicyTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/generation/SuspicionPolicyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Random;
-import org.gatereel.core.target.GapTracker;
+import org.gatereel.core.target.TokenGapEstimator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -24,33 +24,33 @@
   @EnumSource(SuspicionPolicy.class)
   void aLiveEngineWithAHeavyTailIsNeverSuspected(SuspicionPolicy policy) {
     Random random = new Random(SEED);
-    GapTracker gaps = new GapTracker();
+    TokenGapEstimator gaps = new TokenGapEstimator();
     int suspected = 0;
     for (int number = 0; number < GAPS; number++) {
       long gap = gap(random);
       suspected += gap >= policy.silenceMillis(gaps) ? 1 : 0;
-      gaps.add(gap);
+      gaps.addGap(gap);
     }
     assertEquals(0, suspected);
   }
 
   @Test
   void anEngineThatWasFrozenIsNotGivenSecondsFromThenOn() {
-    GapTracker gaps = new GapTracker();
+    TokenGapEstimator gaps = new TokenGapEstimator();
     for (int number = 0; number < 1_000; number++) {
-      gaps.add((long) MEDIAN_MILLIS);
+      gaps.addGap((long) MEDIAN_MILLIS);
     }
     long before = SuspicionPolicy.THRIFTY.silenceMillis(gaps);
-    gaps.add(7_000);
+    gaps.addGap(7_000);
     assertEquals(before, SuspicionPolicy.THRIFTY.silenceMillis(gaps));
   }
 
   @Test
   void aFrozenEngineIsSuspectedWithinASecondByTheEagerPolicy() {
     Random random = new Random(SEED);
-    GapTracker gaps = new GapTracker();
+    TokenGapEstimator gaps = new TokenGapEstimator();
     for (int number = 0; number < GAPS; number++) {
-      gaps.add(gap(random));
+      gaps.addGap(gap(random));
     }
     assertTrue(SuspicionPolicy.EAGER.silenceMillis(gaps) < 1_000);
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
@@ -55,7 +55,7 @@
   void aFailureThatOneHostSawIsToldWithItsTime() {
     LoadWorld world = settled();
     LoadWorld.Host witness = world.member("north");
-    witness.targets.failed(witness.engineState(), TargetFailure.TIMEOUT);
+    witness.targets.recordFailure(witness.engineState(), TargetFailure.TIMEOUT);
     long failedAt = witness.context.now();
     witness.loads.changed();
     world.pass(TOLD_MILLIS);
--- a/gatereel-core/src/test/java/org/gatereel/core/target/ListChangesTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/target/TargetListChangesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the log tells of the platform's lists. */
-class ListChangesTest {
+class TargetListChangesTest {
   private final CoreContext context =
       new CoreContext(new HostId("h"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetRegistry targets = new TargetRegistry(context, new PolicyTable());
@@ -40,7 +40,7 @@
   }
 
   private List<String> linesOf(TargetDescription... listed) {
-    targets.see(new HostList(++version, List.of(), List.of(listed)));
+    targets.applyList(new HostList(++version, List.of(), List.of(listed)));
     return context.takeActions().stream()
         .filter(Action.Note.class::isInstance)
         .map(Action.Note.class::cast)
@@ -82,7 +82,7 @@
   @Test
   void aTargetThatSaidItselfThatItLeavesIsNotToldAgain() {
     linesOf(target(1, LifeState.LIVE));
-    targets.leaving(new TargetId("e1"));
+    targets.recordLeaving(new TargetId("e1"));
     context.takeActions();
 
     assertEquals(List.of(), linesOf(target(1, LifeState.LEAVING)));
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -110,13 +110,13 @@
           for (int reading = 0; reading < 3; reading++) {
             directory.learn(hosts, context.now());
           }
-          targets.see(list);
+          targets.applyList(list);
           loads.start();
         });
   }
 
   void see(HostList list) {
-    step(() -> targets.see(list));
+    step(() -> targets.applyList(list));
   }
 
   /** Takes a request of a caller. */
