--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -10,10 +10,10 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenIssuer;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.limit.TargetLimits;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.model.ServiceName;
@@ -30,7 +30,7 @@
 import org.gatereel.core.target.TargetState;
 
 /** Forwards requests of callers to targets; the decisions, without any input or output. */
-public final class Forwarder implements Lender {
+public final class Forwarder implements TokenIssuer {
   private final CoreContext context;
   private final TargetRegistry targets;
   private final ConfigurationKeeper configuration;
@@ -69,7 +69,7 @@
       TargetPort port,
       ForwardObserver observer,
       HostDirectory directory,
-      LoanPort loans,
+      TokenPort loans,
       LoadExchange loads,
       RolloutControl rollouts,
       PoisonControl poison) {
@@ -83,7 +83,7 @@
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
     this.limits = new TargetLimits(context, facts, directory, loans);
     this.rests = new Rests(context, facts);
-    this.statements = new StatementIntake(context, facts, limits.book(), rests);
+    this.statements = new StatementIntake(context, facts, limits.announced(), rests);
     this.port = new ListeningPort(context, port, statements);
     this.selector = new TargetSelector(context, targets, loads, directory, rests::restsElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
@@ -92,7 +92,7 @@
     this.poison = poison;
     this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
+        new OverloadControl(context, targets, loads, limits.announced()::perSecond, rests::isResting);
     loads.exchangeTargetFacts(facts);
     facts.onNews(this::hear);
     poison.onHeld(this::hold);
@@ -208,11 +208,11 @@
   }
 
   @Override
-  public void lend(LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
-    if (subject instanceof LoanSubject.Requests requests) {
-      limits.lend(requests, count, answer);
-    } else if (subject instanceof LoanSubject.Repeats repeats) {
-      answer.accept(Optional.of(new Loan(lendRepeats(repeats.service(), count), 0)));
+  public void issue(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
+    if (subject instanceof TokenRequest.LimitTokens requests) {
+      limits.issue(requests, count, answer);
+    } else if (subject instanceof TokenRequest.RetryTokens repeats) {
+      answer.accept(Optional.of(new TokenGrant(lendRepeats(repeats.service(), count), 0)));
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -13,7 +13,7 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.internal.Rendezvous;
-import org.gatereel.core.limit.LenderDirectory;
+import org.gatereel.core.limit.IssuerDirectory;
 import org.gatereel.core.load.GathererDirectory;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -25,7 +25,7 @@
  * dealt out or lent, and hosts ask each other for documents. An entry is written anew once a
  * minute; one that is not is soon counted no longer, and later removed by whoever writes next.
  */
-public final class HostDirectory implements GathererDirectory, HostCount, LenderDirectory {
+public final class HostDirectory implements GathererDirectory, HostCount, IssuerDirectory {
   /** Assumed until all hosts of a deployment that starts at once have had time to write. */
   private static final int LEAST_AT_START = 16;
 
@@ -162,7 +162,7 @@
 
   /** Returns how many hosts there probably are, this one included; at least one. */
   @Override
-  public int hosts() {
+  public int estimatedHosts() {
     int least = readings < SETTLED_READINGS ? LEAST_AT_START : 1;
     return Math.max(least, counted.size());
   }
@@ -222,7 +222,7 @@
   }
 
   @Override
-  public List<Address> lenders(DataCentre dataCentre, String key) {
+  public List<Address> rankedIssuers(DataCentre dataCentre, String key) {
     List<Entry> all = new ArrayList<>(counted);
     if (all.stream().noneMatch(entry -> entry.address().equals(address))) {
       all.add(new Entry(self, context.dataCentre(), address, 0));
@@ -230,13 +230,13 @@
     Map<Boolean, List<Entry>> byPlace =
         Rendezvous.rank(key, all, Entry::host).stream()
             .collect(Collectors.partitioningBy(entry -> entry.dataCentre().equals(dataCentre)));
-    return LenderDirectory.order(byPlace.get(true), byPlace.get(false)).stream()
+    return IssuerDirectory.order(byPlace.get(true), byPlace.get(false)).stream()
         .map(Entry::address)
         .toList();
   }
 
   @Override
-  public long changes() {
+  public long version() {
     return changes;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -114,7 +114,7 @@
     TargetState target = choice.target();
     forwarder
         .limits()
-        .take(
+        .acquire(
             target.description().id(),
             target.description().dataCentre(),
             exchange.isUnderWay(),
@@ -133,7 +133,7 @@
       return;
     }
     if (granted) {
-      forwarder.limits().giveBack(place.target().description().id());
+      forwarder.limits().release(place.target().description().id());
     }
     if (exchange.isOver()) {
       return;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
-import org.gatereel.core.limit.WaitingGroup;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
+import org.gatereel.core.limit.TokenWaiters;
 import org.gatereel.core.model.ServiceName;
 
 /**
@@ -31,7 +31,7 @@
   private final CoreContext context;
   private final ForwardPolicy.RetryLimit limit;
   private final HostDirectory directory;
-  private final LoanPort port;
+  private final TokenPort port;
   private final Map<ServiceName, Budget> budgets = new HashMap<>();
 
   /** What this host knows of one service's budget. */
@@ -39,7 +39,7 @@
     private final ServiceName service;
     private final RetryWindow own;
     private final RetryWindow lent;
-    private final WaitingGroup waiting = new WaitingGroup();
+    private final TokenWaiters waiting = new TokenWaiters();
 
     private Budget(ServiceName service) {
       this.service = service;
@@ -48,7 +48,7 @@
     }
 
     private boolean takeOwn() {
-      double slack = (1 - LENT_PART) * MARGIN * limit.slack() / directory.hosts();
+      double slack = (1 - LENT_PART) * MARGIN * limit.slack() / directory.estimatedHosts();
       if (!own.hasRoom(context.now(), MARGIN * limit.ratio(), slack)) {
         return false;
       }
@@ -57,7 +57,7 @@
     }
 
     private int lend(int count) {
-      double part = (double) directory.localHosts() / directory.hosts();
+      double part = (double) directory.localHosts() / directory.estimatedHosts();
       double slack = LENT_PART * MARGIN * limit.slack() * part;
       int lending = 0;
       while (lending < count && lent.hasRoom(context.now(), 0, slack)) {
@@ -69,7 +69,7 @@
 
     /** Asks for as many repeats as are waited for, unless an answer is still to come. */
     private void borrow() {
-      int count = waiting.begin();
+      int count = waiting.startBatch();
       if (count == 0) {
         return;
       }
@@ -77,22 +77,22 @@
           .lender(context.now())
           .ifPresentOrElse(
               lender ->
-                  port.borrow(
+                  port.requestTokens(
                       lender,
-                      new LoanSubject.Repeats(service),
+                      new TokenRequest.RetryTokens(service),
                       count,
-                      loan -> borrowed(count, loan.orElse(Loan.NONE).granted())),
+                      loan -> borrowed(count, loan.orElse(TokenGrant.NONE).granted())),
               () -> borrowed(count, lend(count)));
     }
 
     private void borrowed(int asked, int given) {
-      waiting.settle(asked, given);
+      waiting.completeBatch(asked, given);
       borrow();
     }
   }
 
   RetryBudgets(
-      CoreContext context, ForwardPolicy.RetryLimit limit, HostDirectory directory, LoanPort port) {
+      CoreContext context, ForwardPolicy.RetryLimit limit, HostDirectory directory, TokenPort port) {
     this.context = context;
     this.limit = limit;
     this.directory = directory;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.LimitBook;
+import org.gatereel.core.limit.AnnouncedLimits;
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.rest.Rests;
@@ -25,13 +25,13 @@
 
   private final CoreContext context;
   private final TargetFacts facts;
-  private final LimitBook limits;
+  private final AnnouncedLimits limits;
   private final Rests rests;
   private final UnknownHeaders unknown;
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
-  StatementIntake(CoreContext context, TargetFacts facts, LimitBook limits, Rests rests) {
+  StatementIntake(CoreContext context, TargetFacts facts, AnnouncedLimits limits, Rests rests) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
@@ -60,7 +60,7 @@
     noteUnreadable(id, FactKind.LIMIT, said.limit());
     noteUnreadable(id, FactKind.LEAVING, said.leaving());
     noteUnreadable(id, FactKind.REST, said.restMillis());
-    said.limit().said().ifPresent(limit -> limits.hear(id, limit, sentAt));
+    said.limit().said().ifPresent(limit -> limits.observe(id, limit, sentAt));
     if (said.saysLeaving()) {
       facts.hear(new LeavingFact(id, context.now()));
     }
@@ -76,7 +76,7 @@
     }
     Statements said = head.statements();
     if (said.limit().equals(Statement.none())) {
-      limits.hearNone(target, sentAt);
+      limits.observeNone(target, sentAt);
     }
     boolean leftBefore =
         facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.since()).isPresent();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -122,8 +122,8 @@
 
   private Set<TargetId> withoutTokens(boolean urgent) {
     return passesOverLimited
-        ? forwarder.limits().book().limited()
-        : forwarder.limits().spent(urgent);
+        ? forwarder.limits().announced().limitedTargets()
+        : forwarder.limits().exhausted(urgent);
   }
 
   /** Returns whether targets would do that have no token for now. */
@@ -201,7 +201,7 @@
       // The copy is not there; that says nothing of the target's load.
       tried.remove(from.target().description().id());
     } else if (failure == TargetFailure.WITHDRAWN) {
-      forwarder.limits().giveBack(from.target().description().id());
+      forwarder.limits().release(from.target().description().id());
     } else {
       forwarder.targets().recordFailure(from.target(), failure);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitBook.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
@@ -19,7 +19,7 @@
  * once. A higher one, or none, holds only if it answers a request that was sent after the present
  * one was known: answers overtake each other, and an older one must not lift it.
  */
-public final class LimitBook {
+public final class AnnouncedLimits {
   /**
    * A target that takes nothing for now is asked again each ten seconds, since only its answers
    * tell when it takes more; less than one in a second harms none.
@@ -30,7 +30,7 @@
   private final TargetFacts facts;
 
   /** Makes a view on the limits among what targets have said. */
-  public LimitBook(CoreContext context, TargetFacts facts) {
+  public AnnouncedLimits(CoreContext context, TargetFacts facts) {
     this.context = context;
     this.facts = facts;
   }
@@ -64,7 +64,7 @@
   }
 
   /** Returns the targets that have a limit now. */
-  public Set<TargetId> limited() {
+  public Set<TargetId> limitedTargets() {
     return inForce().map(LimitFact::target).collect(Collectors.toSet());
   }
 
@@ -78,7 +78,7 @@
    *
    * @param sentAt when the request was sent that is answered, in milliseconds
    */
-  public void hear(TargetId target, double perSecond, long sentAt) {
+  public void observe(TargetId target, double perSecond, long sentAt) {
     Optional<AnnouncedLimit> known = known(target);
     boolean lower = known.isEmpty() || perSecond < known.get().perSecond();
     if (lower || sentAt > known.get().since()) {
@@ -91,14 +91,14 @@
    *
    * @param sentAt when the request was sent that is answered, in milliseconds
    */
-  public void hearNone(TargetId target, long sentAt) {
+  public void observeNone(TargetId target, long sentAt) {
     if (known(target).isPresent()) {
-      hear(target, Double.POSITIVE_INFINITY, sentAt);
+      observe(target, Double.POSITIVE_INFINITY, sentAt);
     }
   }
 
   /** Takes in what another host says of a target's limit. */
-  void learn(LimitFact fact) {
+  void merge(LimitFact fact) {
     facts.learn(List.of(fact));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LenderRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
@@ -11,7 +11,7 @@
 import org.gatereel.core.model.TargetId;
 
 /** Ranks hosts as lenders of requests to a target; those that did not answer are passed over. */
-final class LenderRanking {
+final class IssuerRanking {
   /**
    * How long a host that did not answer is passed over. As long two hosts may lend for one target,
    * which adds as much as the limit allows in this time.
@@ -22,18 +22,18 @@
   private static final int MOST_KEPT = 1_000;
 
   private final CoreContext context;
-  private final LenderDirectory directory;
+  private final IssuerDirectory directory;
   private final Map<Address, Long> passedOverUntil = new HashMap<>();
   private final Map<TargetId, List<Address>> ranks = new HashMap<>();
   private long ranksOf = -1;
 
-  LenderRanking(CoreContext context, LenderDirectory directory) {
+  IssuerRanking(CoreContext context, IssuerDirectory directory) {
     this.context = context;
     this.directory = directory;
   }
 
   /** Returns the host that lends requests to a target; empty if that is this one. */
-  Optional<Address> first(TargetId target, DataCentre dataCentre) {
+  Optional<Address> issuerFor(TargetId target, DataCentre dataCentre) {
     return ranked(target, dataCentre).stream()
         .filter(host -> isSelf(host) || !isPassedOver(host))
         .findFirst()
@@ -41,24 +41,24 @@
   }
 
   /** Returns the host that lends in this one's place; empty if there is none. */
-  Optional<Address> firstOther(TargetId target, DataCentre dataCentre) {
+  Optional<Address> otherIssuerFor(TargetId target, DataCentre dataCentre) {
     return ranked(target, dataCentre).stream()
         .filter(host -> !isSelf(host) && !isPassedOver(host))
         .findFirst();
   }
 
   /** Returns among how many hosts a limit is to be divided by one that knows of no other. */
-  int unknownHosts() {
+  int limitDivisor() {
     boolean knowsOthers = ranks.values().stream().anyMatch(hosts -> hosts.size() > 1);
-    return knowsOthers ? 1 : directory.hosts();
+    return knowsOthers ? 1 : directory.estimatedHosts();
   }
 
   private List<Address> ranked(TargetId target, DataCentre dataCentre) {
-    if (ranksOf != directory.changes() || ranks.size() > MOST_KEPT) {
+    if (ranksOf != directory.version() || ranks.size() > MOST_KEPT) {
       ranks.clear();
-      ranksOf = directory.changes();
+      ranksOf = directory.version();
     }
-    return ranks.computeIfAbsent(target, any -> directory.lenders(dataCentre, target.toString()));
+    return ranks.computeIfAbsent(target, any -> directory.rankedIssuers(dataCentre, target.toString()));
   }
 
   private boolean isSelf(Address host) {
@@ -70,7 +70,7 @@
   }
 
   /** Passes a host over for a while, because it did not answer a question about a target. */
-  void passOver(Address host, TargetId asked) {
+  void markUnresponsive(Address host, TargetId asked) {
     context.note(EventCode.LIMIT_LENDER_SILENT, asked.toString(), "host=" + host);
     passedOverUntil.values().removeIf(until -> until <= context.now());
     passedOverUntil.put(host, context.now() + PASSED_OVER_MILLIS);
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/RequestTokens.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
@@ -24,7 +24,7 @@
  * <p>Requests for one target that wait at the same time are asked for together. A target that has
  * none left is passed over until its lender expects one.
  */
-public final class RequestTokens {
+public final class LimitTokenClient {
   /**
    * How long a target is passed over for which no lender answered: most of them are where it is, so
    * that it is probably out of reach too. As long they are not asked for other targets either.
@@ -32,7 +32,7 @@
   private static final long UNANSWERED_MILLIS = 1_000;
 
   /** Those beside the target, and the first elsewhere; more would let the request wait too long. */
-  private static final int MOST_LENDERS = LenderDirectory.FIRST_HERE + 1;
+  private static final int MOST_LENDERS = IssuerDirectory.LOCAL_HOSTS_FIRST + 1;
 
   /** A token that a request did not use serves the next one for so long, and then is let go. */
   private static final long SPARE_MILLIS = 500;
@@ -41,10 +41,10 @@
   private static final long LOG_MILLIS = 1_000;
 
   private final CoreContext context;
-  private final LimitBook book;
-  private final LenderRanking ranking;
-  private final LoanPort port;
-  private final TokenLender lender;
+  private final AnnouncedLimits book;
+  private final IssuerRanking ranking;
+  private final TokenPort port;
+  private final LimitTokenIssuer lender;
   private final Map<TargetId, Purse> purses = new HashMap<>();
   private long granted;
   private long denied;
@@ -60,7 +60,7 @@
   /** What this host has of one target's tokens, and who waits for some. */
   private final class Purse {
     private final TargetId target;
-    private final Map<Urgency, WaitingGroup> waiting = new EnumMap<>(Urgency.class);
+    private final Map<Urgency, TokenWaiters> waiting = new EnumMap<>(Urgency.class);
     private final Map<Urgency, Long> spentUntil = new EnumMap<>(Urgency.class);
     private final Queue<Long> spares = new ArrayDeque<>();
     private DataCentre dataCentre;
@@ -70,7 +70,7 @@
     private Purse(TargetId target) {
       this.target = target;
       for (Urgency each : Urgency.values()) {
-        waiting.put(each, new WaitingGroup());
+        waiting.put(each, new TokenWaiters());
       }
     }
 
@@ -91,28 +91,28 @@
     }
 
     private void ask(Urgency urgency) {
-      int count = waiting.get(urgency).begin();
+      int count = waiting.get(urgency).startBatch();
       if (count == 0) {
         return;
       }
       Optional<AnnouncedLimit> limit = book.find(target);
       if (limit.isEmpty()) {
-        lent(urgency, count, new Loan(count, 0));
+        lent(urgency, count, new TokenGrant(count, 0));
         return;
       }
-      LoanSubject.Requests asked =
-          new LoanSubject.Requests(
+      TokenRequest.LimitTokens asked =
+          new TokenRequest.LimitTokens(
               new LimitFact(target, limit.get()), dataCentre, urgency == Urgency.URGENT, false);
       ask(asked, count, 1, loan -> lent(urgency, count, loan));
     }
 
-    private void ask(LoanSubject.Requests asked, int count, int number, Consumer<Loan> answer) {
-      Optional<Address> host = ranking.first(target, dataCentre);
+    private void ask(TokenRequest.LimitTokens asked, int count, int number, Consumer<TokenGrant> answer) {
+      Optional<Address> host = ranking.issuerFor(target, dataCentre);
       if (host.isEmpty()) {
-        lender.lend(asked, count, loan -> answer.accept(loan.orElse(Loan.NONE)));
+        lender.issue(asked, count, loan -> answer.accept(loan.orElse(TokenGrant.NONE)));
         return;
       }
-      port.borrow(
+      port.requestTokens(
           host.get(),
           asked,
           count,
@@ -121,25 +121,25 @@
               answer.accept(loan.get());
               return;
             }
-            ranking.passOver(host.get(), target);
+            ranking.markUnresponsive(host.get(), target);
             if (number < MOST_LENDERS) {
               ask(asked, count, number + 1, answer);
             } else {
-              answer.accept(Loan.NONE);
+              answer.accept(TokenGrant.NONE);
             }
           });
     }
 
-    private void lent(Urgency urgency, int count, Loan loan) {
+    private void lent(Urgency urgency, int count, TokenGrant loan) {
       int served = Math.min(count, loan.granted());
       if (served < count) {
-        long again = loan.againMillis() > 0 ? loan.againMillis() : UNANSWERED_MILLIS;
+        long again = loan.retryAfterMillis() > 0 ? loan.retryAfterMillis() : UNANSWERED_MILLIS;
         spentUntil.put(urgency, context.now() + again);
         noteDenied(count - served, again);
       }
       granted += served;
       denied += count - served;
-      waiting.get(urgency).settle(count, served);
+      waiting.get(urgency).completeBatch(count, served);
       ask(urgency);
     }
 
@@ -166,12 +166,12 @@
     }
   }
 
-  RequestTokens(
+  LimitTokenClient(
       CoreContext context,
-      LimitBook book,
-      LenderRanking ranking,
-      LoanPort port,
-      TokenLender lender) {
+      AnnouncedLimits book,
+      IssuerRanking ranking,
+      TokenPort port,
+      LimitTokenIssuer lender) {
     this.context = context;
     this.book = book;
     this.ranking = ranking;
@@ -185,7 +185,7 @@
    * @param urgent whether it goes on with a stream that its caller has part of
    * @param answer is told once, at once or later, whether the request may be sent
    */
-  void take(TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> answer) {
+  void acquire(TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> answer) {
     if (book.find(target).isEmpty()) {
       answer.accept(true);
       return;
@@ -196,7 +196,7 @@
   }
 
   /** Takes a token back that a request has not used; the next one at this host has it. */
-  void giveBack(TargetId target) {
+  void release(TargetId target) {
     Purse purse = purses.get(target);
     if (purse != null) {
       purse.spares.add(context.now() + SPARE_MILLIS);
@@ -204,7 +204,7 @@
   }
 
   /** Returns the targets for which no token is to be had just now. */
-  Set<TargetId> spent(boolean urgent) {
+  Set<TargetId> exhausted(boolean urgent) {
     if (purses.isEmpty()) {
       return Set.of();
     }
@@ -222,7 +222,7 @@
 
   private boolean isIdle(TargetId target) {
     Purse purse = purses.get(target);
-    return purse.waiting.values().stream().allMatch(WaitingGroup::isEmpty);
+    return purse.waiting.values().stream().allMatch(TokenWaiters::isEmpty);
   }
 
   long granted() {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenLender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
@@ -15,12 +15,12 @@
  * a host that is asked though another one ranks before it asks that one in turn, and lends itself
  * only if it gets no answer.
  */
-final class TokenLender {
+final class LimitTokenIssuer {
   /**
    * All hosts know of one that has started after 8 s, in which they read each other's entries; so
    * long it leaves lending to those that were there before.
    */
-  static final long YOUNG_MILLIS = 10_000;
+  static final long STARTUP_PERIOD_MILLIS = 10_000;
 
   /**
    * What a young host lends of a limit if no other lends: two of them, which do not know of each
@@ -41,9 +41,9 @@
   private static final long UNUSED_MILLIS = 60_000;
 
   private final CoreContext context;
-  private final LimitBook book;
-  private final LenderRanking ranking;
-  private final LoanPort port;
+  private final AnnouncedLimits book;
+  private final IssuerRanking ranking;
+  private final TokenPort port;
   private final long startedAt;
   private final Map<TargetId, Bucket> buckets = new HashMap<>();
   private long tidiedAt;
@@ -57,7 +57,7 @@
     }
   }
 
-  TokenLender(CoreContext context, LimitBook book, LenderRanking ranking, LoanPort port) {
+  LimitTokenIssuer(CoreContext context, AnnouncedLimits book, IssuerRanking ranking, TokenPort port) {
     this.context = context;
     this.book = book;
     this.ranking = ranking;
@@ -70,54 +70,54 @@
    *
    * @param answer is told once, at once or later; empty if another host is to lend
    */
-  void lend(LoanSubject.Requests asked, int count, Consumer<Optional<Loan>> answer) {
-    book.learn(asked.limit());
-    if (asked.passedOn()) {
+  void issue(TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
+    book.merge(asked.limit());
+    if (asked.forwarded()) {
       answer.accept(isYoung() ? Optional.empty() : Optional.of(lendHere(asked, count)));
       return;
     }
     TargetId target = asked.limit().target();
     Optional<Address> other =
         isYoung()
-            ? ranking.firstOther(target, asked.dataCentre())
-            : ranking.first(target, asked.dataCentre());
+            ? ranking.otherIssuerFor(target, asked.dataCentre())
+            : ranking.issuerFor(target, asked.dataCentre());
     other.ifPresentOrElse(
         host ->
-            port.borrow(
+            port.requestTokens(
                 host,
-                asked.passOn(),
+                asked.asForwarded(),
                 count,
                 loan -> answer.accept(orHere(host, loan, asked, count))),
         () -> answer.accept(Optional.of(lendHere(asked, count))));
   }
 
-  private Optional<Loan> orHere(
-      Address host, Optional<Loan> loan, LoanSubject.Requests asked, int count) {
+  private Optional<TokenGrant> orHere(
+      Address host, Optional<TokenGrant> loan, TokenRequest.LimitTokens asked, int count) {
     if (loan.isPresent()) {
       return loan;
     }
-    ranking.passOver(host, asked.limit().target());
+    ranking.markUnresponsive(host, asked.limit().target());
     return Optional.of(lendHere(asked, count));
   }
 
   private boolean isYoung() {
-    return context.now() - startedAt < YOUNG_MILLIS;
+    return context.now() - startedAt < STARTUP_PERIOD_MILLIS;
   }
 
-  private Loan lendHere(LoanSubject.Requests asked, int count) {
+  private TokenGrant lendHere(TokenRequest.LimitTokens asked, int count) {
     tidy();
     TargetId target = asked.limit().target();
     double limit = book.perSecond(target);
     if (limit == Double.POSITIVE_INFINITY) {
       // The target has taken its word back meanwhile, which the asker is about to hear.
-      return new Loan(count, 0);
+      return new TokenGrant(count, 0);
     }
-    double part = isYoung() ? YOUNG_PART / ranking.unknownHosts() : 1;
+    double part = isYoung() ? YOUNG_PART / ranking.limitDivisor() : 1;
     double perSecond = part * limit;
     Bucket bucket = buckets.computeIfAbsent(target, any -> new Bucket(context.now()));
     bucket.usedAt = context.now();
     int granted = bucket.tokens.take(context.now(), perSecond, count, asked.urgent());
-    return new Loan(granted, againMillis(bucket.tokens.millisToNext(perSecond, asked.urgent())));
+    return new TokenGrant(granted, againMillis(bucket.tokens.millisToNext(perSecond, asked.urgent())));
   }
 
   private long againMillis(long next) {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
@@ -10,9 +10,9 @@
 
 /** Keeps to the limits that targets name, together with all other hosts. */
 public final class TargetLimits {
-  private final LimitBook book;
-  private final TokenLender lender;
-  private final RequestTokens tokens;
+  private final AnnouncedLimits announced;
+  private final LimitTokenIssuer lender;
+  private final LimitTokenClient tokens;
 
   /**
    * Makes it; no limit is known yet.
@@ -22,16 +22,16 @@
    * @param port the way to those that lend
    */
   public TargetLimits(
-      CoreContext context, TargetFacts facts, LenderDirectory directory, LoanPort port) {
-    LenderRanking ranking = new LenderRanking(context, directory);
-    this.book = new LimitBook(context, facts);
-    this.lender = new TokenLender(context, book, ranking, port);
-    this.tokens = new RequestTokens(context, book, ranking, port, lender);
+      CoreContext context, TargetFacts facts, IssuerDirectory directory, TokenPort port) {
+    IssuerRanking ranking = new IssuerRanking(context, directory);
+    this.announced = new AnnouncedLimits(context, facts);
+    this.lender = new LimitTokenIssuer(context, announced, ranking, port);
+    this.tokens = new LimitTokenClient(context, announced, ranking, port, lender);
   }
 
   /** Returns what targets have said. */
-  public LimitBook book() {
-    return book;
+  public AnnouncedLimits announced() {
+    return announced;
   }
 
   /**
@@ -41,24 +41,24 @@
    * @param urgent whether it goes on with a stream that its caller has part of
    * @param answer is told once, at once or later, whether the request may be sent
    */
-  public void take(
+  public void acquire(
       TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> answer) {
-    tokens.take(target, dataCentre, urgent, answer);
+    tokens.acquire(target, dataCentre, urgent, answer);
   }
 
   /** Takes a token back that a request has not used. */
-  public void giveBack(TargetId target) {
-    tokens.giveBack(target);
+  public void release(TargetId target) {
+    tokens.release(target);
   }
 
   /** Returns the targets for which no token is to be had just now. */
-  public Set<TargetId> spent(boolean urgent) {
-    return tokens.spent(urgent);
+  public Set<TargetId> exhausted(boolean urgent) {
+    return tokens.exhausted(urgent);
   }
 
   /** Lends another host requests to a target; empty if another host is to lend them. */
-  public void lend(LoanSubject.Requests asked, int count, Consumer<Optional<Loan>> answer) {
-    lender.lend(asked, count, answer);
+  public void issue(TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
+    lender.issue(asked, count, answer);
   }
 
   /** Returns how many tokens this host's requests had. */
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/Lender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenIssuer.java
@@ -4,12 +4,12 @@
 import java.util.function.Consumer;
 
 /** Lends other hosts what all hosts share. */
-public interface Lender {
+public interface TokenIssuer {
   /**
    * Lends what a host asks for.
    *
    * @param count how many, at least one
    * @param answer is told once, at once or later; empty if this host does not lend it now
    */
-  void lend(LoanSubject subject, int count, Consumer<Optional<Loan>> answer);
+  void issue(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LoanPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenPort.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.model.Address;
 
 /** The way to hosts that lend what all hosts share. */
-public interface LoanPort {
+public interface TokenPort {
   /**
    * Asks another host for a loan.
    *
@@ -13,5 +13,5 @@
    * @param answer is told once, later, what is lent; empty if the host does not answer in time or
    *     does not lend this
    */
-  void borrow(Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer);
+  void requestTokens(Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/WaitingGroup.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenWaiters.java
@@ -10,7 +10,7 @@
  * Those who wait at this host for the same thing that another one lends: while a question is open
  * they gather, and are asked for together with the next one.
  */
-public final class WaitingGroup {
+public final class TokenWaiters {
   private final Queue<Consumer<Boolean>> waiting = new ArrayDeque<>();
   private boolean asking;
 
@@ -24,7 +24,7 @@
   }
 
   /** Begins a question; returns for how many, 0 if nobody waits or one is open. */
-  public int begin() {
+  public int startBatch() {
     if (asking || waiting.isEmpty()) {
       return 0;
     }
@@ -38,7 +38,7 @@
    * @param asked for how many it was
    * @param granted for how many of them there was something
    */
-  public void settle(int asked, int granted) {
+  public void completeBatch(int asked, int granted) {
     // Whoever is told may wait again at once, and begin a question before the others are told.
     List<Consumer<Boolean>> told = new ArrayList<>();
     for (int index = 0; index < asked; index++) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -13,8 +13,8 @@
 import java.util.function.IntConsumer;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Address;
@@ -121,7 +121,7 @@
 
   /** A question to another host for requests to a target that takes only so many. */
   record TokenQuestion(
-      Address lender, LoanSubject.Requests asked, int count, Consumer<Optional<Loan>> answer) {}
+      Address lender, TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {}
 
   record Head(
       int status,
@@ -271,11 +271,11 @@
   }
 
   private void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
-    if (subject instanceof LoanSubject.Requests requests) {
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
+    if (subject instanceof TokenRequest.LimitTokens requests) {
       tokenQuestions.add(new TokenQuestion(lender, requests, count, answer));
     } else {
-      borrowing.add(given -> answer.accept(Optional.of(new Loan(given, 0))));
+      borrowing.add(given -> answer.accept(Optional.of(new TokenGrant(given, 0))));
     }
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
@@ -87,10 +87,10 @@
     List<Entry> entries = new ArrayList<>(young(4, NORTH));
     entries.add(entry(5, SOUTH, NOW - 200_000));
     directory.learn(entries, NOW);
-    assertEquals(16, directory.hosts());
+    assertEquals(16, directory.estimatedHosts());
     learnOften(directory, entries);
-    assertEquals(4, directory.hosts());
-    assertEquals(16, directory(2).hosts());
+    assertEquals(4, directory.estimatedHosts());
+    assertEquals(16, directory(2).estimatedHosts());
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -13,7 +13,7 @@
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.gatereel.core.forward.ForwardWorld.SentCall;
 import org.gatereel.core.forward.ForwardWorld.TokenQuestion;
-import org.gatereel.core.limit.Loan;
+import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.TargetId;
@@ -24,8 +24,8 @@
 /** Requests for targets that take only so many: what a host does until it has a token, and then. */
 class LimitForwardingTest {
   private static final int HOSTS = 60;
-  private static final Loan ONE = new Loan(1, 0);
-  private static final Loan LATER = new Loan(0, 5_000);
+  private static final TokenGrant ONE = new TokenGrant(1, 0);
+  private static final TokenGrant LATER = new TokenGrant(0, 5_000);
   private static final String[] COUNTERS = {"c1", "c2", "c3"};
   private static final String[] ENGINES = {"e1", "e2", "e3"};
 
@@ -48,7 +48,7 @@
 
   private void limit(double perSecond, String... targets) {
     for (String target : targets) {
-      world.forwarder.limits().book().hear(new TargetId(target), perSecond, 0);
+      world.forwarder.limits().announced().observe(new TargetId(target), perSecond, 0);
     }
   }
 
@@ -64,7 +64,7 @@
     return question().asked().limit().target().value();
   }
 
-  private void answer(Loan loan) {
+  private void answer(TokenGrant loan) {
     question().answer().accept(Optional.of(loan));
   }
 
@@ -99,7 +99,7 @@
         new ForwardWorld.Head(
             200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
     call.listener.ended(AnswerEnd.LAST_CHUNK);
-    assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(target)));
+    assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
     ask("/safe/x");
@@ -116,7 +116,7 @@
         new ForwardWorld.Head(
             503, true, false, false, Statements.NONE.withLimit(Statement.number(0.5))));
 
-    assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(call.target())));
+    assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(call.target())));
   }
 
   /** Whoever answers without the target's mark may be somebody else. */
@@ -134,7 +134,7 @@
         .listener
         .answered(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
 
-    assertEquals(5, world.forwarder.limits().book().perSecond(new TargetId(target)));
+    assertEquals(5, world.forwarder.limits().announced().perSecond(new TargetId(target)));
   }
 
   @Test
@@ -176,9 +176,9 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     while (world.tokenQuestions.size() < COUNTERS.length) {
-      answer(new Loan(0, 20));
+      answer(new TokenGrant(0, 20));
     }
-    answer(new Loan(0, 20));
+    answer(new TokenGrant(0, 20));
 
     world.pass(70);
     answer(ONE);
@@ -355,7 +355,7 @@
     assertEquals(2, world.tokenQuestions.size());
     assertEquals(3, question().count());
 
-    answer(new Loan(2, 5_000));
+    answer(new TokenGrant(2, 5_000));
 
     assertEquals(3, world.sent.size());
     world.pass(101);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
@@ -14,8 +14,8 @@
 import java.util.function.IntConsumer;
 import org.gatereel.core.forward.HostDirectory.Entry;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
@@ -48,9 +48,9 @@
     }
 
     private void borrow(
-        Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
-      ServiceName service = ((LoanSubject.Repeats) subject).service();
-      IntConsumer given = lent -> answer.accept(Optional.of(new Loan(lent, 0)));
+        Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
+      ServiceName service = ((TokenRequest.RetryTokens) subject).service();
+      IntConsumer given = lent -> answer.accept(Optional.of(new TokenGrant(lent, 0)));
       if (lendersAnswer) {
         given.accept(hosts.get(lender).budgets.lend(service, count));
       } else {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.limit.Loan;
+import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostList;
@@ -95,7 +95,7 @@
     list(ForwardWorld.COUNTERS, "old1", "new1", "new2", "new3");
     knowAnotherHost();
     for (String target : new String[] {"new1", "new2", "new3"}) {
-      world.forwarder.limits().book().hear(new TargetId(target), 5, 0);
+      world.forwarder.limits().announced().observe(new TargetId(target), 5, 0);
     }
     while (world.tokenQuestions.isEmpty()) {
       world.ask("/safe/x", new ForwardWorld.Caller());
@@ -104,7 +104,7 @@
     world.pass(5);
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
 
-    world.tokenQuestions.get(0).answer().accept(Optional.of(new Loan(1, 0)));
+    world.tokenQuestions.get(0).answer().accept(Optional.of(new TokenGrant(1, 0)));
 
     assertEquals(before + 1, world.sent.size());
     assertEquals("old1", world.last().target());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -446,7 +446,7 @@
   @Test
   void noTokenIsAskedForATargetThatRests() {
     for (String counter : new String[] {"c1", "c2", "c3"}) {
-      world.forwarder.limits().book().hear(new TargetId(counter), 5, 0);
+      world.forwarder.limits().announced().observe(new TargetId(counter), 5, 0);
       world.forwarder.rests().hear(new TargetId(counter), REST_MILLIS);
     }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitBookTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
@@ -19,7 +19,7 @@
 import org.gatereel.core.statement.TargetFacts;
 import org.junit.jupiter.api.Test;
 
-class LimitBookTest {
+class AnnouncedLimitsTest {
   private static final TargetId TARGET = new TargetId("t1", 7);
   private static final TargetId NEXT_RUN = new TargetId("t1", 8);
   private static final double NONE = Double.POSITIVE_INFINITY;
@@ -28,9 +28,9 @@
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetFacts facts = new TargetFacts(context, listed::contains);
-  private final LimitBook book = new LimitBook(context, facts);
+  private final AnnouncedLimits book = new AnnouncedLimits(context, facts);
 
-  LimitBookTest() {
+  AnnouncedLimitsTest() {
     context.moveTo(100_000);
   }
 
@@ -40,11 +40,11 @@
   }
 
   private void hear(double perSecond, long sentAgo) {
-    book.hear(TARGET, perSecond, context.now() - sentAgo);
+    book.observe(TARGET, perSecond, context.now() - sentAgo);
   }
 
   private void hearNone(long sentAgo) {
-    book.hearNone(TARGET, context.now() - sentAgo);
+    book.observeNone(TARGET, context.now() - sentAgo);
   }
 
   private void told(double perSecond, long ago) {
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
@@ -42,7 +42,7 @@
   private record Event(long at, long number, Runnable task) {}
 
   /** One host; it knows all hosts whose entries it has read. */
-  final class Host implements LenderDirectory {
+  final class Host implements IssuerDirectory {
     final CoreContext context;
     final Address address;
     final DataCentre dataCentre;
@@ -58,21 +58,21 @@
       context = new CoreContext(new HostId("h" + index), dataCentre, new SplittableRandom(index));
       context.moveTo(now);
       limits = new TargetLimits(context, new TargetFacts(context, any -> true), this, this::borrow);
-      limits.book().learn(fact());
+      limits.announced().merge(fact());
     }
 
     @Override
-    public List<Address> lenders(DataCentre place, String key) {
+    public List<Address> rankedIssuers(DataCentre place, String key) {
       Map<Boolean, List<Host>> byPlace =
           Rendezvous.rank(key, known, host -> host.context.self().value()).stream()
               .collect(Collectors.partitioningBy(host -> host.dataCentre.equals(place)));
-      return LenderDirectory.order(byPlace.get(true), byPlace.get(false)).stream()
+      return IssuerDirectory.order(byPlace.get(true), byPlace.get(false)).stream()
           .map(host -> host.address)
           .toList();
     }
 
     @Override
-    public long changes() {
+    public long version() {
       return changes;
     }
 
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public int hosts() {
+    public int estimatedHosts() {
       return Math.max(1, known.size());
     }
 
@@ -92,17 +92,17 @@
     }
 
     private void borrow(
-        Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+        Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
       asked++;
       boolean[] told = new boolean[1];
-      Consumer<Optional<Loan>> once =
+      Consumer<Optional<TokenGrant>> once =
           loan -> {
             if (!told[0]) {
               told[0] = true;
               step(() -> answer.accept(loan));
             }
           };
-      boolean passedOn = ((LoanSubject.Requests) subject).passedOn();
+      boolean passedOn = ((TokenRequest.LimitTokens) subject).forwarded();
       in(passedOn ? TIMEOUT_MILLIS / 2 : TIMEOUT_MILLIS, () -> once.accept(Optional.empty()));
       Host to = hosts.get(lender);
       in(
@@ -111,15 +111,15 @@
             if (reaches(to)) {
               to.step(
                   () ->
-                      to.limits.lend(
-                          (LoanSubject.Requests) subject,
+                      to.limits.issue(
+                          (TokenRequest.LimitTokens) subject,
                           count,
                           loan -> in(DELAY_MILLIS, () -> reply(to, once, loan))));
             }
           });
     }
 
-    private void reply(Host from, Consumer<Optional<Loan>> once, Optional<Loan> loan) {
+    private void reply(Host from, Consumer<Optional<TokenGrant>> once, Optional<TokenGrant> loan) {
       if (reaches(from)) {
         once.accept(loan);
       }
@@ -142,15 +142,15 @@
     void request(boolean urgent) {
       step(
           () -> {
-            if (!limits.spent(urgent).contains(TARGET)) {
-              limits.take(TARGET, targetsPlace, urgent, this::answered);
+            if (!limits.exhausted(urgent).contains(TARGET)) {
+              limits.acquire(TARGET, targetsPlace, urgent, this::answered);
             }
           });
     }
 
     /** Takes a token without a request. */
     void take(Consumer<Boolean> answer) {
-      step(() -> limits.take(TARGET, targetsPlace, false, answer));
+      step(() -> limits.acquire(TARGET, targetsPlace, false, answer));
     }
 
     private void answered(boolean granted) {
@@ -168,8 +168,8 @@
       add();
     }
     all().forEach(host -> host.knows(all()));
-    in(TokenLender.YOUNG_MILLIS, () -> {});
-    run(TokenLender.YOUNG_MILLIS);
+    in(LimitTokenIssuer.STARTUP_PERIOD_MILLIS, () -> {});
+    run(LimitTokenIssuer.STARTUP_PERIOD_MILLIS);
   }
 
   private static DataCentre dataCentre(int index) {
@@ -193,7 +193,7 @@
 
   /** Returns the host that lends while all hosts answer. */
   Host lender() {
-    return hosts.get(all().get(0).lenders(targetsPlace, TARGET.toString()).get(0));
+    return hosts.get(all().get(0).rankedIssuers(targetsPlace, TARGET.toString()).get(0));
   }
 
   /** Does something later, in milliseconds from now. */
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/SharedLimitTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/SharedLimitTest.java
@@ -15,7 +15,7 @@
  */
 class SharedLimitTest {
   private static final double USED = 0.85;
-  private static final long WARM = TokenLender.YOUNG_MILLIS;
+  private static final long WARM = LimitTokenIssuer.STARTUP_PERIOD_MILLIS;
 
   private static void assertWithin(LimitWorld world) {
     assertTrue(
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -16,7 +16,7 @@
 import org.gatereel.core.forward.HostDirectory;
 import org.gatereel.core.forward.TargetListKeeper;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
+import org.gatereel.core.limit.TokenIssuer;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.load.LoadReport;
 import org.gatereel.core.model.Address;
@@ -133,12 +133,12 @@
     metrics.gauge("caller_connections", callers::openConnections);
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
-    metrics.gauge("hosts", directory::hosts);
+    metrics.gauge("hosts", directory::estimatedHosts);
     metrics.gauge("load_sources", loads::sources);
     metrics.gauge("load_age_millis", loads::ageMillis);
     metrics.gauge("poison_requests_suspected", poison::suspected);
     metrics.gauge("poison_requests_held", poison::held);
-    metrics.gauge("limited_targets", forwarder.limits().book()::size);
+    metrics.gauge("limited_targets", forwarder.limits().announced()::size);
     metrics.gauge("resting_targets", forwarder.rests()::size);
     metrics.gauge("leaving_targets", () -> targets.leavingTargets().size());
     metrics.gauge("limit_tokens_granted", forwarder.limits()::granted);
@@ -184,8 +184,8 @@
   }
 
   /** Returns what lends other hosts what all share. */
-  public Lender lender() {
-    return (subject, count, answer) -> control.run(() -> forwarder.lend(subject, count, answer));
+  public TokenIssuer lender() {
+    return (subject, count, answer) -> control.run(() -> forwarder.issue(subject, count, answer));
   }
 
   /** Returns what hosts have told each other of their load. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 import java.util.Queue;
 import java.util.function.Consumer;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.http.DocumentClient;
@@ -18,7 +18,7 @@
  * Asks lenders for loans: each of them one question after the other, over a connection that is kept
  * while it is used.
  */
-public final class LoanClient implements LoanPort, AutoCloseable {
+public final class LoanClient implements TokenPort, AutoCloseable {
   /** A request waits for the answer meanwhile; hosts of a data centre need a few milliseconds. */
   private static final long TIMEOUT_MILLIS = 150;
 
@@ -34,9 +34,9 @@
   private final ControlThread control;
   private final Map<Address, Connection> connections = new HashMap<>();
 
-  private record Question(LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+  private record Question(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
     long timeoutMillis() {
-      boolean passedOn = subject instanceof LoanSubject.Requests requests && requests.passedOn();
+      boolean passedOn = subject instanceof TokenRequest.LimitTokens requests && requests.forwarded();
       return passedOn ? PASSED_ON_TIMEOUT_MILLIS : TIMEOUT_MILLIS;
     }
   }
@@ -97,13 +97,13 @@
   }
 
   @Override
-  public void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+  public void requestTokens(
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
     closeUnused();
     connections.computeIfAbsent(lender, Connection::new).ask(new Question(subject, count, answer));
   }
 
-  private static Optional<Loan> read(DocumentClient.Document document) {
+  private static Optional<TokenGrant> read(DocumentClient.Document document) {
     return document.status() == OK && document.hasOwnEnd()
         ? LoanMessages.readAnswer(document.body())
         : Optional.empty();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.statement.AnnouncedLimit;
@@ -44,21 +44,21 @@
    *
    * @param count how many, at least one
    */
-  record Question(LoanSubject subject, int count) {}
+  record Question(TokenRequest subject, int count) {}
 
   /** Writes a question that is sent at {@code now}. */
-  static String write(LoanSubject subject, int count, long now) {
+  static String write(TokenRequest subject, int count, long now) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
-    if (subject instanceof LoanSubject.Repeats repeats) {
+    if (subject instanceof TokenRequest.RetryTokens repeats) {
       query.addParam(SERVICE, repeats.service().value());
-    } else if (subject instanceof LoanSubject.Requests requests) {
+    } else if (subject instanceof TokenRequest.LimitTokens requests) {
       AnnouncedLimit limit = requests.limit().limit();
       query.addParam(TARGET, TargetNames.write(requests.limit().target()));
       query.addParam(PER_SECOND, Double.toString(limit.perSecond()));
       query.addParam(AGE_MILLIS, Long.toString(Math.max(0, now - limit.since())));
       query.addParam(DATA_CENTRE, requests.dataCentre().value());
       query.addParam(URGENT, Boolean.toString(requests.urgent()));
-      query.addParam(PASSED_ON, Boolean.toString(requests.passedOn()));
+      query.addParam(PASSED_ON, Boolean.toString(requests.forwarded()));
     }
     query.addParam(COUNT, Integer.toString(count));
     return query.toString();
@@ -67,7 +67,7 @@
   /** Reads a question that came at {@code now}; empty if it is none. */
   static Optional<Question> read(String target, long now) {
     Map<String, List<String>> parameters = new QueryStringDecoder(target).parameters();
-    Optional<LoanSubject> subject =
+    Optional<TokenRequest> subject =
         parameters.containsKey(TARGET) ? requests(parameters, now) : repeats(parameters);
     return text(parameters, COUNT)
         .map(Ints::tryParse)
@@ -75,11 +75,11 @@
         .flatMap(count -> subject.map(asked -> new Question(asked, count)));
   }
 
-  private static Optional<LoanSubject> repeats(Map<String, List<String>> parameters) {
-    return text(parameters, SERVICE).map(name -> new LoanSubject.Repeats(new ServiceName(name)));
+  private static Optional<TokenRequest> repeats(Map<String, List<String>> parameters) {
+    return text(parameters, SERVICE).map(name -> new TokenRequest.RetryTokens(new ServiceName(name)));
   }
 
-  private static Optional<LoanSubject> requests(Map<String, List<String>> parameters, long now) {
+  private static Optional<TokenRequest> requests(Map<String, List<String>> parameters, long now) {
     Optional<String> target = text(parameters, TARGET);
     Optional<String> dataCentre = text(parameters, DATA_CENTRE);
     Optional<Double> perSecond =
@@ -91,7 +91,7 @@
     }
     AnnouncedLimit limit = new AnnouncedLimit(perSecond.get(), now - age.get());
     return Optional.of(
-        new LoanSubject.Requests(
+        new TokenRequest.LimitTokens(
             new LimitFact(TargetNames.read(target.get()), limit),
             new DataCentre(dataCentre.get()),
             flag(parameters, URGENT),
@@ -108,16 +108,16 @@
     return text(parameters, name).map(Boolean::parseBoolean).orElse(false);
   }
 
-  static String writeAnswer(Loan loan) {
-    return loan.granted() + SEPARATOR + loan.againMillis();
+  static String writeAnswer(TokenGrant loan) {
+    return loan.granted() + SEPARATOR + loan.retryAfterMillis();
   }
 
   /** Reads what was lent; empty if that is no answer. */
-  static Optional<Loan> readAnswer(byte[] body) {
+  static Optional<TokenGrant> readAnswer(byte[] body) {
     String[] parts = new String(body, StandardCharsets.UTF_8).strip().split(SEPARATOR, 2);
     Integer granted = Ints.tryParse(parts[0]);
     Long again = parts.length < 2 ? null : Longs.tryParse(parts[1]);
     boolean valid = granted != null && again != null && granted >= 0 && again >= 0;
-    return valid ? Optional.of(new Loan(granted, again)) : Optional.empty();
+    return valid ? Optional.of(new TokenGrant(granted, again)) : Optional.empty();
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -4,8 +4,8 @@
 import java.util.function.Predicate;
 import org.gatereel.core.forward.DocumentCache;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
-import org.gatereel.core.limit.Loan;
+import org.gatereel.core.limit.TokenIssuer;
+import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.load.LoadReport;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.ControlThread;
@@ -30,7 +30,7 @@
   private final ControlThread control;
   private final DocumentCache known;
   private final CoreContext context;
-  private final Lender lender;
+  private final TokenIssuer lender;
   private final Predicate<LoadReport> takeLoads;
   private final StatusServer server;
 
@@ -45,7 +45,7 @@
       ControlThread control,
       DocumentCache known,
       CoreContext context,
-      Lender lender,
+      TokenIssuer lender,
       Predicate<LoadReport> takeLoads) {
     this.control = control;
     this.known = known;
@@ -74,14 +74,14 @@
     LoanMessages.read(question, ControlThread.nowMillis())
         .ifPresentOrElse(
             asked ->
-                lender.lend(
+                lender.issue(
                     asked.subject(),
                     asked.count(),
                     loan -> answer.accept(loan.map(PeerServer::page).orElse(NOT_LENT))),
             () -> answer.accept(MALFORMED));
   }
 
-  private static StatusServer.Page page(Loan loan) {
+  private static StatusServer.Page page(TokenGrant loan) {
     return new StatusServer.Page(OK, LoanMessages.writeAnswer(loan));
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanClientTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanClientTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
@@ -50,16 +50,16 @@
         LoanClient client = new LoanClient(new ControlThread(group.next(), context, log))) {
       Address address = new Address("127.0.0.1", lender.getLocalPort());
       CompletableFuture<Integer> lent = new CompletableFuture<>();
-      LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("s"));
+      TokenRequest repeats = new TokenRequest.RetryTokens(new ServiceName("s"));
       group
           .next()
           .execute(
               () ->
-                  client.borrow(
+                  client.requestTokens(
                       address,
                       repeats,
                       12,
-                      loan -> lent.complete(loan.map(Loan::granted).orElse(0))));
+                      loan -> lent.complete(loan.map(TokenGrant::granted).orElse(0))));
       try (Socket socket = lender.accept()) {
         readQuestion(socket);
         String bytes = ("HTTP/1.1 200 OK|" + answer).replace("|", "\r\n");
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoanMessagesTest.java
@@ -4,8 +4,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.model.TargetId;
@@ -17,15 +17,15 @@
   private static final long SENT_AT = 50_000;
   private static final long CAME_AT = 900;
 
-  private static LoanSubject.Requests requests(double perSecond, long since) {
+  private static TokenRequest.LimitTokens requests(double perSecond, long since) {
     LimitFact limit =
         new LimitFact(new TargetId("a b&c", 77), new AnnouncedLimit(perSecond, since));
-    return new LoanSubject.Requests(limit, new DataCentre("north hall"), true, true);
+    return new TokenRequest.LimitTokens(limit, new DataCentre("north hall"), true, true);
   }
 
   @Test
   void aQuestionForRepeatsIsReadAsItWasWritten() {
-    LoanSubject repeats = new LoanSubject.Repeats(new ServiceName("a b&c=d"));
+    TokenRequest repeats = new TokenRequest.RetryTokens(new ServiceName("a b&c=d"));
 
     assertEquals(
         Optional.of(new LoanMessages.Question(repeats, 12)),
@@ -65,7 +65,7 @@
 
   @Test
   void anAnswerIsReadAsItWasWritten() {
-    Loan loan = new Loan(3, 250);
+    TokenGrant loan = new TokenGrant(3, 250);
 
     assertEquals(Optional.of(loan), answer(LoanMessages.writeAnswer(loan)));
   }
@@ -77,7 +77,7 @@
     }
   }
 
-  private static Optional<Loan> answer(String text) {
+  private static Optional<TokenGrant> answer(String text) {
     return LoanMessages.readAnswer(text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -25,8 +25,8 @@
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.load.LoadPort;
 import org.gatereel.core.load.LoadReport;
@@ -185,7 +185,7 @@
   }
 
   private void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
     world.report().borrowed();
     Optional<HostModel> to = world.host(lender);
     if (to.isEmpty() || !world.network().reaches(dataCentre(), to.get().dataCentre())) {
@@ -199,7 +199,7 @@
         () ->
             host.step(
                 () ->
-                    host.forwarder.lend(
+                    host.forwarder.issue(
                         subject,
                         count,
                         loan -> time.after(delay, () -> step(() -> answer.accept(loan))))));
