--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnswerHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnswerHead.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.forward;
 
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /** The head of a target's answer; its headers are the transport's. */
 public interface AnswerHead {
@@ -27,12 +27,12 @@
     if (status() == MISDIRECTED) {
       return TargetFailure.GOODBYE;
     }
-    return statements().rest() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
+    return statements().backoffMillisOrZero() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
   }
 
   /** Returns what the answer says of its target. */
-  default Statements statements() {
-    return Statements.NONE;
+  default Announcements statements() {
+    return Announcements.NONE;
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -94,7 +94,7 @@
     this.overload =
         new OverloadControl(context, targets, loads, limits.announced()::perSecond, rests::isResting);
     loads.exchangeTargetFacts(facts);
-    facts.onNews(this::hear);
+    facts.onChange(this::hear);
     poison.onHeld(this::hold);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ListeningPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ListeningPort.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.TargetDescription;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /** The way to targets, on which what they say in answers to probes is listened to. */
 final class ListeningPort implements TargetPort {
@@ -32,7 +32,7 @@
         timeoutMillis,
         new ProbeListener() {
           @Override
-          public void heard(Statements said) {
+          public void heard(Announcements said) {
             statements.heard(target, said, askedAt);
           }
 
@@ -47,7 +47,7 @@
   public void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> heard,
+      Consumer<Announcements> heard,
       Consumer<Optional<Set<String>>> answer) {
     long askedAt = context.now();
     port.listPrompts(
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
@@ -8,8 +8,8 @@
 import org.gatereel.core.rest.Rests;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.LeavingFact;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.statement.TargetFacts;
 import org.gatereel.core.statement.UnknownHeaders;
 
@@ -54,18 +54,18 @@
    *
    * @param sentAt when the question was sent that it answers, in milliseconds
    */
-  void heard(TargetDescription target, Statements said, long sentAt) {
+  void heard(TargetDescription target, Announcements said, long sentAt) {
     TargetId id = target.id();
-    unknown.note(target.service(), id, said.unknown());
+    unknown.log(target.service(), id, said.unknown());
     noteUnreadable(id, FactKind.LIMIT, said.limit());
     noteUnreadable(id, FactKind.LEAVING, said.leaving());
-    noteUnreadable(id, FactKind.REST, said.restMillis());
-    said.limit().said().ifPresent(limit -> limits.observe(id, limit, sentAt));
-    if (said.saysLeaving()) {
-      facts.hear(new LeavingFact(id, context.now()));
+    noteUnreadable(id, FactKind.REST, said.backoffMillis());
+    said.limit().announced().ifPresent(limit -> limits.observe(id, limit, sentAt));
+    if (said.isLeaving()) {
+      facts.observe(new LeavingFact(id, context.now()));
     }
-    if (said.rest() > 0) {
-      rests.hear(id, said.rest());
+    if (said.backoffMillisOrZero() > 0) {
+      rests.hear(id, said.backoffMillisOrZero());
     }
   }
 
@@ -74,13 +74,13 @@
     if (!head.isAuthentic()) {
       return;
     }
-    Statements said = head.statements();
-    if (said.limit().equals(Statement.none())) {
+    Announcements said = head.statements();
+    if (said.limit().equals(Announcement.none())) {
       limits.observeNone(target, sentAt);
     }
     boolean leftBefore =
-        facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.since()).isPresent();
-    if (leftBefore && !said.saysLeaving()) {
+        facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.announcedAt()).isPresent();
+    if (leftBefore && !said.isLeaving()) {
       noteContradiction(target);
     }
   }
@@ -92,7 +92,7 @@
     }
   }
 
-  private void noteUnreadable(TargetId target, FactKind kind, Statement<?> said) {
+  private void noteUnreadable(TargetId target, FactKind kind, Announcement<?> said) {
     boolean loggedLately = context.now() - unreadableLoggedAt < LOG_MILLIS;
     if (said.unreadable().isPresent() && !loggedLately) {
       unreadableLoggedAt = context.now();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.model.TargetDescription;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /** The way to targets. */
 public interface TargetPort {
@@ -24,7 +24,7 @@
   void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> heard,
+      Consumer<Announcements> heard,
       Consumer<Optional<Set<String>>> answer);
 
   /** A request that a target has. */
@@ -59,7 +59,7 @@
   /** Hears what came of a probe. */
   interface ProbeListener {
     /** The answer says something of the target; told before the result or after it, or never. */
-    default void heard(Statements said) {}
+    default void heard(Announcements said) {}
 
     void probed(ProbeResult result);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
@@ -81,8 +81,8 @@
   public void observe(TargetId target, double perSecond, long sentAt) {
     Optional<AnnouncedLimit> known = known(target);
     boolean lower = known.isEmpty() || perSecond < known.get().perSecond();
-    if (lower || sentAt > known.get().since()) {
-      facts.hear(new LimitFact(target, new AnnouncedLimit(perSecond, context.now())));
+    if (lower || sentAt > known.get().announcedAt()) {
+      facts.observe(new LimitFact(target, new AnnouncedLimit(perSecond, context.now())));
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/Rests.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/Rests.java
@@ -7,7 +7,7 @@
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.statement.FactKind;
-import org.gatereel.core.statement.RestFact;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.TargetFacts;
 
 /**
@@ -57,7 +57,7 @@
    * @param millis for how long, from now on
    */
   public void hear(TargetId target, long millis) {
-    facts.hear(new RestFact(target, context.now(), context.now() + millis));
+    facts.observe(new BackoffFact(target, context.now(), context.now() + millis));
     Rest rest = rests.computeIfAbsent(target, any -> new Rest());
     long until = context.knowledgeTime() + millis + context.random().nextLong(SPREAD_MILLIS);
     rest.until = Math.max(rest.until, until);
@@ -74,7 +74,7 @@
   public boolean restsElsewhere(TargetId target) {
     return facts
         .find(FactKind.REST, target)
-        .map(RestFact.class::cast)
+        .map(BackoffFact.class::cast)
         .filter(rest -> rest.until() > context.now())
         .isPresent();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/Statement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/Announcement.java
@@ -7,33 +7,33 @@
  *
  * @param <T> what is said
  */
-public sealed interface Statement<T> {
+public sealed interface Announcement<T> {
   /** Nothing is said. */
-  record None<T>() implements Statement<T> {}
+  record None<T>() implements Announcement<T> {}
 
   /** Something is said. */
-  record Said<T>(T value) implements Statement<T> {}
+  record Announced<T>(T value) implements Announcement<T> {}
 
   /**
    * Something is said that cannot be read, so that nothing is known.
    *
    * @param text the beginning of it
    */
-  record Unreadable<T>(String text) implements Statement<T> {}
+  record Unreadable<T>(String text) implements Announcement<T> {}
 
   /** Returns the statement of an answer that says nothing. */
-  static <T> Statement<T> none() {
+  static <T> Announcement<T> none() {
     return new None<>();
   }
 
   /** Returns a statement of a number. */
-  static Statement<Double> number(double value) {
-    return new Said<>(value);
+  static Announcement<Double> number(double value) {
+    return new Announced<>(value);
   }
 
   /** Returns what is said, if it can be read. */
-  default Optional<T> said() {
-    return this instanceof Said<T> said ? Optional.of(said.value()) : Optional.empty();
+  default Optional<T> announced() {
+    return this instanceof Announced<T> said ? Optional.of(said.value()) : Optional.empty();
   }
 
   /** Returns the beginning of what is said, if it cannot be read. */
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/StatementReader.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/AnnouncementParser.java
@@ -9,12 +9,12 @@
 import java.util.regex.Pattern;
 
 /** Reads what targets write, which may be given several times in one answer. */
-public final class StatementReader {
+public final class AnnouncementParser {
   /**
    * A target that names a longer rest is asked once more after this time, so that a wrong number
    * does not take it out of service for good.
    */
-  public static final long LONGEST_REST_MILLIS = 600_000;
+  public static final long MAX_BACKOFF_MILLIS = 600_000;
 
   private static final double SECOND_MILLIS = 1_000;
 
@@ -25,37 +25,37 @@
   private static final Set<String> YES = ImmutableSet.of("1", "true");
   private static final Set<String> NO = ImmutableSet.of("0", "false");
 
-  private StatementReader() {}
+  private AnnouncementParser() {}
 
   /** Reads how many requests a second a target takes; of several numbers the lowest. */
-  public static Statement<Double> limit(List<String> values) {
-    return read(values, StatementReader::decimal, Math::min);
+  public static Announcement<Double> limit(List<String> values) {
+    return read(values, AnnouncementParser::decimal, Math::min);
   }
 
   /**
    * Reads for how many milliseconds a target wants rest, told in seconds; the longest of several.
    */
-  public static Statement<Long> restMillis(List<String> values) {
-    return read(values, text -> decimal(text).map(StatementReader::millis), Math::max);
+  public static Announcement<Long> backoffMillis(List<String> values) {
+    return read(values, text -> decimal(text).map(AnnouncementParser::millis), Math::max);
   }
 
   /** Reads whether a target leaves; it does if any of several values says so. */
-  public static Statement<Boolean> leaving(List<String> values) {
-    return read(values, StatementReader::flag, Boolean::logicalOr);
+  public static Announcement<Boolean> leaving(List<String> values) {
+    return read(values, AnnouncementParser::flag, Boolean::logicalOr);
   }
 
-  private static <T> Statement<T> read(
+  private static <T> Announcement<T> read(
       List<String> values, Function<String, Optional<T>> reader, BinaryOperator<T> stricter) {
     Optional<T> strictest = Optional.empty();
     for (String value : values) {
       Optional<T> read = reader.apply(value.strip());
       if (read.isEmpty()) {
-        return new Statement.Unreadable<>(StatementText.shortened(value));
+        return new Announcement.Unreadable<>(LogText.truncate(value));
       }
       strictest =
           strictest.isEmpty() ? read : Optional.of(stricter.apply(strictest.get(), read.get()));
     }
-    return strictest.<Statement<T>>map(Statement.Said::new).orElse(Statement.none());
+    return strictest.<Announcement<T>>map(Announcement.Announced::new).orElse(Announcement.none());
   }
 
   private static Optional<Double> decimal(String text) {
@@ -65,7 +65,7 @@
   }
 
   private static long millis(double seconds) {
-    return Math.min(LONGEST_REST_MILLIS, Math.round(seconds * SECOND_MILLIS));
+    return Math.min(MAX_BACKOFF_MILLIS, Math.round(seconds * SECOND_MILLIS));
   }
 
   private static Optional<Boolean> flag(String text) {
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/RestFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/BackoffFact.java
@@ -8,7 +8,7 @@
  *
  * @param until the end, on this host's steady clock in milliseconds
  */
-public record RestFact(TargetId target, long since, long until) implements TargetFact {
+public record BackoffFact(TargetId target, long announcedAt, long until) implements TargetFact {
   /**
    * An end is news if it is later by this part of the rest: many hosts that are refused in turn
    * each hear of an end a little later, which would fill reports.
@@ -22,27 +22,27 @@
 
   @Override
   public OptionalDouble value() {
-    return OptionalDouble.of(until - since);
+    return OptionalDouble.of(until - announcedAt);
   }
 
   @Override
   public String valueText() {
-    return Long.toString(until - since);
+    return Long.toString(until - announcedAt);
   }
 
   @Override
-  public boolean covers(TargetFact other) {
-    return !(other instanceof RestFact rest)
-        || rest.until - until < (rest.until - rest.since) / NEWS_PART;
+  public boolean subsumes(TargetFact other) {
+    return !(other instanceof BackoffFact rest)
+        || rest.until - until < (rest.until - rest.announcedAt) / NEWS_PART;
   }
 
   @Override
-  public boolean replaces(TargetFact other) {
-    return !other.covers(this);
+  public boolean supersedes(TargetFact other) {
+    return !other.subsumes(this);
   }
 
   @Override
-  public RestFact later(long millis) {
-    return new RestFact(target, since + millis, until + millis);
+  public BackoffFact shiftedBy(long millis) {
+    return new BackoffFact(target, announcedAt + millis, until + millis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/FactKind.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/FactKind.java
@@ -10,7 +10,7 @@
   /** How many requests a second a target takes; without a number it takes any. */
   LIMIT(EventCode.LIMIT_ANNOUNCED, "perSecond", FactKind.MINUTE_MILLIS) {
     @Override
-    public Optional<TargetFact> make(TargetId target, OptionalDouble value, long since) {
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
       double perSecond = value.orElse(Double.POSITIVE_INFINITY);
       return perSecond < 0
           ? Optional.empty()
@@ -20,22 +20,22 @@
   /** A target is about to end. */
   LEAVING(EventCode.LEAVING_ANNOUNCED, "leaving", FactKind.LEAVING_KEPT_MILLIS) {
     @Override
-    public Optional<TargetFact> make(TargetId target, OptionalDouble value, long since) {
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
       return Optional.of(new LeavingFact(target, since));
     }
   },
   /** A target wants nothing for some time from a host; the number is that time in milliseconds. */
   REST(EventCode.REST_ANNOUNCED, "restMillis", FactKind.MINUTE_MILLIS) {
     @Override
-    public Optional<TargetFact> make(TargetId target, OptionalDouble value, long since) {
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
       double millis = value.orElse(-1);
       return millis < 0
           ? Optional.empty()
           : Optional.of(
-              new RestFact(
+              new BackoffFact(
                   target,
                   since,
-                  since + Math.min(StatementReader.LONGEST_REST_MILLIS, Math.round(millis))));
+                  since + Math.min(AnnouncementParser.MAX_BACKOFF_MILLIS, Math.round(millis))));
     }
   };
 
@@ -45,13 +45,13 @@
   private static final long LEAVING_KEPT_MILLIS = 10 * MINUTE_MILLIS;
 
   private final EventCode code;
-  private final String valueName;
-  private final long keptMillis;
+  private final String logKey;
+  private final long retentionMillis;
 
   FactKind(EventCode code, String valueName, long keptMillis) {
     this.code = code;
-    this.valueName = valueName;
-    this.keptMillis = keptMillis;
+    this.logKey = valueName;
+    this.retentionMillis = keptMillis;
   }
 
   /**
@@ -59,18 +59,18 @@
    *
    * @param since when the target said it, on this host's steady clock in milliseconds
    */
-  public abstract Optional<TargetFact> make(TargetId target, OptionalDouble value, long since);
+  public abstract Optional<TargetFact> create(TargetId target, OptionalDouble value, long since);
 
   EventCode code() {
     return code;
   }
 
-  String valueName() {
-    return valueName;
+  String logKey() {
+    return logKey;
   }
 
   /** Returns for how long a fact of a target that is listed no more is kept. */
-  long keptMillis() {
-    return keptMillis;
+  long retentionMillis() {
+    return retentionMillis;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/LeavingFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/LeavingFact.java
@@ -4,7 +4,7 @@
 import org.gatereel.core.model.TargetId;
 
 /** One run of a target has said that it is about to end; nothing takes that back. */
-public record LeavingFact(TargetId target, long since) implements TargetFact {
+public record LeavingFact(TargetId target, long announcedAt) implements TargetFact {
   @Override
   public FactKind kind() {
     return FactKind.LEAVING;
@@ -21,17 +21,17 @@
   }
 
   @Override
-  public boolean covers(TargetFact other) {
+  public boolean subsumes(TargetFact other) {
     return true;
   }
 
   @Override
-  public boolean replaces(TargetFact other) {
+  public boolean supersedes(TargetFact other) {
     return false;
   }
 
   @Override
-  public LeavingFact later(long millis) {
-    return new LeavingFact(target, since + millis);
+  public LeavingFact shiftedBy(long millis) {
+    return new LeavingFact(target, announcedAt + millis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
@@ -12,8 +12,8 @@
   }
 
   @Override
-  public long since() {
-    return limit.since();
+  public long announcedAt() {
+    return limit.announcedAt();
   }
 
   @Override
@@ -27,17 +27,17 @@
   }
 
   @Override
-  public boolean covers(TargetFact other) {
+  public boolean subsumes(TargetFact other) {
     return !(other instanceof LimitFact fact) || fact.limit.perSecond() == limit.perSecond();
   }
 
   @Override
-  public boolean replaces(TargetFact other) {
-    return other instanceof LimitFact fact && limit.replaces(fact.limit);
+  public boolean supersedes(TargetFact other) {
+    return other instanceof LimitFact fact && limit.supersedes(fact.limit);
   }
 
   @Override
-  public LimitFact later(long millis) {
-    return new LimitFact(target, new AnnouncedLimit(limit.perSecond(), limit.since() + millis));
+  public LimitFact shiftedBy(long millis) {
+    return new LimitFact(target, new AnnouncedLimit(limit.perSecond(), limit.announcedAt() + millis));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
@@ -67,7 +67,7 @@
   }
 
   /** Has {@code listener} told each fact that is news here. */
-  public void onNews(Consumer<TargetFact> listener) {
+  public void onChange(Consumer<TargetFact> listener) {
     listeners.add(listener);
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Takes in what a target told this host, whatever is known of it. */
-  public void hear(TargetFact fact) {
+  public void observe(TargetFact fact) {
     take(inward(fact), Source.TARGET);
   }
 
@@ -96,7 +96,7 @@
     for (TargetFact fact : told) {
       Entry known = entries.get(fact.kind()).get(fact.target());
       TargetFact kept = inward(fact);
-      if (known == null || kept.replaces(known.fact)) {
+      if (known == null || kept.supersedes(known.fact)) {
         take(kept, Source.OTHER_HOST);
       }
     }
@@ -104,18 +104,18 @@
 
   /** Puts times of the steady clock on the one that counts suspensions. */
   private TargetFact inward(TargetFact fact) {
-    return fact.later(context.knowledgeTime() - context.now());
+    return fact.shiftedBy(context.knowledgeTime() - context.now());
   }
 
   /** Puts times back on the steady clock, so that the age by that is the true one. */
   private TargetFact outward(TargetFact fact) {
-    return fact.later(context.now() - context.knowledgeTime());
+    return fact.shiftedBy(context.now() - context.knowledgeTime());
   }
 
   private void take(TargetFact fact, Source source) {
     Entry entry = entries.get(fact.kind()).computeIfAbsent(fact.target(), any -> new Entry());
     TargetFact before = entry.fact;
-    if (before != null && before.covers(fact)) {
+    if (before != null && before.subsumes(fact)) {
       return;
     }
     entry.fact = fact;
@@ -137,7 +137,7 @@
     context.note(
         fact.kind().code(),
         fact.target().toString(),
-        fact.kind().valueName()
+        fact.kind().logKey()
             + "="
             + fact.valueText()
             + " before="
@@ -145,7 +145,7 @@
             + " source="
             + source
             + " ageMillis="
-            + (context.knowledgeTime() - fact.since())
+            + (context.knowledgeTime() - fact.announcedAt())
             + " known="
             + entries.get(fact.kind()).size());
   }
@@ -176,8 +176,8 @@
   /** A fact may come before the list that names its target, so young ones are kept. */
   private boolean isOver(Entry entry) {
     TargetFact fact = entry.fact;
-    long before = context.knowledgeTime() - fact.kind().keptMillis();
-    boolean over = !isListed.test(fact.target()) && fact.since() < before;
+    long before = context.knowledgeTime() - fact.kind().retentionMillis();
+    boolean over = !isListed.test(fact.target()) && fact.announcedAt() < before;
     if (over) {
       numbered.remove(entry.number);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
@@ -23,11 +23,11 @@
   }
 
   /** Notes the unknown headers of an answer, with their values. */
-  public void note(ServiceName service, TargetId target, Map<String, String> headers) {
-    headers.forEach((name, value) -> note(new Seen(service, name), target, value));
+  public void log(ServiceName service, TargetId target, Map<String, String> headers) {
+    headers.forEach((name, value) -> log(new Seen(service, name), target, value));
   }
 
-  private void note(Seen header, TargetId target, String value) {
+  private void log(Seen header, TargetId target, String value) {
     if (seen.size() < MOST_NAMES && seen.add(header)) {
       context.note(
           EventCode.TARGET_HEADER_UNKNOWN,
@@ -35,9 +35,9 @@
           "service="
               + header.service()
               + " header="
-              + StatementText.shortened(header.name())
+              + LogText.truncate(header.name())
               + " value="
-              + StatementText.shortened(value));
+              + LogText.truncate(value));
     }
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -29,7 +29,7 @@
 import org.gatereel.core.poison.PoisonControl;
 import org.gatereel.core.rollout.RolloutBounds;
 import org.gatereel.core.rollout.RolloutControl;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
@@ -117,7 +117,7 @@
 
   /** A question to an engine which parts of prompts it keeps. */
   record PromptQuestion(
-      String target, Consumer<Statements> heard, Consumer<Optional<Set<String>>> answer) {}
+      String target, Consumer<Announcements> heard, Consumer<Optional<Set<String>>> answer) {}
 
   /** A question to another host for requests to a target that takes only so many. */
   record TokenQuestion(
@@ -128,10 +128,10 @@
       boolean declaresNotRun,
       boolean isAuthentic,
       boolean isEventStream,
-      Statements statements)
+      Announcements statements)
       implements AnswerHead {
     Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
-      this(status, declaresNotRun, isAuthentic, isEventStream, Statements.NONE);
+      this(status, declaresNotRun, isAuthentic, isEventStream, Announcements.NONE);
     }
   }
 
@@ -237,7 +237,7 @@
           public void listPrompts(
               TargetDescription target,
               long millis,
-              Consumer<Statements> heard,
+              Consumer<Announcements> heard,
               Consumer<Optional<Set<String>>> answer) {
             promptQuestions.add(new PromptQuestion(target.id().value(), heard, answer));
           }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -17,8 +17,8 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.junit.jupiter.api.Test;
 
 /** Requests for targets that take only so many: what a host does until it has a token, and then. */
@@ -97,7 +97,7 @@
     SentCall call = world.last().accepted();
     call.listener.answered(
         new ForwardWorld.Head(
-            200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
+            200, false, true, false, Announcements.NONE.withLimit(Announcement.number(0.5))));
     call.listener.ended(AnswerEnd.LAST_CHUNK);
     assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(target)));
 
@@ -114,7 +114,7 @@
 
     call.listener.answered(
         new ForwardWorld.Head(
-            503, true, false, false, Statements.NONE.withLimit(Statement.number(0.5))));
+            503, true, false, false, Announcements.NONE.withLimit(Announcement.number(0.5))));
 
     assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(call.target())));
   }
@@ -132,7 +132,7 @@
         .last()
         .accepted()
         .listener
-        .answered(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
+        .answered(new ForwardWorld.Head(500, false, false, false, Announcements.NONE));
 
     assertEquals(5, world.forwarder.limits().announced().perSecond(new TargetId(target)));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -24,28 +24,28 @@
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.statement.LeavingFact;
-import org.gatereel.core.statement.RestFact;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.BackoffFact;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
 /** What targets say of leaving and of rest, on each way by which a request may reach them. */
 class StatementForwardingTest {
-  private static final Statements LEAVES = Statements.NONE.withLeaving(new Statement.Said<>(true));
+  private static final Announcements LEAVES = Announcements.NONE.withLeaving(new Announcement.Announced<>(true));
   private static final long REST_MILLIS = 3_000;
-  private static final Statements RESTS =
-      Statements.NONE.withRestMillis(new Statement.Said<>(REST_MILLIS));
+  private static final Announcements RESTS =
+      Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(REST_MILLIS));
   private static final int REQUESTS = 40;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
 
-  private static ForwardWorld.Head head(int status, boolean notRun, Statements said) {
+  private static ForwardWorld.Head head(int status, boolean notRun, Announcements said) {
     return new ForwardWorld.Head(status, notRun, !notRun, false, said);
   }
 
-  private static ForwardWorld.Head stream(Statements said) {
+  private static ForwardWorld.Head stream(Announcements said) {
     return new ForwardWorld.Head(200, false, true, true, said);
   }
 
@@ -127,11 +127,11 @@
 
   @Test
   void whatCannotBeReadIsLoggedOnceASecondAndChangesNothing() {
-    Statements odd =
-        new Statements(
-            new Statement.Unreadable<>("many"),
-            new Statement.Unreadable<>("soon"),
-            new Statement.Unreadable<>("later"),
+    Announcements odd =
+        new Announcements(
+            new Announcement.Unreadable<>("many"),
+            new Announcement.Unreadable<>("soon"),
+            new Announcement.Unreadable<>("later"),
             Map.of());
     events();
     Set<String> chosen = new HashSet<>();
@@ -139,7 +139,7 @@
       chosen.add(told(head(200, false, odd)));
     }
 
-    assertEquals(Set.of(told(head(200, false, Statements.NONE))), chosen);
+    assertEquals(Set.of(told(head(200, false, Announcements.NONE))), chosen);
     assertEquals(1, events().stream().filter(EventCode.STATEMENT_UNREADABLE::equals).count());
   }
 
@@ -185,7 +185,7 @@
     events();
     early.answer(200, "ok");
     assertFalse(events().contains(EventCode.LEAVING_CONTRADICTED), "it was sent before");
-    world.forwarder.statements().heard(description("c1"), Statements.NONE, 0);
+    world.forwarder.statements().heard(description("c1"), Announcements.NONE, 0);
     assertFalse(
         events().contains(EventCode.LEAVING_CONTRADICTED), "nobody says whose answer it is");
     late.answer(200, "ok");
@@ -238,7 +238,7 @@
   void aTargetThatRestsForAnotherHostIsAskedLast() {
     TargetId target = new TargetId("c1");
     long now = world.context.now();
-    world.loads.take(report(new RestFact(target, now, now + REST_MILLIS)));
+    world.loads.take(report(new BackoffFact(target, now, now + REST_MILLIS)));
     assertFalse(chosen("/safe/x").contains("c1"));
 
     listOnly("c1");
@@ -399,7 +399,7 @@
   void aCallThatTheOnlyTargetRefusedForRestIsRefusedAtOnce() {
     listOnly("c1");
     world.ask("/safe/x", caller);
-    Statements shortRest = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
+    Announcements shortRest = Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(1L));
 
     world.last().accepted().listener.answered(head(503, true, shortRest));
 
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
@@ -149,7 +149,7 @@
     pass(100);
     context.noteLost(5_000);
 
-    long told = facts.after(0, 1).get(0).fact().since();
+    long told = facts.after(0, 1).get(0).fact().announcedAt();
     assertEquals(5_100, context.now() - told);
 
     told(2, 3_000);
--- a/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
@@ -11,7 +11,7 @@
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.RestFact;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.TargetFacts;
 import org.junit.jupiter.api.Test;
 
@@ -137,7 +137,7 @@
 
   @Test
   void whatAnotherHostWasAskedForIsNoBarButToldUntilItsEnd() {
-    facts.learn(List.of(new RestFact(TARGET, context.now() - 200, context.now() + 2_800)));
+    facts.learn(List.of(new BackoffFact(TARGET, context.now() - 200, context.now() + 2_800)));
 
     assertTrue(admits());
     assertTrue(rests.restsElsewhere(TARGET));
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
@@ -27,7 +27,7 @@
 
   TargetFactsTest() {
     context.moveTo(1_000_000);
-    facts.onNews(news::add);
+    facts.onChange(news::add);
   }
 
   private void pass(long millis) {
@@ -37,9 +37,9 @@
 
   @Test
   void factsOfDifferentKindsStandBesideEachOther() {
-    facts.hear(new LeavingFact(TARGET, context.now()));
-    facts.hear(new RestFact(TARGET, context.now(), context.now() + 1_000));
-    facts.hear(new LimitFact(TARGET, new AnnouncedLimit(5, context.now())));
+    facts.observe(new LeavingFact(TARGET, context.now()));
+    facts.observe(new BackoffFact(TARGET, context.now(), context.now() + 1_000));
+    facts.observe(new LimitFact(TARGET, new AnnouncedLimit(5, context.now())));
 
     assertEquals(3, news.size());
     for (FactKind kind : FactKind.values()) {
@@ -49,9 +49,9 @@
 
   @Test
   void leavingIsNewsOnceWhoeverTellsItAgain() {
-    facts.hear(new LeavingFact(TARGET, context.now()));
+    facts.observe(new LeavingFact(TARGET, context.now()));
     pass(500);
-    facts.hear(new LeavingFact(TARGET, context.now()));
+    facts.observe(new LeavingFact(TARGET, context.now()));
     facts.learn(List.of(new LeavingFact(TARGET, context.now() - 900)));
 
     assertEquals(1, news.size());
@@ -60,10 +60,10 @@
 
   @Test
   void theLaterEndOfTwoRestsHoldsInAnyOrder() {
-    facts.learn(List.of(new RestFact(TARGET, context.now(), context.now() + 3_000)));
-    facts.learn(List.of(new RestFact(TARGET, context.now(), context.now() + 1_000)));
+    facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 3_000)));
+    facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 1_000)));
 
-    RestFact rest = (RestFact) facts.find(FactKind.REST, TARGET).orElseThrow();
+    BackoffFact rest = (BackoffFact) facts.find(FactKind.REST, TARGET).orElseThrow();
 
     assertEquals(context.now() + 3_000, rest.until());
   }
@@ -71,7 +71,7 @@
   /** A store that comes back from an older copy, or an entry that lapsed, names the run again. */
   @Test
   void thatARunLeavesIsRememberedForLongAfterItsEntryHasGone() {
-    facts.hear(new LeavingFact(TARGET, context.now()));
+    facts.observe(new LeavingFact(TARGET, context.now()));
     listed.clear();
 
     pass(300_000);
@@ -85,10 +85,10 @@
 
   @Test
   void whatNoKindCanHaveMakesNoFact() {
-    assertEquals(Optional.empty(), FactKind.LIMIT.make(TARGET, OptionalDouble.of(-1), 0));
-    assertEquals(Optional.empty(), FactKind.REST.make(TARGET, OptionalDouble.empty(), 0));
-    RestFact longest =
-        (RestFact) FactKind.REST.make(TARGET, OptionalDouble.of(1e12), 50).orElseThrow();
-    assertEquals(50 + StatementReader.LONGEST_REST_MILLIS, longest.until());
+    assertEquals(Optional.empty(), FactKind.LIMIT.create(TARGET, OptionalDouble.of(-1), 0));
+    assertEquals(Optional.empty(), FactKind.REST.create(TARGET, OptionalDouble.empty(), 0));
+    BackoffFact longest =
+        (BackoffFact) FactKind.REST.create(TARGET, OptionalDouble.of(1e12), 50).orElseThrow();
+    assertEquals(50 + AnnouncementParser.MAX_BACKOFF_MILLIS, longest.until());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
@@ -30,8 +30,8 @@
   @Test
   void eachNameIsLoggedOnceForEachService() {
     for (int answer = 0; answer < 3; answer++) {
-      unknown.note(SERVICE, TARGET, Map.of("x-new", "value " + answer));
-      unknown.note(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
+      unknown.log(SERVICE, TARGET, Map.of("x-new", "value " + answer));
+      unknown.log(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
     }
 
     List<Action.Note> notes = notes();
@@ -43,7 +43,7 @@
   @Test
   void aTargetThatMakesNamesUpFillsNoLog() {
     for (int name = 0; name < 10_000; name++) {
-      unknown.note(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
+      unknown.log(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
     }
 
     List<Action.Note> notes = notes();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -12,8 +12,8 @@
 import org.gatereel.core.forward.ProbeResult;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.TargetDialect;
 import org.gatereel.forward.TargetReport;
@@ -34,7 +34,7 @@
   private final TargetDialect dialect;
   private final TargetPort.ProbeListener listener;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private Statements said = Statements.NONE;
+  private Announcements said = Announcements.NONE;
   private boolean refused;
   private boolean answered;
 
@@ -93,8 +93,8 @@
     TargetReport report = dialect.readReport(body.toByteArray());
     boolean same = report.born().equals(OptionalLong.of(probed.born()));
     if (same) {
-      Statements all = said.withUnknownFields(report.unknown());
-      listener.heard(report.leaving() ? all.withLeaving(new Statement.Said<>(true)) : all);
+      Announcements all = said.withUnknownFields(report.unknown());
+      listener.heard(report.leaving() ? all.withLeaving(new Announcement.Announced<>(true)) : all);
     }
     if (report.born().isEmpty()) {
       listener.probed(ProbeResult.ANSWERED);
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/StatementHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/StatementHeaders.java
@@ -7,33 +7,33 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.StatementReader;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.AnnouncementParser;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.HeaderNames;
 
 /** Reads what the head of a target's answer says of the target; the only place that does. */
 final class StatementHeaders {
   private StatementHeaders() {}
 
-  static Statements read(HttpResponse head, HeaderNames names) {
+  static Announcements read(HttpResponse head, HeaderNames names) {
     HttpHeaders headers = head.headers();
-    return new Statements(
-        StatementReader.limit(headers.getAll(names.limit())),
-        StatementReader.leaving(headers.getAll(names.leaving())),
+    return new Announcements(
+        AnnouncementParser.limit(headers.getAll(names.limit())),
+        AnnouncementParser.leaving(headers.getAll(names.leaving())),
         rest(head),
         unknown(headers, names));
   }
 
   /** Only with a refusal does the header say for how long the target wants nothing. */
-  private static Statement<Long> rest(HttpResponse head) {
+  private static Announcement<Long> rest(HttpResponse head) {
     int status = head.status().code();
     boolean refuses =
         status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
             || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
     return refuses
-        ? StatementReader.restMillis(head.headers().getAll(HttpHeaderNames.RETRY_AFTER))
-        : Statement.none();
+        ? AnnouncementParser.backoffMillis(head.headers().getAll(HttpHeaderNames.RETRY_AFTER))
+        : Announcement.none();
   }
 
   private static Map<String, String> unknown(HttpHeaders headers, HeaderNames names) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetConnector.java
@@ -23,7 +23,7 @@
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.TargetDescription;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.HeaderNames;
 import org.gatereel.forward.TargetDialect;
@@ -96,7 +96,7 @@
   public void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> heard,
+      Consumer<Announcements> heard,
       Consumer<Optional<Set<String>>> answer) {
     DocumentClient client = new DocumentClient(control.loop(), target.address());
     client.get(
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetHead.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 import org.gatereel.core.forward.AnswerHead;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.HeaderNames;
 
 /** The head of a target's answer, with the headers that the caller is given. */
@@ -16,7 +16,7 @@
     boolean declaresNotRun,
     boolean isAuthentic,
     boolean isEventStream,
-    Statements statements)
+    Announcements statements)
     implements AnswerHead {
   private static final String EVENT_STREAM = "text/event-stream";
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -187,7 +187,7 @@
           fact.kind().name(),
           TargetNames.write(fact.target()),
           fact.value().isPresent() ? fact.value().getAsDouble() : null,
-          Math.max(0, now - fact.since()));
+          Math.max(0, now - fact.announcedAt()));
     }
 
     /** Returns the fact; empty if this version does not know its kind, or its value is none. */
@@ -197,7 +197,7 @@
           .toJavaUtil()
           .filter(known -> target != null)
           .flatMap(
-              known -> known.make(TargetNames.read(target), number, now - Math.max(0, agoMillis)));
+              known -> known.create(TargetNames.read(target), number, now - Math.max(0, agoMillis)));
     }
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
@@ -55,7 +55,7 @@
       AnnouncedLimit limit = requests.limit().limit();
       query.addParam(TARGET, TargetNames.write(requests.limit().target()));
       query.addParam(PER_SECOND, Double.toString(limit.perSecond()));
-      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, now - limit.since())));
+      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, now - limit.announcedAt())));
       query.addParam(DATA_CENTRE, requests.dataCentre().value());
       query.addParam(URGENT, Boolean.toString(requests.urgent()));
       query.addParam(PASSED_ON, Boolean.toString(requests.forwarded()));
--- a/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/http/CallerAnswerTest.java
@@ -27,7 +27,7 @@
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.junit.jupiter.api.Test;
 
 class CallerAnswerTest {
@@ -60,7 +60,7 @@
     for (String length : lengths) {
       headers.set("content-length", length);
     }
-    return new TargetHead(status, headers, false, true, stream, Statements.NONE);
+    return new TargetHead(status, headers, false, true, stream, Announcements.NONE);
   }
 
   private static byte[] bytes(String text) {
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -29,7 +29,7 @@
 import org.gatereel.core.statement.AnnouncedLimit;
 import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.LimitFact;
-import org.gatereel.core.statement.RestFact;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
@@ -237,13 +237,13 @@
             withFacts(
                 bare,
                 new LeavingFact(target, SENT_AT - 300),
-                new RestFact(target, SENT_AT - 200, SENT_AT + 2_800)),
+                new BackoffFact(target, SENT_AT - 200, SENT_AT + 2_800)),
             SENT_AT);
 
     assertEquals(
         List.of(
             new LeavingFact(target, CAME_AT - 300),
-            new RestFact(target, CAME_AT - 200, CAME_AT + 2_800)),
+            new BackoffFact(target, CAME_AT - 200, CAME_AT + 2_800)),
         LoadMessages.read(text, CAME_AT).orElseThrow().targetFacts());
   }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -38,8 +38,8 @@
 import org.gatereel.core.poison.PoisonControl;
 import org.gatereel.core.rollout.RolloutBounds;
 import org.gatereel.core.rollout.RolloutControl;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.target.TargetRegistry;
 
@@ -256,14 +256,14 @@
     public void listPrompts(
         TargetDescription target,
         long timeoutMillis,
-        Consumer<Statements> heard,
+        Consumer<Announcements> heard,
         Consumer<Optional<Set<String>>> answer) {
       time.after(CONNECT_MICROS, () -> step(() -> answer.accept(Optional.empty())));
     }
   }
 
   private record Head(
-      int status, boolean declaresNotRun, boolean isEventStream, Statements statements)
+      int status, boolean declaresNotRun, boolean isEventStream, Announcements statements)
       implements AnswerHead {
     @Override
     public boolean isAuthentic() {
@@ -271,15 +271,15 @@
     }
   }
 
-  private static Statements statements(Optional<TargetSaying> saying) {
+  private static Announcements statements(Optional<TargetSaying> saying) {
     if (saying.isEmpty()) {
-      return Statements.NONE;
+      return Announcements.NONE;
     }
     TargetSaying said = saying.get();
-    Statements leaving =
-        said.leaves() ? Statements.NONE.withLeaving(new Statement.Said<>(true)) : Statements.NONE;
+    Announcements leaving =
+        said.leaves() ? Announcements.NONE.withLeaving(new Announcement.Announced<>(true)) : Announcements.NONE;
     return said.refuses()
-        ? leaving.withRestMillis(new Statement.Said<>(said.restMillis()))
+        ? leaving.withBackoffMillis(new Announcement.Announced<>(said.restMillis()))
         : leaving;
   }
 
@@ -405,10 +405,10 @@
     public void head(int status, boolean notRun, boolean stream) {
       Optional<TargetLimit> limit = engine.limit();
       limit.ifPresent(named -> named.named(time.millis()));
-      Statement<Double> takes =
-          limit.map(named -> Statement.number(named.perSecond())).orElse(Statement.none());
+      Announcement<Double> takes =
+          limit.map(named -> Announcement.number(named.perSecond())).orElse(Announcement.none());
       Optional<TargetSaying> saying = engine.saying();
-      Statements said = statements(saying).withLimit(takes);
+      Announcements said = statements(saying).withLimit(takes);
       saying.ifPresent(word -> word.answered(address, time.millis()));
       back(
           () -> {
