--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyPlan.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyPlan.java
@@ -45,7 +45,7 @@
         left.flatMap(address -> forwarder.targets().findByAddress(service, address))
             .filter(state -> state.firstSeenAt() <= leftAt)
             .filter(forwarder.rollouts().rule(service)::admits)
-            .filter(state -> forwarder.rests().millisTo(state.description().id()) == 0)
+            .filter(state -> forwarder.rests().millisUntilAllowed(state.description().id()) == 0)
             .map(state -> new MemoryCopy(state, request.id()));
     left = Optional.empty();
     return taken;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -21,7 +21,7 @@
 import org.gatereel.core.overload.OverloadControl;
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.poison.PoisonControl;
-import org.gatereel.core.rest.Rests;
+import org.gatereel.core.rest.TargetBackoffs;
 import org.gatereel.core.rollout.RolloutControl;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.TargetFact;
@@ -47,7 +47,7 @@
   private final PoisonControl poison;
   private final TargetEnds targetEnds;
   private final TargetLimits limits;
-  private final Rests rests;
+  private final TargetBackoffs rests;
   private final StatementIntake statements;
   private final Set<Exchange> open = new LinkedHashSet<>();
   private final Set<TargetId> probing = new HashSet<>();
@@ -82,17 +82,17 @@
     this.rollouts = rollouts;
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
     this.limits = new TargetLimits(context, facts, directory, loans);
-    this.rests = new Rests(context, facts);
+    this.rests = new TargetBackoffs(context, facts);
     this.statements = new StatementIntake(context, facts, limits.announced(), rests);
     this.port = new ListeningPort(context, port, statements);
-    this.selector = new TargetSelector(context, targets, loads, directory, rests::restsElsewhere);
+    this.selector = new TargetSelector(context, targets, loads, directory, rests::isBackingOffElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
     this.stopPlan = new StopPlan(context);
-    this.prompts = new PromptLocator(context, targets, this.port, rests::isResting);
+    this.prompts = new PromptLocator(context, targets, this.port, rests::isBackingOff);
     this.poison = poison;
     this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.announced()::perSecond, rests::isResting);
+        new OverloadControl(context, targets, loads, limits.announced()::perSecond, rests::isBackingOff);
     loads.exchangeTargetFacts(facts);
     facts.onChange(this::hear);
     poison.onHeld(this::hold);
@@ -289,7 +289,7 @@
   }
 
   /** Returns the targets that want nothing from this host for now. */
-  public Rests rests() {
+  public TargetBackoffs rests() {
     return rests;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.limit.AnnouncedLimits;
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.rest.Rests;
+import org.gatereel.core.rest.TargetBackoffs;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.Announcement;
@@ -26,12 +26,12 @@
   private final CoreContext context;
   private final TargetFacts facts;
   private final AnnouncedLimits limits;
-  private final Rests rests;
+  private final TargetBackoffs rests;
   private final UnknownHeaders unknown;
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
-  StatementIntake(CoreContext context, TargetFacts facts, AnnouncedLimits limits, Rests rests) {
+  StatementIntake(CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs rests) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
@@ -65,7 +65,7 @@
       facts.observe(new LeavingFact(id, context.now()));
     }
     if (said.backoffMillisOrZero() > 0) {
-      rests.hear(id, said.backoffMillisOrZero());
+      rests.observe(id, said.backoffMillisOrZero());
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -116,7 +116,7 @@
   /** Returns the targets that would do and are sent nothing just now. */
   private Set<TargetId> spent(boolean urgent) {
     Set<TargetId> spent = withoutTokens(urgent);
-    Set<TargetId> resting = forwarder.rests().barred();
+    Set<TargetId> resting = forwarder.rests().blockedTargets();
     return resting.isEmpty() ? spent : Sets.union(spent, resting);
   }
 
@@ -143,7 +143,7 @@
   OptionalLong millisToEndOfRest(boolean again) {
     return query.versions().among(forwarder.targets().notLeaving(service)).stream()
         .filter(target -> again || !tried.contains(target.description().id()))
-        .mapToLong(target -> forwarder.rests().millisTo(target.description().id()))
+        .mapToLong(target -> forwarder.rests().millisUntilAllowed(target.description().id()))
         .filter(millis -> millis > 0)
         .min();
   }
@@ -153,12 +153,12 @@
    * have begun to leave, or to rest, and its version may have been rolled back.
    */
   boolean mayHave(TargetState target) {
-    return forwarder.rests().millisTo(target.description().id()) == 0 && mayHave(target, isNew());
+    return forwarder.rests().millisUntilAllowed(target.description().id()) == 0 && mayHave(target, isNew());
   }
 
   /** Returns whether the target of the present try may be sent it now that it is connected. */
   boolean mayStillHave(TargetState target) {
-    return !forwarder.rests().isResting(target.description().id()) && mayHave(target, triesOut);
+    return !forwarder.rests().isBackingOff(target.description().id()) && mayHave(target, triesOut);
   }
 
   private boolean mayHave(TargetState target, boolean fresh) {
@@ -180,7 +180,7 @@
   Optional<Address> begin(TargetState target) {
     triesOut = isNew();
     tried.add(target.description().id());
-    forwarder.rests().sent(target.description().id());
+    forwarder.rests().recordSent(target.description().id());
     return copiesRuns
         ? copies.begin(target, query.withVersions(forwarder.rollouts().rule(service)))
         : Optional.empty();
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/Reopening.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/SlowStart.java
@@ -7,7 +7,7 @@
  * <p>A target that still wants rest refuses the first at once, so that what goes out before the
  * refusal is known is bounded by how long the way there and back takes.
  */
-final class Reopening {
+final class SlowStart {
   /** Longer than the way to a target and back, between data centres too. */
   private static final long STEP_MILLIS = 100;
 
@@ -18,7 +18,7 @@
   private int sent;
 
   /** Notes that a request is sent. */
-  void noteSent(long now) {
+  void recordSent(long now) {
     if (sent == 0) {
       firstSentAt = now;
     }
@@ -38,12 +38,12 @@
   }
 
   /** Returns when one more is admitted, if none is now. */
-  long nextAt() {
+  long nextAdmissionAt() {
     return firstSentAt + STEP_MILLIS * (Integer.SIZE - Integer.numberOfLeadingZeros(sent));
   }
 
   /** Returns whether the target takes as many as any other again. */
-  boolean isOver(long now) {
+  boolean isComplete(long now) {
     return sent > 0 && steps(now) == STEPS;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/Rests.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
@@ -16,7 +16,7 @@
  * <p>A target asks one host for rest, and binds that host alone. Others are told, and ask elsewhere
  * first: what is too much for the target was sent by all of them.
  */
-public final class Rests {
+public final class TargetBackoffs {
   /** Hosts that were refused together do not come back together. */
   private static final long SPREAD_MILLIS = 100;
 
@@ -30,10 +30,10 @@
   /** What is known of one target's rest; times by the clock that counts suspensions. */
   private static final class Rest {
     private long until = Long.MIN_VALUE;
-    private Reopening reopening = new Reopening();
+    private SlowStart reopening = new SlowStart();
 
     private boolean isOver(long now) {
-      return now >= until && (reopening.isOver(now) || now - until > UNUSED_MILLIS);
+      return now >= until && (reopening.isComplete(now) || now - until > UNUSED_MILLIS);
     }
 
     private boolean admits(long now) {
@@ -46,7 +46,7 @@
    *
    * @param facts by which hosts tell each other of rests
    */
-  public Rests(CoreContext context, TargetFacts facts) {
+  public TargetBackoffs(CoreContext context, TargetFacts facts) {
     this.context = context;
     this.facts = facts;
   }
@@ -56,22 +56,22 @@
    *
    * @param millis for how long, from now on
    */
-  public void hear(TargetId target, long millis) {
+  public void observe(TargetId target, long millis) {
     facts.observe(new BackoffFact(target, context.now(), context.now() + millis));
     Rest rest = rests.computeIfAbsent(target, any -> new Rest());
     long until = context.knowledgeTime() + millis + context.random().nextLong(SPREAD_MILLIS);
     rest.until = Math.max(rest.until, until);
-    rest.reopening = new Reopening();
+    rest.reopening = new SlowStart();
   }
 
   /** Returns whether a target is in the time for which it asked this host for rest. */
-  public boolean isResting(TargetId target) {
+  public boolean isBackingOff(TargetId target) {
     Rest rest = rests.get(target);
     return rest != null && context.knowledgeTime() < rest.until;
   }
 
   /** Returns whether another host was asked for rest, so that this one better asks elsewhere. */
-  public boolean restsElsewhere(TargetId target) {
+  public boolean isBackingOffElsewhere(TargetId target) {
     return facts
         .find(FactKind.REST, target)
         .map(BackoffFact.class::cast)
@@ -80,15 +80,15 @@
   }
 
   /** Notes that a request is sent to a target. */
-  public void sent(TargetId target) {
+  public void recordSent(TargetId target) {
     Rest rest = rests.get(target);
     if (rest != null) {
-      rest.reopening.noteSent(context.knowledgeTime());
+      rest.reopening.recordSent(context.knowledgeTime());
     }
   }
 
   /** Returns the targets that are sent nothing just now. */
-  public Set<TargetId> barred() {
+  public Set<TargetId> blockedTargets() {
     if (rests.isEmpty()) {
       return Set.of();
     }
@@ -105,17 +105,17 @@
   }
 
   /** Returns in how many milliseconds a target may be sent a request; 0 if it may now. */
-  public long millisTo(TargetId target) {
+  public long millisUntilAllowed(TargetId target) {
     Rest rest = rests.get(target);
     long now = context.knowledgeTime();
     if (rest == null || rest.admits(now)) {
       return 0;
     }
-    return now < rest.until ? rest.until - now : Math.max(1, rest.reopening.nextAt() - now);
+    return now < rest.until ? rest.until - now : Math.max(1, rest.reopening.nextAdmissionAt() - now);
   }
 
   /** Returns how many targets rest. */
   public int size() {
-    return (int) rests.keySet().stream().filter(this::isResting).count();
+    return (int) rests.keySet().stream().filter(this::isBackingOff).count();
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -122,7 +122,7 @@
   void whoeverAnswersInPlaceOfTheTargetSaysNothingOfItsRest() {
     String gone = told(head(421, true, RESTS));
 
-    assertEquals(0, world.forwarder.rests().millisTo(new TargetId(gone)));
+    assertEquals(0, world.forwarder.rests().millisUntilAllowed(new TargetId(gone)));
   }
 
   @Test
@@ -354,7 +354,7 @@
 
     world.pass(REST_MILLIS - 1);
 
-    assertTrue(world.forwarder.rests().isResting(new TargetId(early.target())));
+    assertTrue(world.forwarder.rests().isBackingOff(new TargetId(early.target())));
   }
 
   @Test
@@ -435,7 +435,7 @@
             .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.forwarder.rests().hear(holder.id(), REST_MILLIS);
+    world.forwarder.rests().observe(holder.id(), REST_MILLIS);
 
     world.fail(run, TargetFailure.RESET);
 
@@ -447,7 +447,7 @@
   void noTokenIsAskedForATargetThatRests() {
     for (String counter : new String[] {"c1", "c2", "c3"}) {
       world.forwarder.limits().announced().observe(new TargetId(counter), 5, 0);
-      world.forwarder.rests().hear(new TargetId(counter), REST_MILLIS);
+      world.forwarder.rests().observe(new TargetId(counter), REST_MILLIS);
     }
 
     world.ask("/safe/x", caller);
--- a/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/TargetBackoffsTest.java
@@ -15,7 +15,7 @@
 import org.gatereel.core.statement.TargetFacts;
 import org.junit.jupiter.api.Test;
 
-class RestsTest {
+class TargetBackoffsTest {
   private static final TargetId TARGET = new TargetId("t1", 7);
   private static final TargetId NEXT_RUN = new TargetId("t1", 8);
   private static final long BACK_WITHIN_MILLIS = 200;
@@ -23,9 +23,9 @@
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetFacts facts = new TargetFacts(context, any -> true);
-  private final Rests rests = new Rests(context, facts);
+  private final TargetBackoffs rests = new TargetBackoffs(context, facts);
 
-  RestsTest() {
+  TargetBackoffsTest() {
     context.moveTo(100_000);
   }
 
@@ -35,8 +35,8 @@
   }
 
   private boolean admits() {
-    boolean admits = !rests.barred().contains(TARGET);
-    assertEquals(admits, rests.millisTo(TARGET) == 0);
+    boolean admits = !rests.blockedTargets().contains(TARGET);
+    assertEquals(admits, rests.millisUntilAllowed(TARGET) == 0);
     return admits;
   }
 
@@ -44,7 +44,7 @@
   private int send(int most) {
     int sent = 0;
     while (sent < most && admits()) {
-      rests.sent(TARGET);
+      rests.recordSent(TARGET);
       sent++;
     }
     return sent;
@@ -53,12 +53,12 @@
   @Test
   void aTargetThatAskedForNothingIsAdmitted() {
     assertTrue(admits());
-    assertEquals(Set.of(), rests.barred());
+    assertEquals(Set.of(), rests.blockedTargets());
   }
 
   @Test
   void nothingIsSentUntilTheEndAndSomethingSoonAfterIt() {
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
     for (int millis = 0; millis < 3_000; millis += 10) {
       assertFalse(admits());
       pass(10);
@@ -71,20 +71,20 @@
 
   @Test
   void itBindsOneRunAlone() {
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
 
-    assertEquals(0, rests.millisTo(NEXT_RUN));
-    assertFalse(rests.restsElsewhere(NEXT_RUN));
+    assertEquals(0, rests.millisUntilAllowed(NEXT_RUN));
+    assertFalse(rests.isBackingOffElsewhere(NEXT_RUN));
   }
 
   @Test
   void ofSeveralTheLongestHolds() {
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
     pass(500);
-    rests.hear(TARGET, 1_000);
+    rests.observe(TARGET, 1_000);
     pass(2_400);
     assertFalse(admits());
-    rests.hear(TARGET, 1_000);
+    rests.observe(TARGET, 1_000);
     pass(900);
     assertFalse(admits());
   }
@@ -92,7 +92,7 @@
   /** The target's clock went on while this host's stood still. */
   @Test
   void timeInWhichTheHostWasSuspendedCounts() {
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
 
     context.noteLost(3_000 + BACK_WITHIN_MILLIS);
 
@@ -101,11 +101,11 @@
 
   @Test
   void afterTheEndOneIsSentAndThenTwiceAsManyEachStep() {
-    rests.hear(TARGET, 1_000);
+    rests.observe(TARGET, 1_000);
     pass(1_000 + BACK_WITHIN_MILLIS);
 
     assertEquals(1, send(1_000));
-    assertTrue(rests.millisTo(TARGET) <= 100);
+    assertTrue(rests.millisUntilAllowed(TARGET) <= 100);
     pass(100);
     assertEquals(1, send(1_000));
     pass(100);
@@ -119,7 +119,7 @@
   void aTargetThatWantsMoreRestHasTwoRequestsAtTheMost() {
     int sent = 0;
     for (int round = 0; round < 10; round++) {
-      rests.hear(TARGET, 1_000);
+      rests.observe(TARGET, 1_000);
       pass(1_000 + BACK_WITHIN_MILLIS);
       sent += send(1_000);
     }
@@ -129,7 +129,7 @@
 
   @Test
   void aTargetThatNobodyNeededForAWhileIsLikeAnyOther() {
-    rests.hear(TARGET, 1_000);
+    rests.observe(TARGET, 1_000);
     pass(12_000);
 
     assertEquals(1_000, send(1_000));
@@ -140,21 +140,21 @@
     facts.learn(List.of(new BackoffFact(TARGET, context.now() - 200, context.now() + 2_800)));
 
     assertTrue(admits());
-    assertTrue(rests.restsElsewhere(TARGET));
+    assertTrue(rests.isBackingOffElsewhere(TARGET));
     pass(2_800);
-    assertFalse(rests.restsElsewhere(TARGET));
+    assertFalse(rests.isBackingOffElsewhere(TARGET));
   }
 
   @Test
   void hostsAreToldOfARestOnceAndOfAnEndThatIsMuchLater() {
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
     long told = facts.after(0, 10).get(0).number();
     pass(100);
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
     assertEquals(List.of(), facts.after(told, 10));
 
     pass(1_400);
-    rests.hear(TARGET, 3_000);
+    rests.observe(TARGET, 3_000);
 
     assertEquals(1, facts.after(told, 10).size());
   }
