--- a/gatereel-core/src/main/java/org/gatereel/core/choice/Candidate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/Candidate.java
@@ -6,34 +6,37 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * A target that may be chosen, and what is known of it.
+ * A target that may be selected, with what is known about it.
  *
- * @param otherHosts what all other hosts have there, as far as they have told
- * @param backsOffElsewhere whether it asked another host for rest
+ * @param otherHosts the load that all other hosts have reported at the target
+ * @param backsOffElsewhere whether the target has requested a backoff from another host
  */
 record Candidate(
-    TargetState target, TargetLoad otherHosts, boolean backsOffElsewhere, SelectionContext context) {
-  /** Returns by how many errors the target stands out among those of its service. */
+    TargetState target,
+    TargetLoad otherHosts,
+    boolean backsOffElsewhere,
+    SelectionContext context) {
+  /** Returns by how much the recent errors of the target exceed the baseline of its service. */
   double excessErrors() {
     return context.errorBaseline().excess(target.localErrors(context.now()) + otherHosts.errors());
   }
 
-  /** Returns the requests that the target probably has, of all hosts. */
+  /** Returns the estimated number of open requests at the target, of all hosts. */
   double openRequests() {
     return target.estimatedLoad(context.now()) + otherHosts.open();
   }
 
-  /** Returns the prompts that the target is probably reading, of all hosts. */
+  /** Returns the estimated number of prompts that the target is reading, of all hosts. */
   int prefills() {
     return target.localPrefills() + otherHosts.reading();
   }
 
-  /** Returns the copies of runs that the target probably holds, of all hosts. */
+  /** Returns the estimated number of execution copies that the target holds, of all hosts. */
   int copies() {
     return target.localCopies() + otherHosts.copies();
   }
 
-  /** Returns whether the target's memory probably has no room for one more request. */
+  /** Returns whether the memory of the target is estimated to have no room for one more request. */
   boolean isMemoryFull() {
     return openRequests() + copies() + 1 > context.fittingRequests();
   }
@@ -50,19 +53,24 @@
     return target.description().kind() == TargetKind.ENGINE;
   }
 
-  /** Returns whether this host passes the target over because it failed here. */
+  /** Returns whether this host avoids the target after a failure that it observed itself. */
   boolean isFailing() {
     return target.isFailing(context.now());
   }
 
-  /** Returns whether another host saw the target fail, and this one no sign of it since. */
+  /** Returns whether another host has reported a failure since this host last received data. */
   boolean failedElsewhere() {
     return TargetHealth.isRecent(otherHosts.failedAt(), context.now())
         && otherHosts.failedAt() > target.lastDataAt();
   }
 
-  /** Returns by how many targets its data centre is doubted; 0 if the target itself works. */
+  /**
+   * Returns by how many targets the failures in its data centre exceed the successes; 0 if the
+   * target itself has worked since the last failure.
+   */
   int excessDataCentreFailures() {
-    return context.dataCentreFailures().of(target, TargetHealth.of(target, otherHosts, context.now()));
+    return context
+        .dataCentreFailures()
+        .excess(target, TargetHealth.of(target, otherHosts, context.now()));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/CostTerm.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/CostTerm.java
@@ -1,94 +1,96 @@
 package org.gatereel.core.choice;
 
 /**
- * One reason for which a target is better or worse than another, in units of one open request.
+ * One term of the cost by which targets are compared, in units of one open request.
  *
- * <p>Each is a cost, so that a reason to prefer a target is negative.
+ * <p>A negative cost makes a target preferable.
  */
 public enum CostTerm {
-  /** Requests share the steps of an engine, or the workers of a plain service. */
+  /** Open requests share the steps of an engine, or the workers of a plain service. */
   OPEN {
     @Override
     double cost(Candidate candidate) {
       return candidate.openRequests();
     }
   },
-  /** Two prompts at one engine hold each other up, and all that runs there. */
+  /** Reading a prompt delays all other requests at the same engine. */
   READING {
     @Override
     double cost(Candidate candidate) {
-      return READING_LOAD * candidate.prefills();
+      return READING_COST * candidate.prefills();
     }
   },
-  /** A copy may become a run, and takes memory until then. */
+  /** A copy takes memory and may be resumed as an execution. */
   COPIES {
     @Override
     double cost(Candidate candidate) {
-      return COPY_LOAD * candidate.copies();
+      return COPY_COST * candidate.copies();
     }
   },
-  /** An engine out of memory drops the newest run, whose prompt is then read again. */
+  /**
+   * An engine that is out of memory drops its newest execution, whose prompt is then read again.
+   */
   MEMORY {
     @Override
     double cost(Candidate candidate) {
-      return candidate.isMemoryFull() ? DOUBTED_LOAD : 0;
+      return candidate.isMemoryFull() ? SUSPECTED_COST : 0;
     }
   },
-  /** Bytes between data centres are paid for, and a cut between them breaks the request. */
+  /** Traffic between data centres is charged for, and a network partition breaks the request. */
   DISTANCE {
     @Override
     double cost(Candidate candidate) {
-      double cost = candidate.isEngine() ? FAR_RUN_LOAD : FAR_CALL_LOAD;
+      double cost = candidate.isEngine() ? REMOTE_EXECUTION_COST : REMOTE_CALL_COST;
       return candidate.isRemote() ? cost : 0;
     }
   },
-  /** This host saw it fail and waits before it asks again. */
+  /** This host observed a failure of the target and waits for a backoff. */
   FAILING {
     @Override
     double cost(Candidate candidate) {
-      return candidate.isFailing() ? FAILING_LOAD : 0;
+      return candidate.isFailing() ? FAILING_COST : 0;
     }
   },
-  /** Another host saw it fail: a reason to ask elsewhere first, no proof. */
+  /** Another host reported a failure, which this host has not observed itself. */
   FAILED_ELSEWHERE {
     @Override
     double cost(Candidate candidate) {
-      return candidate.failedElsewhere() ? DOUBTED_LOAD : 0;
+      return candidate.failedElsewhere() ? SUSPECTED_COST : 0;
     }
   },
-  /** It asked another host for rest: what all send is too much for it. */
+  /** The target requested a backoff from another host, so the total load is too high for it. */
   RESTS_ELSEWHERE {
     @Override
     double cost(Candidate candidate) {
-      return candidate.backsOffElsewhere() ? DOUBTED_LOAD : 0;
+      return candidate.backsOffElsewhere() ? SUSPECTED_COST : 0;
     }
   },
-  /** It answers with errors more often than others of its service. */
+  /** The target returns more errors than other targets of its service. */
   ERRORS {
     @Override
     double cost(Candidate candidate) {
-      return ERROR_LOAD * candidate.excessErrors();
+      return ERROR_COST * candidate.excessErrors();
     }
   },
-  /** Others of its data centre failed just now, and they often fail together. */
+  /** Other targets of the data centre failed recently; such failures are often correlated. */
   DATA_CENTRE_DOUBTED {
     @Override
     double cost(Candidate candidate) {
-      return DOUBTED_LOAD * candidate.excessDataCentreFailures();
+      return SUSPECTED_COST * candidate.excessDataCentreFailures();
     }
   },
-  /** It has read the prompt before, which spares all that runs there the time to read it. */
+  /** The target has cached the prompt, so it need not read it again. */
   PROMPT_READ {
     @Override
     double cost(Candidate candidate) {
-      return candidate.hasPromptCached() ? -PROMPT_LOAD : 0;
+      return candidate.hasPromptCached() ? -PROMPT_CACHED_COST : 0;
     }
   },
-  /** Hosts that know the same must not all choose the same. */
+  /** Prevents hosts with the same information from selecting the same target. */
   JITTER {
     @Override
     double cost(Candidate candidate) {
-      return JITTER_LOAD * candidate.context().random().nextDouble();
+      return MAX_JITTER_COST * candidate.context().random().nextDouble();
     }
 
     @Override
@@ -97,52 +99,46 @@
     }
   };
 
-  /**
-   * Beside the request itself, which counts as open: a prompt waits for the one before it, about a
-   * second.
-   */
-  private static final double READING_LOAD = 2;
-
-  /** About one copy in seven is used. */
-  private static final double COPY_LOAD = 0.3;
+  /** Added to the cost of the open request itself. */
+  private static final double READING_COST = 2;
 
-  /**
-   * A run is broken by each cut between the data centres as long as it lasts; more than this leaves
-   * near engines with several prompts to read while others have none.
-   */
-  private static final double FAR_RUN_LOAD = 1.5;
+  /** Less than an open request, because most copies are never resumed. */
+  private static final double COPY_COST = 0.3;
 
-  /** One open call outweighs it, so that calls go elsewhere as soon as near ones take longer. */
-  private static final double FAR_CALL_LOAD = 0.5;
+  /** Kept low enough to use a remote engine when local engines have several prompts to read. */
+  private static final double REMOTE_EXECUTION_COST = 1.5;
 
   /**
-   * Larger than loads usually differ for some six seconds after one error that stands out: a target
-   * that answers with errors at once has little open, and would draw requests.
+   * Less than one open request, so that calls go to another data centre when local targets are
+   * slower.
    */
-  private static final double ERROR_LOAD = 6;
+  private static final double REMOTE_CALL_COST = 0.5;
+
+  /** Outweighs the low load of a target that fails each request immediately. */
+  private static final double ERROR_COST = 6;
 
-  /** Larger than any load, so that a failing target is chosen only if there is no other. */
-  private static final double FAILING_LOAD = 100;
+  /** Exceeds any load, so that a failing target is selected only if there is no other. */
+  private static final double FAILING_COST = 100;
 
-  /** Larger than loads usually differ, smaller than what this host saw itself. */
-  private static final double DOUBTED_LOAD = 10;
+  /** Exceeds usual differences in load, but not {@link #FAILING_COST}. */
+  private static final double SUSPECTED_COST = 10;
 
-  /** What a prompt costs the runs of an engine that has usual company, and its distance beside. */
-  private static final double PROMPT_LOAD = 6.5;
+  /** Outweighs {@link #REMOTE_EXECUTION_COST} and a usual difference in load. */
+  private static final double PROMPT_CACHED_COST = 6.5;
 
-  /** Less than the smallest difference that matters otherwise. */
-  private static final double JITTER_LOAD = 0.25;
+  /** Less than the smallest significant difference of the other terms. */
+  private static final double MAX_JITTER_COST = 0.25;
 
-  private static final CostTerm[] ALL = values();
+  private static final CostTerm[] TERMS = values();
 
   abstract double cost(Candidate candidate);
 
-  /** Returns whether this says something of a target, as chance does not. */
+  /** Returns whether the term is listed among the reasons of a choice. */
   boolean isReported() {
     return true;
   }
 
-  /** Returns whether nothing speaks against a target but its load. */
+  /** Returns whether no failure, error or backoff of the target is known. */
   static boolean isHealthy(Candidate candidate) {
     return !candidate.isFailing()
         && !candidate.failedElsewhere()
@@ -151,11 +147,10 @@
         && candidate.excessDataCentreFailures() == 0;
   }
 
-  /** Sums up what all considerations say of a target. */
   static double totalCost(Candidate candidate) {
     double sum = 0;
-    for (CostTerm consideration : ALL) {
-      sum += consideration.cost(candidate);
+    for (CostTerm term : TERMS) {
+      sum += term.cost(candidate);
     }
     return sum;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/DataCentreFailures.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/DataCentreFailures.java
@@ -7,65 +7,63 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * The data centres where lately more targets of a service failed than have worked since, and by how
- * many.
+ * Counts, for each data centre, by how many targets of a service recent failures exceed recent
+ * successes.
  *
- * <p>A target that nobody asked says nothing, and one that worked before the last failure beside it
- * may have ended with it: when all engines of a data centre end together, the first that is found
- * so stands against all that others were known to run there. A target found to have ended counts as
- * well: those beside it may have ended with it, which the list does not tell yet.
+ * <p>A success counts only if it is later than the last failure in the data centre. Targets without
+ * recent requests are not counted. Targets that have ended count as failed, because others in the
+ * data centre may have ended with them before the target list shows it.
  */
 final class DataCentreFailures {
   private final long now;
   private final Map<DataCentre, Long> lastFailures = new HashMap<>();
-  private final Map<DataCentre, Integer> doubts = new HashMap<>();
+  private final Map<DataCentre, Integer> excessFailures = new HashMap<>();
 
   private DataCentreFailures(long now) {
     this.now = now;
   }
 
-  /** Sums up what was seen of targets. */
   static DataCentreFailures of(
-      Iterable<TargetState> targets, Function<TargetState, TargetHealth> seen, long now) {
-    DataCentreFailures summed = new DataCentreFailures(now);
-    Map<TargetState, TargetHealth> evidence = new HashMap<>();
+      Iterable<TargetState> targets, Function<TargetState, TargetHealth> health, long now) {
+    DataCentreFailures failures = new DataCentreFailures(now);
+    Map<TargetState, TargetHealth> healthByTarget = new HashMap<>();
     for (TargetState target : targets) {
-      TargetHealth found = seen.apply(target);
-      evidence.put(target, found);
-      if (found.failed()) {
-        summed.lastFailures.merge(dataCentre(target), found.failedAt(), Math::max);
+      TargetHealth targetHealth = health.apply(target);
+      healthByTarget.put(target, targetHealth);
+      if (targetHealth.failed()) {
+        failures.lastFailures.merge(dataCentre(target), targetHealth.failedAt(), Math::max);
       }
     }
-    evidence.forEach(summed::count);
-    return summed;
+    healthByTarget.forEach(failures::count);
+    return failures;
   }
 
   private static DataCentre dataCentre(TargetState target) {
     return target.description().dataCentre();
   }
 
-  private void count(TargetState target, TargetHealth seen) {
-    if (seen.failed()) {
-      doubts.merge(dataCentre(target), 1, Integer::sum);
-    } else if (workedSince(target, seen)) {
-      doubts.merge(dataCentre(target), -1, Integer::sum);
+  private void count(TargetState target, TargetHealth health) {
+    if (health.failed()) {
+      excessFailures.merge(dataCentre(target), 1, Integer::sum);
+    } else if (workedSince(target, health)) {
+      excessFailures.merge(dataCentre(target), -1, Integer::sum);
     }
   }
 
-  private boolean workedSince(TargetState target, TargetHealth seen) {
-    return seen.workedSince(lastFailures.getOrDefault(dataCentre(target), Long.MIN_VALUE), now);
+  private boolean workedSince(TargetState target, TargetHealth health) {
+    return health.workedSince(lastFailures.getOrDefault(dataCentre(target), Long.MIN_VALUE), now);
   }
 
   /**
-   * Returns by how many targets the data centre of a target is doubted: 0 if it is not, or if the
-   * target itself has worked since.
+   * Returns the excess of failures in the data centre of a target; 0 if there is none or the target
+   * itself has worked since the last failure.
    */
-  int of(TargetState target, TargetHealth seen) {
-    return workedSince(target, seen) ? 0 : of(dataCentre(target));
+  int excess(TargetState target, TargetHealth health) {
+    return workedSince(target, health) ? 0 : excess(dataCentre(target));
   }
 
-  /** Returns by how many targets a data centre is doubted, 0 if it is not. */
-  int of(DataCentre dataCentre) {
-    return Math.max(0, doubts.getOrDefault(dataCentre, 0));
+  /** Returns the excess of failures in a data centre; 0 if there is none. */
+  int excess(DataCentre dataCentre) {
+    return Math.max(0, excessFailures.getOrDefault(dataCentre, 0));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/ErrorBaseline.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/ErrorBaseline.java
@@ -5,21 +5,19 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * How many errors the targets of a service gave lately, and which number stands out.
+ * The number of recent errors above which a target of a service is an outlier.
  *
- * <p>A target that answers each request with an error at once looks as if it had nothing to do, and
- * draws more of them. But on some routes errors are the request's own, and all targets give some:
- * what counts is more than half of the targets gave. So none stands out where all are alike, and
- * never more than half of them do.
+ * <p>The threshold lies above the median of all targets of the service, because errors that are
+ * caused by the requests themselves occur at all targets. At most half of the targets are outliers.
  */
 final class ErrorBaseline {
-  /** Counts differ by chance by about the root of their mean; twice that is seldom chance. */
-  private static final double CHANCE = 2;
+  /** Number of standard deviations above the median, for counts with a Poisson distribution. */
+  private static final double DEVIATION_FACTOR = 2;
 
-  private final double most;
+  private final double threshold;
 
-  private ErrorBaseline(double most) {
-    this.most = most;
+  private ErrorBaseline(double threshold) {
+    this.threshold = threshold;
   }
 
   static ErrorBaseline of(Collection<TargetState> targets, ToDoubleFunction<TargetState> errors) {
@@ -28,12 +26,13 @@
       return new ErrorBaseline(Double.POSITIVE_INFINITY);
     }
     double median = counts[(counts.length - 1) / 2];
-    boolean alike = counts[counts.length - 1] == 0;
-    return new ErrorBaseline(alike ? Double.POSITIVE_INFINITY : median + CHANCE * Math.sqrt(median));
+    boolean allZero = counts[counts.length - 1] == 0;
+    return new ErrorBaseline(
+        allZero ? Double.POSITIVE_INFINITY : median + DEVIATION_FACTOR * Math.sqrt(median));
   }
 
-  /** Returns by how much a number of errors exceeds what is usual; 0 if it does not. */
+  /** Returns by how much a number of errors exceeds the threshold; 0 if it does not. */
   double excess(double errors) {
-    return Math.max(0, errors - most);
+    return Math.max(0, errors - threshold);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/HostCount.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/HostCount.java
@@ -1,10 +1,10 @@
 package org.gatereel.core.choice;
 
-/** Tells how many hosts choose among the same targets. */
+/** Counts the hosts that select among the same targets. */
 public interface HostCount {
-  /** Returns how many hosts there are; at least one. */
+  /** Returns the number of hosts in all data centres; at least one. */
   int allHosts();
 
-  /** Returns how many of them are in this data centre; at least one. */
+  /** Returns the number of hosts in the data centre of this host; at least one. */
   int localHosts();
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/SelectionContext.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/SelectionContext.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.TargetId;
 
-/** What is the same for all candidates of one choice. */
+/** The inputs that all candidates of one selection share. */
 record SelectionContext(
     long now,
     DataCentre localDataCentre,
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetChoice.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetChoice.java
@@ -5,24 +5,24 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * A target that was chosen.
+ * A selected target.
  *
- * @param reasons what each consideration that had something to say said of it, for the log
+ * @param reasons the terms with a non-zero cost as {@code TERM:cost}, for the log
  */
 public record TargetChoice(TargetState target, String reasons) {
   private static final String NONE = "-";
 
-  /** Takes a target for which there is no alternative. */
+  /** Returns a choice without alternatives, which has no reasons. */
   public static TargetChoice only(TargetState target) {
     return new TargetChoice(target, NONE);
   }
 
   static TargetChoice of(Candidate candidate) {
     StringJoiner reasons = new StringJoiner(",").setEmptyValue(NONE);
-    for (CostTerm consideration : CostTerm.values()) {
-      double cost = consideration.isReported() ? consideration.cost(candidate) : 0;
+    for (CostTerm term : CostTerm.values()) {
+      double cost = term.isReported() ? term.cost(candidate) : 0;
       if (cost != 0) {
-        reasons.add(consideration + ":" + String.format(Locale.ROOT, "%.1f", cost));
+        reasons.add(term + ":" + String.format(Locale.ROOT, "%.1f", cost));
       }
     }
     return new TargetChoice(candidate.target(), reasons.toString());
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
@@ -5,50 +5,44 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * What was lately seen of a target, here or by other hosts.
+ * The most recent outcomes of requests to a target, observed by this host or reported by others.
  *
- * @param failed whether the latest that was seen is a failure
- * @param failedAt when it last failed
- * @param workedAt when it last worked
+ * @param failed whether the latest outcome is a recent failure
+ * @param failedAt when the target last failed, in milliseconds
+ * @param workedAt when the target last worked, in milliseconds
  */
 record TargetHealth(boolean failed, long failedAt, long workedAt) {
-  /**
-   * How long something seen says something of the present: longer than engines of a data centre
-   * that fail together stay apart in time, shorter than most restarts take.
-   */
-  private static final long RECENT_MILLIS = 1_500;
+  /** Longer than the spread of correlated failures in a data centre, shorter than most restarts. */
+  private static final long RECENT_WINDOW_MILLIS = 1_500;
 
-  /**
-   * How long the news of a failure is on its way: gathered, passed on, and held back on a link that
-   * has much to say.
-   */
-  private static final long NEWS_MILLIS = 200;
+  /** Upper bound for the delay of a failure report from another host. */
+  private static final long REPORT_DELAY_MILLIS = 200;
 
   /**
-   * Weighs what this host and others saw; the latest decides.
+   * Combines the observations of this host with the reports of others; the latest outcome counts.
    *
-   * <p>Hosts tell failures at once and signs of life never: a run of theirs that nobody reports
-   * broken went well until the moment from which no news can have arrived yet.
+   * <p>Hosts report failures but not successes. An open request of another host counts as a success
+   * up to {@link #REPORT_DELAY_MILLIS} ago if no recent failure was reported.
    */
   static TargetHealth of(TargetState target, TargetLoad others, long now) {
     long failedAt = Math.max(target.lastFailureAt(), others.failedAt());
-    boolean runsElsewhere =
+    boolean executesElsewhere =
         target.description().kind() == TargetKind.ENGINE
             && others.open() > others.reading()
             && !isRecent(others.failedAt(), now);
-    long seenElsewhere = runsElsewhere ? now - NEWS_MILLIS : Long.MIN_VALUE;
+    long workedElsewhereAt = executesElsewhere ? now - REPORT_DELAY_MILLIS : Long.MIN_VALUE;
     return new TargetHealth(
         isRecent(failedAt, now) && failedAt >= target.lastDataAt(),
         failedAt,
-        Math.max(target.lastDataAt(), seenElsewhere));
+        Math.max(target.lastDataAt(), workedElsewhereAt));
   }
 
-  /** Returns whether the target worked after a time, and lately. */
+  /** Returns whether the target worked after a time and within the recent window. */
   boolean workedSince(long time, long now) {
     return !failed && workedAt > time && isRecent(workedAt, now);
   }
 
   static boolean isRecent(long time, long now) {
-    return time > now - RECENT_MILLIS;
+    return time > now - RECENT_WINDOW_MILLIS;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetQuery.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetQuery.java
@@ -6,30 +6,33 @@
 import org.gatereel.core.rollout.VersionRule;
 
 /**
- * What a target is wanted for.
+ * The requirements of a request on its target.
  *
- * @param promptCachedAt the engine that has read this request's prompt, if one is known
- * @param fittingRequests how many requests as large as this one an engine's memory holds
- * @param versions which versions of targets it may go to
+ * @param promptCachedAt the engine that has cached the prompt of this request, if known
+ * @param fittingRequests how many requests of this size fit into the memory of an engine
+ * @param versions the versions of targets that are allowed
  */
 public record TargetQuery(
-    ServiceName service, Optional<TargetId> promptCachedAt, int fittingRequests, VersionRule versions) {
-  /** Makes a query to which any version will do. */
+    ServiceName service,
+    Optional<TargetId> promptCachedAt,
+    int fittingRequests,
+    VersionRule versions) {
+  /** Makes a query that allows any version. */
   public TargetQuery(ServiceName service, Optional<TargetId> readAt, int fitting) {
     this(service, readAt, fitting, VersionRule.ANY);
   }
 
-  /** Leaves out who has read the prompt, which is no reason for where a copy goes. */
+  /** Returns a copy without the engine that has cached the prompt. */
   TargetQuery withoutPromptCache() {
     return new TargetQuery(service, Optional.empty(), fittingRequests, versions);
   }
 
-  /** Says which engine has read the prompt. */
+  /** Returns a copy with the engine that has cached the prompt. */
   public TargetQuery promptCachedAt(TargetId target) {
     return new TargetQuery(service, Optional.of(target), fittingRequests, versions);
   }
 
-  /** Says which versions will do. */
+  /** Returns a copy with other allowed versions. */
   public TargetQuery withVersions(VersionRule rule) {
     return new TargetQuery(service, promptCachedAt, fittingRequests, rule);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -16,149 +16,153 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** Chooses targets for forwarded requests: those of which the considerations cost least. */
+/** Selects targets for requests: the candidate with the lowest total of all {@link CostTerm}s. */
 public final class TargetSelector {
   private final CoreContext context;
   private final TargetRegistry targets;
 
   /**
-   * Up to so many hosts all targets are compared. What more hosts choose before they hear of each
-   * other would meet at the same few targets.
+   * Up to this number of hosts, each compares all targets. More hosts compare samples, so that they
+   * do not all select the same few targets before their load reports arrive.
    */
-  private static final int HOSTS_THAT_COMPARE_ALL = 9;
+  private static final int MAX_HOSTS_COMPARING_ALL = 9;
 
-  /** Enough that a drawn target is rarely among the most loaded. */
-  private static final int LEAST_COMPARED = 4;
+  /** Large enough that a sample rarely consists of heavily loaded targets only. */
+  private static final int MIN_COMPARED = 4;
 
   private final LoadExchange loads;
   private final HostCount hosts;
-  private final Predicate<TargetId> restsElsewhere;
+  private final Predicate<TargetId> backsOffElsewhere;
 
   /**
-   * Makes a selector.
-   *
-   * @param loads tells what other hosts have at targets
-   * @param hosts tells how many hosts choose among the same targets
-   * @param restsElsewhere tells whether a target asked another host for rest
+   * @param loads the loads that other hosts report
+   * @param hosts counts the hosts that select among the same targets
+   * @param backsOffElsewhere tests whether a target has requested a backoff from another host
    */
   public TargetSelector(
       CoreContext context,
       TargetRegistry targets,
       LoadExchange loads,
       HostCount hosts,
-      Predicate<TargetId> restsElsewhere) {
+      Predicate<TargetId> backsOffElsewhere) {
     this.context = context;
     this.targets = targets;
     this.loads = loads;
     this.hosts = hosts;
-    this.restsElsewhere = restsElsewhere;
+    this.backsOffElsewhere = backsOffElsewhere;
   }
 
-  /** Chooses a target for a run; one that fails just now only if there is no other. */
-  public Optional<TargetChoice> choose(TargetQuery query, Set<TargetId> without) {
-    return best(query, target -> !without.contains(target.description().id()));
+  /**
+   * Selects a target; one that is failing only if there is no other.
+   *
+   * @param excluded targets that are not selected
+   */
+  public Optional<TargetChoice> choose(TargetQuery query, Set<TargetId> excluded) {
+    return best(query, target -> !excluded.contains(target.description().id()));
   }
 
   /**
-   * Chooses who is to hold a copy of a run's memory: in another data centre than the runner.
+   * Selects the engine that is to hold a copy of the memory of an execution, in another data centre
+   * than the executor if possible.
    *
-   * <p>A runner in another data centre than this host has its copy in this host's, so that one of
-   * the two is within reach when the data centre is cut off.
+   * <p>If the executor is in another data centre than this host, the copy is kept in the data
+   * centre of this host, so that one of the two stays reachable during a network partition.
    */
-  public Optional<TargetState> chooseCopyHolder(TargetQuery query, TargetState runner) {
-    DataCentre there = runner.description().dataCentre();
-    DataCentre here = context.dataCentre();
-    if (!there.equals(here)) {
-      Optional<TargetState> near = holder(query, target -> isSound(target, here, query.service()));
-      if (near.isPresent()) {
-        return near;
+  public Optional<TargetState> chooseCopyHolder(TargetQuery query, TargetState executor) {
+    DataCentre executorDataCentre = executor.description().dataCentre();
+    DataCentre localDataCentre = context.dataCentre();
+    if (!executorDataCentre.equals(localDataCentre)) {
+      Optional<TargetState> local =
+          bestHolder(query, target -> isHealthy(target, localDataCentre, query.service()));
+      if (local.isPresent()) {
+        return local;
       }
     }
-    Optional<TargetState> apart =
-        holder(query, target -> !target.description().dataCentre().equals(there));
-    return apart.isPresent() ? apart : holder(query, target -> target != runner);
+    Optional<TargetState> remote =
+        bestHolder(query, target -> !target.description().dataCentre().equals(executorDataCentre));
+    return remote.isPresent() ? remote : bestHolder(query, target -> target != executor);
   }
 
-  private Optional<TargetState> holder(TargetQuery query, Predicate<TargetState> allowed) {
+  private Optional<TargetState> bestHolder(TargetQuery query, Predicate<TargetState> allowed) {
     return best(query.withoutPromptCache(), allowed).map(TargetChoice::target);
   }
 
-  private boolean isSound(TargetState target, DataCentre dataCentre, ServiceName service) {
+  private boolean isHealthy(TargetState target, DataCentre dataCentre, ServiceName service) {
     return target.description().dataCentre().equals(dataCentre)
         && !target.isFailing(context.now())
-        && doubts(service).of(dataCentre) == 0;
+        && dataCentreFailures(service).excess(dataCentre) == 0;
   }
 
   private Optional<TargetChoice> best(TargetQuery query, Predicate<TargetState> allowed) {
     List<TargetState> listed = query.versions().among(targets.notLeaving(query.service()));
-    SelectionContext situation =
+    SelectionContext selectionContext =
         new SelectionContext(
             context.now(),
             context.dataCentre(),
             query.fittingRequests(),
-            doubts(query.service()),
+            dataCentreFailures(query.service()),
             ErrorBaseline.of(listed, this::errors),
             query.promptCachedAt(),
             context.random());
     List<Candidate> candidates =
         listed.stream()
             .filter(allowed)
-            .map(target -> candidate(target, situation))
+            .map(target -> candidate(target, selectionContext))
             .collect(Collectors.toCollection(ArrayList::new));
-    Optional<Candidate> drawn = cheapest(draw(candidates));
-    boolean sound = drawn.map(CostTerm::isHealthy).orElse(false);
-    return (sound ? drawn : cheapest(candidates)).map(TargetChoice::of);
+    Optional<Candidate> sampled = lowestCost(sample(candidates));
+    boolean healthy = sampled.map(CostTerm::isHealthy).orElse(false);
+    return (healthy ? sampled : lowestCost(candidates)).map(TargetChoice::of);
   }
 
   private double errors(TargetState target) {
     return target.localErrors(context.now()) + loads.othersAt(target.description().id()).errors();
   }
 
-  private Candidate candidate(TargetState target, SelectionContext situation) {
+  private Candidate candidate(TargetState target, SelectionContext selectionContext) {
     TargetId id = target.description().id();
-    return new Candidate(target, loads.othersAt(id), restsElsewhere.test(id), situation);
+    return new Candidate(target, loads.othersAt(id), backsOffElsewhere.test(id), selectionContext);
   }
 
   /**
-   * Draws the targets that are compared: fewer, the more hosts choose at the same time.
+   * Returns a random sample of the candidates, which is smaller the more hosts there are.
    *
-   * <p>Those of this data centre are drawn apart, so that there are some among the drawn: only its
-   * own hosts prefer them, and a service may have one target alone in each data centre.
+   * <p>Targets of this data centre are sampled separately, so that the sample contains some of
+   * them.
    */
-  private List<Candidate> draw(List<Candidate> candidates) {
-    List<Candidate> drawn = new ArrayList<>();
-    candidates.stream().filter(Candidate::hasPromptCached).forEach(drawn::add);
+  private List<Candidate> sample(List<Candidate> candidates) {
+    List<Candidate> sample = new ArrayList<>();
+    candidates.stream().filter(Candidate::hasPromptCached).forEach(sample::add);
     Map<Boolean, List<Candidate>> byDistance =
         candidates.stream().collect(Collectors.partitioningBy(Candidate::isRemote));
-    draw(byDistance.get(false), hosts.localHosts(), drawn);
-    draw(byDistance.get(true), hosts.allHosts(), drawn);
-    return drawn;
+    sample(byDistance.get(false), hosts.localHosts(), sample);
+    sample(byDistance.get(true), hosts.allHosts(), sample);
+    return sample;
   }
 
-  private void draw(List<Candidate> among, int choosing, List<Candidate> drawn) {
-    int compared = HOSTS_THAT_COMPARE_ALL * among.size() / choosing;
-    int count = Math.min(among.size(), Math.max(LEAST_COMPARED, compared));
+  private void sample(List<Candidate> candidates, int hostCount, List<Candidate> sample) {
+    int compared = MAX_HOSTS_COMPARING_ALL * candidates.size() / hostCount;
+    int count = Math.min(candidates.size(), Math.max(MIN_COMPARED, compared));
     for (int index = 0; index < count; index++) {
-      int other = context.random().nextInt(index, among.size());
-      Collections.swap(among, index, other);
-      drawn.add(among.get(index));
+      int other = context.random().nextInt(index, candidates.size());
+      Collections.swap(candidates, index, other);
+      sample.add(candidates.get(index));
     }
   }
 
-  private static Optional<Candidate> cheapest(List<Candidate> candidates) {
+  private static Optional<Candidate> lowestCost(List<Candidate> candidates) {
     Candidate best = null;
-    double least = Double.POSITIVE_INFINITY;
+    double bestCost = Double.POSITIVE_INFINITY;
     for (Candidate candidate : candidates) {
       double cost = CostTerm.totalCost(candidate);
-      if (cost < least) {
-        least = cost;
+      if (cost < bestCost) {
+        bestCost = cost;
         best = candidate;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private DataCentreFailures doubts(ServiceName service) {
+  private DataCentreFailures dataCentreFailures(ServiceName service) {
     return DataCentreFailures.of(
         targets.known(service),
         target -> TargetHealth.of(target, loads.othersAt(target.description().id()), context.now()),
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The choice of a target for a request, as a sum of small considerations.
+ * Selection of the target for a request.
  *
- * <p>{@link org.gatereel.core.choice.CostTerm} names each reason with its cost; {@link
- * org.gatereel.core.choice.TargetSelector} takes the target with the least sum.
+ * <p>Each {@link org.gatereel.core.choice.CostTerm} adds to the cost of a target; {@link
+ * org.gatereel.core.choice.TargetSelector} selects the target with the lowest total.
  */
 package org.gatereel.core.choice;
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
@@ -36,11 +36,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each consideration alone decides between engines that are alike otherwise. */
+/** Each cost term alone decides between engines that are otherwise equal. */
 class CostTermTest {
   private static final ServiceName ENGINES = new ServiceName("engines");
   private static final Address ELSEWHERE = new Address("10.0.9.9", 7_200);
-  private static final int FITTING = 8;
+  private static final int FITTING_REQUESTS = 8;
 
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
@@ -52,7 +52,7 @@
           new HostDirectory(context, ELSEWHERE),
           ELSEWHERE,
           (to, report, receipt) -> {});
-  private final Set<TargetId> resting = new HashSet<>();
+  private final Set<TargetId> backingOffElsewhere = new HashSet<>();
   private final TargetSelector selector =
       new TargetSelector(
           context,
@@ -69,8 +69,8 @@
               return hosts;
             }
           },
-          resting::contains);
-  private final TargetQuery query = new TargetQuery(ENGINES, Optional.empty(), FITTING);
+          backingOffElsewhere::contains);
+  private final TargetQuery query = new TargetQuery(ENGINES, Optional.empty(), FITTING_REQUESTS);
   private long sequence;
   private int hosts = 6;
 
@@ -99,9 +99,9 @@
     return targets.find(new TargetId(id)).orElseThrow();
   }
 
-  private void othersHave(Map<String, TargetLoad> told) {
-    Map<TargetId, TargetLoad> named = new HashMap<>();
-    told.forEach((id, load) -> named.put(new TargetId(id), load));
+  private void reportLoadsOfOtherHosts(Map<String, TargetLoad> loadsById) {
+    Map<TargetId, TargetLoad> loadsByTarget = new HashMap<>();
+    loadsById.forEach((id, load) -> loadsByTarget.put(new TargetId(id), load));
     loads.take(
         new LoadReport(
             new HostId("h2"),
@@ -110,7 +110,7 @@
             1,
             ++sequence,
             OptionalLong.empty(),
-            named,
+            loadsByTarget,
             Map.of()));
   }
 
@@ -126,26 +126,26 @@
     return choose(query).target().description().id().value();
   }
 
-  private String otherThan(String id) {
+  private String chosenWithout(String id) {
     TargetChoice choice = selector.choose(query, Set.of(new TargetId(id))).orElseThrow();
     return choice.target().description().id().value();
   }
 
   @Test
-  void whatOtherHostsHaveOpenCountsLikeOwnRequests() {
-    othersHave(Map.of("n1", open(2)));
+  void requestsOfOtherHostsCountLikeOwnRequests() {
+    reportLoadsOfOtherHosts(Map.of("n1", open(2)));
     targets.recordOpened(target("n2"));
     targets.recordOpened(target("n2"));
     targets.recordOpened(target("n2"));
 
-    // Three of one's own there, two of others' here, and one hop to an engine without any.
+    // n1 has two requests of another host, n2 three of this host; s1 is idle but remote.
     assertEquals("s1", chosen());
-    othersHave(Map.of("n1", open(2), "s1", open(2)));
+    reportLoadsOfOtherHosts(Map.of("n1", open(2), "s1", open(2)));
     assertEquals("n1", chosen());
   }
 
   @Test
-  void amongEqualsNearOnesAreTakenAndNotAlwaysTheSame() {
+  void choosesAmongAllEqualLocalEngines() {
     Set<String> used = new HashSet<>();
     for (int round = 0; round < 50; round++) {
       used.add(chosen());
@@ -155,16 +155,17 @@
   }
 
   @Test
-  void anEngineThatReadsAPromptIsPassedOverForOneThatRunsAsMuch() {
-    othersHave(Map.of("n1", new TargetLoad(1, 1, 0, 0, TargetLoad.NEVER), "n2", open(1)));
+  void avoidsEngineThatIsReadingAPrompt() {
+    reportLoadsOfOtherHosts(
+        Map.of("n1", new TargetLoad(1, 1, 0, 0, TargetLoad.NEVER), "n2", open(1)));
     targets.recordOpened(target("s1"));
 
     assertEquals("n2", chosen());
   }
 
   @Test
-  void anEngineThatFailedElsewhereIsAskedLastUntilTheNewsIsOld() {
-    othersHave(
+  void avoidsEngineThatFailedElsewhereUntilReportExpires() {
+    reportLoadsOfOtherHosts(
         Map.of("n1", new TargetLoad(0, 0, 0, 0, context.now()), "n2", open(2), "s1", open(2)));
     context.moveTo(context.now() + 201);
     assertEquals("n2", chosen());
@@ -174,8 +175,8 @@
   }
 
   @Test
-  void aSignSinceThenOutweighsWhatOthersSaw() {
-    othersHave(
+  void dataReceivedLaterOverridesReportedFailure() {
+    reportLoadsOfOtherHosts(
         Map.of("n1", new TargetLoad(0, 0, 0, 0, context.now() - 10), "n2", open(1), "s1", open(1)));
     target("n1").recordDataReceived(context.now());
 
@@ -183,7 +184,7 @@
   }
 
   @Test
-  void aDataCentreWhereMostFailedElsewhereIsAvoided() {
+  void avoidsDataCentreWhereMostEnginesFailedElsewhere() {
     targets.applyList(
         new HostList(
             2,
@@ -194,53 +195,55 @@
                 engine("n3", "north"),
                 engine("s1", "south"))));
     TargetLoad failed = new TargetLoad(0, 0, 0, 0, context.now());
-    othersHave(Map.of("n1", failed, "n2", failed, "s1", open(4)));
+    reportLoadsOfOtherHosts(Map.of("n1", failed, "n2", failed, "s1", open(4)));
 
     assertEquals("s1", chosen());
   }
 
-  /** All engines of a data centre end together; what others had there is no sign of life since. */
+  /** All engines of a data centre may end together, so older requests are not a sign of life. */
   @Test
-  void aFailureOutweighsWhatOthersWereKnownToRunBesideIt() {
+  void failureOverridesOlderRequestsOfOtherHostsInTheDataCentre() {
     targets.recordFailure(target("n1"), TargetFailure.RESET);
-    othersHave(Map.of("n2", open(1), "s1", open(3)));
-    assertEquals("s1", otherThan("n1"));
+    reportLoadsOfOtherHosts(Map.of("n2", open(1), "s1", open(3)));
+    assertEquals("s1", chosenWithout("n1"));
 
     context.moveTo(context.now() + 201);
 
-    assertEquals("n2", otherThan("n1"));
+    assertEquals("n2", chosenWithout("n1"));
   }
 
   @Test
-  void anEngineThatFailedHereIsTheLastResort() {
+  void choosesLocallyFailingEngineOnlyWithoutAlternative() {
     targets.recordFailure(target("n1"), TargetFailure.TIMEOUT);
     targets.recordFailure(target("n2"), TargetFailure.TIMEOUT);
-    othersHave(Map.of("s1", open(FITTING + 5)));
+    reportLoadsOfOtherHosts(Map.of("s1", open(FITTING_REQUESTS + 5)));
 
     assertEquals("s1", chosen());
     assertTrue(selector.choose(query, Set.of(new TargetId("s1"))).isPresent());
   }
 
   @Test
-  void theEngineThatHasReadThePromptIsPreferredUnlessItIsFull() {
-    othersHave(Map.of("s1", open(4)));
+  void prefersEngineWithCachedPromptUnlessFull() {
+    reportLoadsOfOtherHosts(Map.of("s1", open(4)));
     TargetQuery resumed = query.promptCachedAt(new TargetId("s1"));
     assertEquals("s1", choose(resumed).target().description().id().value());
-    othersHave(Map.of("s1", open(FITTING)));
+    reportLoadsOfOtherHosts(Map.of("s1", open(FITTING_REQUESTS)));
 
     assertNotEquals("s1", choose(resumed).target().description().id().value());
   }
 
-  /** Lists 40 engines of which others have one request at each but one; returns that one's part. */
-  private double partOfTheIdleOne() {
+  /**
+   * Lists 40 engines, of which one is idle; returns the ratio of choices that select the idle one.
+   */
+  private double ratioOfChoicesOfIdleTarget() {
     List<TargetDescription> many = new ArrayList<>();
-    Map<String, TargetLoad> told = new HashMap<>();
+    Map<String, TargetLoad> loadsById = new HashMap<>();
     for (int index = 0; index < 40; index++) {
       many.add(engine("m" + index, "north"));
-      told.put("m" + index, open(index == 0 ? 0 : 1));
+      loadsById.put("m" + index, open(index == 0 ? 0 : 1));
     }
     targets.applyList(new HostList(3, List.of(), many));
-    othersHave(told);
+    reportLoadsOfOtherHosts(loadsById);
     int rounds = 400;
     long idle = IntStream.range(0, rounds).filter(round -> chosen().equals("m0")).count();
     return (double) idle / rounds;
@@ -248,22 +251,22 @@
 
   @Test
   void fewHostsCompareAllTargets() {
-    assertEquals(1.0, partOfTheIdleOne());
+    assertEquals(1.0, ratioOfChoicesOfIdleTarget());
   }
 
   @Test
-  void manyHostsDoNotAllMeetAtTheOneThatWasIdle() {
+  void manyHostsDoNotAllChooseTheIdleTarget() {
     hosts = 90;
-    double part = partOfTheIdleOne();
+    double ratio = ratioOfChoicesOfIdleTarget();
 
-    // Four of 40 are drawn.
-    assertTrue(part > 0.05 && part < 0.2, "part: " + part);
+    // Four of 40 targets are sampled.
+    assertTrue(ratio > 0.05 && ratio < 0.2, "part: " + ratio);
   }
 
   @Test
-  void aDrawOfFailingTargetsIsNotTheLastWord() {
+  void comparesAllTargetsIfTheSampleIsFailing() {
     hosts = 90;
-    partOfTheIdleOne();
+    ratioOfChoicesOfIdleTarget();
     for (int index = 1; index < 40; index++) {
       targets.recordFailure(target("m" + index), TargetFailure.TIMEOUT);
     }
@@ -277,27 +280,27 @@
   }
 
   @Test
-  void anEngineThatAnswersOtherHostsWithErrorsIsPassedOverThoughItHasNothingToDo() {
-    othersHave(Map.of("n1", errors(1), "n2", open(3), "s1", open(3)));
+  void avoidsIdleEngineThatReturnsErrorsToOtherHosts() {
+    reportLoadsOfOtherHosts(Map.of("n1", errors(1), "n2", open(3), "s1", open(3)));
 
     assertEquals("n2", chosen());
   }
 
   @Test
-  void anEngineThatAnsweredThisHostWithErrorsComesBackWithTime() {
+  void choosesEngineAgainAfterErrorsDecay() {
     targets.recordErrorResponse(target("n1"));
-    othersHave(Map.of("n2", open(2), "s1", open(2)));
+    reportLoadsOfOtherHosts(Map.of("n2", open(2), "s1", open(2)));
     assertEquals("n2", chosen());
 
     context.moveTo(context.now() + 6_000);
-    othersHave(Map.of("n2", open(2), "s1", open(2)));
+    reportLoadsOfOtherHosts(Map.of("n2", open(2), "s1", open(2)));
 
     assertEquals("n1", chosen());
   }
 
   @Test
-  void errorsThatAllTargetsGiveAreNoReason() {
-    othersHave(Map.of("n1", errors(5), "n2", errors(4), "s1", errors(4)));
+  void ignoresErrorsThatAllTargetsReturn() {
+    reportLoadsOfOtherHosts(Map.of("n1", errors(5), "n2", errors(4), "s1", errors(4)));
     targets.recordOpened(target("n2"));
     targets.recordOpened(target("s1"));
 
@@ -305,8 +308,8 @@
   }
 
   @Test
-  void theOneThatGivesFarMoreErrorsThanAllGiveStandsOut() {
-    othersHave(Map.of("n1", errors(14), "n2", errors(4), "s1", errors(4)));
+  void avoidsEngineWithFarMoreErrorsThanOthers() {
+    reportLoadsOfOtherHosts(Map.of("n1", errors(14), "n2", errors(4), "s1", errors(4)));
     targets.recordOpened(target("n2"));
     targets.recordOpened(target("s1"));
 
@@ -314,15 +317,16 @@
   }
 
   @Test
-  void atMostHalfOfTheTargetsArePassedOver() {
-    othersHave(Map.of("n1", errors(9), "n2", errors(9), "s1", open(4)));
+  void avoidsAtMostHalfOfTheTargetsForErrors() {
+    reportLoadsOfOtherHosts(Map.of("n1", errors(9), "n2", errors(9), "s1", open(4)));
 
     assertNotEquals("s1", chosen());
   }
 
   @Test
-  void theLogNamesWhatDecided() {
-    othersHave(Map.of("n1", open(3), "n2", open(3), "s1", new TargetLoad(0, 0, 1, 0, 0)));
+  void reasonsListAllNonZeroTerms() {
+    reportLoadsOfOtherHosts(
+        Map.of("n1", open(3), "n2", open(3), "s1", new TargetLoad(0, 0, 1, 0, 0)));
 
     assertEquals("COPIES:0.3,DISTANCE:1.5", choose(query).reasons());
   }
