--- a/gatereel-core/src/main/java/org/gatereel/core/target/PlacementPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/PlacementPolicy.java
@@ -6,7 +6,7 @@
 
 /** How a target is chosen among those that are usable and have room. */
 public enum PlacementPolicy {
-  /** One after the other, by the number of requests this host has sent. */
+  /** Chooses targets in turn. */
   ROUND_ROBIN {
     @Override
     TargetState choose(
@@ -14,7 +14,10 @@
       return candidates.get((int) Math.floorMod(sequence, (long) candidates.size()));
     }
   },
-  /** The less loaded of two drawn at random, so that many hosts do not follow one late report. */
+  /**
+   * Chooses the less loaded of two random targets, so that hosts with the same outdated load report
+   * do not all choose the same target.
+   */
   TWO_CHOICES {
     @Override
     TargetState choose(
@@ -25,25 +28,28 @@
     }
   },
   /**
-   * The target that the prompt's prefix always goes to, unless it is more loaded than the mean by a
-   * quarter; then the next in the prefix's own order.
+   * Chooses the first target in the rendezvous order of the affinity key whose load is at most
+   * {@link #MAX_LOAD_FACTOR} times the mean.
    */
   PREFIX_AFFINITY {
     @Override
     TargetState choose(
         List<TargetState> candidates, PlacementQuery query, RandomGenerator random, long sequence) {
       double total = candidates.stream().mapToDouble(t -> t.estimatedLoad(query.now())).sum();
-      double bound = BOUND_FACTOR * (total + 1) / candidates.size();
+      double maxLoad = MAX_LOAD_FACTOR * (total + 1) / candidates.size();
       List<TargetState> ranked =
           Rendezvous.rank(
               query.affinityKey(), candidates, target -> target.description().id().value());
       return ranked.stream()
-          .filter(target -> target.estimatedLoad(query.now()) <= bound)
+          .filter(target -> target.estimatedLoad(query.now()) <= maxLoad)
           .findFirst()
           .orElseGet(() -> TWO_CHOICES.choose(candidates, query, random, sequence));
     }
   },
-  /** The least loaded of all by this host's estimate; a baseline that herds. */
+  /**
+   * Chooses the target with the lowest estimated load. Only a baseline for comparisons, because all
+   * hosts choose the same target.
+   */
   LEAST_LOADED {
     @Override
     TargetState choose(
@@ -54,9 +60,9 @@
     }
   };
 
-  private static final double BOUND_FACTOR = 1.25;
+  private static final double MAX_LOAD_FACTOR = 1.25;
 
-  /** Chooses one of {@code candidates}, of which there is at least one. */
+  /** Chooses one of {@code candidates}, which is not empty. */
   abstract TargetState choose(
       List<TargetState> candidates, PlacementQuery query, RandomGenerator random, long sequence);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetListChanges.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetListChanges.java
@@ -6,15 +6,10 @@
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.TargetId;
 
-/**
- * What one list of the platform changes, logged as one line.
- *
- * <p>With a line for each target, lists were 35,234 of the 73,367 lines that 73 hosts wrote in 80
- * s, while a third of 78 targets ended and came back every six seconds and all hosts once.
- */
+/** Collects the changes that one target list of the platform makes, and logs them as one line. */
 final class TargetListChanges {
-  /** Names of each kind that a line shows; their number is always whole. */
-  private static final int MOST_NAMES = 32;
+  /** Maximum number of ids logged for each kind of change. */
+  private static final int MAX_LOGGED_IDS = 32;
 
   private final List<TargetId> added = new ArrayList<>();
   private final List<TargetId> leaving = new ArrayList<>();
@@ -32,7 +27,7 @@
     removed.add(target);
   }
 
-  /** Logs what has changed, if anything has. */
+  /** Logs the changes, if there are any. */
   void log(CoreContext context, long version, int known) {
     if (added.isEmpty() && leaving.isEmpty() && removed.isEmpty()) {
       return;
@@ -51,8 +46,8 @@
     if (targets.isEmpty()) {
       return "";
     }
-    List<String> names = targets.stream().limit(MOST_NAMES).map(TargetId::toString).toList();
-    String more = targets.size() > MOST_NAMES ? ",..." : "";
-    return kind + "=" + targets.size() + ":" + String.join(",", names) + more;
+    List<String> ids = targets.stream().limit(MAX_LOGGED_IDS).map(TargetId::toString).toList();
+    String more = targets.size() > MAX_LOGGED_IDS ? ",..." : "";
+    return kind + "=" + targets.size() + ":" + String.join(",", ids) + more;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -22,70 +22,74 @@
 import org.gatereel.core.model.TargetKind;
 import org.gatereel.core.table.PolicyTable;
 
-/** The targets that this host knows, and the choice among them. */
+/** The targets that this host knows. */
 public final class TargetRegistry {
   /**
-   * A run that leaves stays so when a list names it again: an entry may lapse and return, and the
-   * list may be an older one. Longer than a target serves on after it has said that it leaves.
+   * How long an incarnation is remembered as leaving after it is no longer listed. A list that is
+   * out of date may name it again. Longer than a target serves requests after it announces that it
+   * is leaving.
    */
-  private static final long LEAVING_KEPT_MILLIS = 600_000;
+  private static final long LEAVING_RETENTION_MILLIS = 600_000;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final Map<TargetId, TargetState> targets = new LinkedHashMap<>();
 
-  /** When each run was last said to leave, whether it is listed or not. */
-  private final Map<TargetId, Long> saidToLeave = new HashMap<>();
+  /** When each incarnation was last reported to be leaving, whether it is listed or not. */
+  private final Map<TargetId, Long> leavingRecordedAt = new HashMap<>();
 
   private final List<Consumer<TargetState>> leavingListeners = new ArrayList<>();
   private long listVersion = -1;
-  private long sequence;
+  private long nextSequence;
 
   public TargetRegistry(CoreContext context, PolicyTable table) {
     this.context = context;
     this.table = table;
   }
 
-  /** Has {@code listener} called once for each target that turns out to be leaving. */
+  /** Registers a listener that is called once for each target that starts to leave. */
   public void onLeaving(Consumer<TargetState> listener) {
     leavingListeners.add(listener);
   }
 
-  /** Takes in the platform's list, unless a later one was seen. */
+  /**
+   * Applies a complete target list of the platform, unless a later one was applied; removes targets
+   * that it does not name.
+   */
   public void applyList(HostList list) {
     if (list.version() >= listVersion) {
       TargetListChanges changes = new TargetListChanges();
-      dropUnnamed(seeAll(list, changes), changes);
+      removeUnlisted(applyTargets(list, changes), changes);
       changes.log(context, listVersion, targets.size());
     }
   }
 
-  /** Takes in a list that may lack targets which live: known ones that it does not name stay. */
+  /** Applies a target list that may be incomplete; keeps targets that it does not name. */
   public void applyPartialList(HostList list) {
     if (list.version() >= listVersion) {
       TargetListChanges changes = new TargetListChanges();
-      seeAll(list, changes);
+      applyTargets(list, changes);
       changes.log(context, listVersion, targets.size());
     }
   }
 
-  private Set<TargetId> seeAll(HostList list, TargetListChanges changes) {
-    Set<TargetId> named = new HashSet<>();
+  private Set<TargetId> applyTargets(HostList list, TargetListChanges changes) {
+    Set<TargetId> listed = new HashSet<>();
     for (TargetDescription description : list.targets()) {
-      named.add(seeTarget(description, changes));
+      listed.add(applyTarget(description, changes));
     }
     listVersion = list.version();
-    return named;
+    return listed;
   }
 
-  /** Takes an entry in; returns the run that now has its name, a later one if it came late. */
-  private TargetId seeTarget(TargetDescription description, TargetListChanges changes) {
+  /** Adds or updates a target. Returns its id, or the id of a later incarnation if one is known. */
+  private TargetId applyTarget(TargetDescription description, TargetListChanges changes) {
     TargetState known = targets.get(description.id());
     if (known == null) {
-      Optional<TargetId> later =
+      Optional<TargetId> laterIncarnation =
           targets.keySet().stream().filter(description.id()::isBefore).findFirst();
-      if (later.isPresent()) {
-        return later.get();
+      if (laterIncarnation.isPresent()) {
+        return laterIncarnation.get();
       }
       supersede(description, changes);
       known = new TargetState(description, context.now());
@@ -93,15 +97,15 @@
       changes.added(description.id());
     }
     known.update(description);
-    if (description.state() == LifeState.LEAVING || saidToLeave.containsKey(description.id())) {
-      leave(description.id(), changes);
+    if (description.state() == LifeState.LEAVING
+        || leavingRecordedAt.containsKey(description.id())) {
+      addLeaving(description.id(), changes);
     }
     return description.id();
   }
 
   /**
-   * Gives up the target that had the address of a new one, and the earlier run under its name: they
-   * ended, though they may still be listed.
+   * Marks the earlier incarnation of a new target as leaving, and the target that had its address.
    */
   private void supersede(TargetDescription successor, TargetListChanges changes) {
     if (listVersion < 0) {
@@ -111,48 +115,52 @@
       TargetId id = known.description().id();
       if (id.isBefore(successor.id())
           || known.description().address().equals(successor.address())) {
-        leave(id, changes);
+        addLeaving(id, changes);
       }
     }
   }
 
-  private void dropUnnamed(Set<TargetId> named, TargetListChanges changes) {
+  private void removeUnlisted(Set<TargetId> listed, TargetListChanges changes) {
     for (TargetId id : List.copyOf(targets.keySet())) {
-      if (!named.contains(id)) {
-        turnAway(id);
+      if (!listed.contains(id)) {
+        stopNewRequests(id);
         targets.remove(id);
         changes.removed(id);
       }
     }
-    long before = context.knowledgeTime() - LEAVING_KEPT_MILLIS;
-    saidToLeave
+    long expiredBefore = context.knowledgeTime() - LEAVING_RETENTION_MILLIS;
+    leavingRecordedAt
         .entrySet()
-        .removeIf(run -> run.getValue() < before && !named.contains(run.getKey()));
+        .removeIf(
+            incarnation ->
+                incarnation.getValue() < expiredBefore && !listed.contains(incarnation.getKey()));
   }
 
-  private void leave(TargetId id, TargetListChanges changes) {
+  private void addLeaving(TargetId id, TargetListChanges changes) {
     if (markLeaving(id)) {
       changes.leaving(id);
     }
   }
 
-  /** Marks a target as leaving that no list said so of; returns whether that is news. */
+  /** Marks a target as leaving and logs it; returns whether it was not marked before. */
   public boolean recordLeaving(TargetId id) {
-    boolean news = markLeaving(id);
-    if (news) {
+    boolean changed = markLeaving(id);
+    if (changed) {
       int open = targets.get(id).localOpenRequests();
-      context.note(EventCode.TARGET_LEAVING, id.toString(), "open here: " + open);
+      context.note(EventCode.TARGET_LEAVING, id.toString(), "open requests of this host: " + open);
     }
-    return news;
+    return changed;
   }
 
   private boolean markLeaving(TargetId id) {
-    saidToLeave.put(id, context.knowledgeTime());
-    return turnAway(id);
+    leavingRecordedAt.put(id, context.knowledgeTime());
+    return stopNewRequests(id);
   }
 
-  /** Gives a target nothing new; returns whether that is news. */
-  private boolean turnAway(TargetId id) {
+  /**
+   * Marks a target as leaving and calls the listeners; returns whether it was not marked before.
+   */
+  private boolean stopNewRequests(TargetId id) {
     TargetState target = targets.get(id);
     if (target == null || !target.markLeaving()) {
       return false;
@@ -169,13 +177,17 @@
         .toList();
   }
 
-  /** Chooses a target with room, in this data centre if there is one; empty if none has room. */
+  /**
+   * Chooses a target that has room, one of this data centre if possible; empty if none has room.
+   *
+   * @param excluded targets that are not chosen
+   */
   public Optional<TargetState> choose(
-      ServiceName service, PlacementPolicy policy, PlacementQuery query, Set<TargetId> without) {
+      ServiceName service, PlacementPolicy policy, PlacementQuery query, Set<TargetId> excluded) {
     List<TargetState> candidates =
         usable(service).stream()
             .filter(target -> target.hasRoom(context.now(), query.overShare()))
-            .filter(target -> !without.contains(target.description().id()))
+            .filter(target -> !excluded.contains(target.description().id()))
             .toList();
     if (candidates.isEmpty()) {
       return Optional.empty();
@@ -187,12 +199,13 @@
     if (preferred.isPresent()) {
       return preferred;
     }
-    List<TargetState> near = candidates.stream().filter(this::isHere).toList();
+    List<TargetState> local = candidates.stream().filter(this::isLocal).toList();
     return Optional.of(
-        policy.choose(near.isEmpty() ? candidates : near, query, context.random(), sequence++));
+        policy.choose(
+            local.isEmpty() ? candidates : local, query, context.random(), nextSequence++));
   }
 
-  /** Returns the targets of a service that may get new work, full ones too. */
+  /** Returns the targets of a service that are neither leaving nor failing, including full ones. */
   public List<TargetState> usable(ServiceName service) {
     return targets.values().stream()
         .filter(target -> target.description().service().equals(service))
@@ -201,14 +214,14 @@
         .toList();
   }
 
-  /** Returns the targets of a service that the platform's list names, the leaving ones too. */
+  /** Returns the targets of a service that the target list names, including leaving ones. */
   public List<TargetState> known(ServiceName service) {
     return targets.values().stream()
         .filter(target -> target.description().service().equals(service))
         .toList();
   }
 
-  /** Returns whether this host has calls open at plain targets of other versions of a service. */
+  /** Returns whether this host has open requests at plain services of another version. */
   public boolean hasCallsAtOtherVersions(ServiceName service, String version) {
     return known(service).stream()
         .filter(target -> target.description().kind() == TargetKind.PLAIN_SERVICE)
@@ -216,7 +229,7 @@
         .anyMatch(target -> target.localOpenRequests() > 0);
   }
 
-  /** Returns the targets of a service that are not leaving, those that fail just now too. */
+  /** Returns the targets of a service that are not leaving, including failing ones. */
   public List<TargetState> notLeaving(ServiceName service) {
     return known(service).stream()
         .filter(target -> !target.isLeaving())
@@ -224,56 +237,55 @@
         .toList();
   }
 
-  /** Returns the target of a service that has an address now and takes requests. */
+  /** Returns the target of a service at an address, if there is one that is not leaving. */
   public Optional<TargetState> findByAddress(ServiceName service, Address address) {
     return notLeaving(service).stream()
         .filter(target -> target.description().address().equals(address))
         .findFirst();
   }
 
-  private boolean isHere(TargetState target) {
-    DataCentre there = target.description().dataCentre();
-    return there.equals(context.dataCentre());
+  private boolean isLocal(TargetState target) {
+    DataCentre targetDataCentre = target.description().dataCentre();
+    return targetDataCentre.equals(context.dataCentre());
   }
 
   public Optional<TargetState> find(TargetId id) {
     return Optional.ofNullable(targets.get(id));
   }
 
-  /** Returns all targets, for status pages. */
   public List<TargetState> all() {
     return List.copyOf(targets.values());
   }
 
-  /** Notes that a request was opened at a target. */
+  /** Records that a request was opened at a target. */
   public void recordOpened(TargetState target) {
     target.recordOpened();
   }
 
-  /** Notes that a request at a target ended, however it did. */
+  /** Records that a request at a target ended, successfully or not. */
   public void recordClosed(TargetState target) {
     target.recordClosed();
   }
 
-  /** Notes a sign of life with the load that came with it. */
+  /** Records a response and the load that the target reported with it. */
   public void recordResponse(TargetState target, int load) {
     target.recordLoad(load, context.now());
     recordResponse(target);
   }
 
-  /** Notes a sign of life. */
+  /** Records a response, which ends the backoff of a failing target. */
   public void recordResponse(TargetState target) {
     if (target.recordResponse()) {
       context.note(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
     }
   }
 
-  /** Notes an answer that is an error. */
+  /** Records a response with an error status. */
   public void recordErrorResponse(TargetState target) {
     target.recordError(context.now());
   }
 
-  /** Notes a failure; a goodbye makes the target a leaving one. */
+  /** Records a failure; marks the target as leaving if the failure announces that. */
   public void recordFailure(TargetState target, TargetFailure failure) {
     TargetId id = target.description().id();
     if (failure.saysLeaving()) {
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
@@ -5,14 +5,17 @@
 import org.gatereel.core.model.LifeState;
 import org.gatereel.core.model.TargetDescription;
 
-/** What this host knows of one target: its lagged load report and what this host sent since. */
+/**
+ * The state of one target as this host knows it: its last load report, corrected by the requests
+ * that this host opened and closed since.
+ */
 public final class TargetState {
-  private static final long FIRST_BACKOFF_MILLIS = 200;
-  private static final long LONGEST_BACKOFF_MILLIS = 5_000;
+  private static final long MIN_BACKOFF_MILLIS = 200;
+  private static final long MAX_BACKOFF_MILLIS = 5_000;
   private static final long REPORT_HALF_LIFE_MILLIS = 1_000;
-  private static final int RESERVED_PART = 8;
+  private static final int RESERVED_SLOTS_DIVISOR = 8;
 
-  /** An error counts half after this time: longer than an engine that fails now and then pauses. */
+  /** Longer than the pauses between intermittent errors of an engine. */
   private static final long ERROR_HALF_LIFE_MILLIS = 3_000;
 
   private final TokenGapEstimator tokenGaps = new TokenGapEstimator();
@@ -26,8 +29,8 @@
   private int reportedLoad;
   private int openAtReport;
   private long reportedAt;
-  private long failingUntil;
-  private long backoffMillis = FIRST_BACKOFF_MILLIS;
+  private long backoffUntil;
+  private long backoffMillis = MIN_BACKOFF_MILLIS;
   private boolean failing;
   private long lastDataAt = Long.MIN_VALUE;
   private long lastFailureAt = Long.MIN_VALUE;
@@ -43,7 +46,7 @@
     return description;
   }
 
-  /** Returns when this host first knew of this run of the target. */
+  /** Returns when this host first knew of this incarnation of the target, in milliseconds. */
   public long firstSeenAt() {
     return firstSeenAt;
   }
@@ -65,12 +68,12 @@
     return !leaving && !isFailing(now);
   }
 
-  /** Returns whether the target is passed over because it failed lately. */
+  /** Returns whether the target is in backoff after a failure. */
   public boolean isFailing(long now) {
-    return now < failingUntil;
+    return now < backoffUntil;
   }
 
-  /** Marks the target as leaving for good; one that returns is another run, with another id. */
+  /** Marks the target as leaving, which is permanent; returns whether it was not marked before. */
   boolean markLeaving() {
     boolean first = !leaving;
     leaving = true;
@@ -81,7 +84,7 @@
     description = latest;
   }
 
-  /** Returns how many copies of this host's runs the target holds. */
+  /** Returns how many copies of this host's executions the target holds. */
   public int localCopies() {
     return localCopies;
   }
@@ -91,12 +94,12 @@
     return localPrefills;
   }
 
-  /** Notes that the target begins to read a prompt, or has read it or let it go. */
+  /** Adds to the number of prompts that the target is reading; {@code change} may be negative. */
   public void adjustPrefills(int change) {
     localPrefills = Math.max(0, localPrefills + change);
   }
 
-  /** Notes that a copy is made at the target, or given up there. */
+  /** Adds to the number of copies that the target holds; {@code change} may be negative. */
   public void adjustCopies(int change) {
     localCopies = Math.max(0, localCopies + change);
   }
@@ -109,12 +112,14 @@
     localOpenRequests = Math.max(0, localOpenRequests - 1);
   }
 
-  /** Notes that the target answered with an error, which says nothing of whether it lives. */
+  /** Records an error response, which neither starts nor ends a backoff. */
   void recordError(long now) {
     errors.increment(now);
   }
 
-  /** Returns how many errors this host got from the target lately; old ones count less. */
+  /**
+   * Returns the exponentially decaying number of errors that this host received from the target.
+   */
   public double localErrors(long now) {
     return errors.at(now);
   }
@@ -126,33 +131,37 @@
   }
 
   /**
-   * Returns the load that the target probably has now.
+   * Returns the estimated number of requests at the target.
    *
-   * <p>The report is corrected by what this host opened and closed since. The part that other hosts
-   * caused fades, because nothing tells this host when their requests end.
+   * <p>The load report is corrected by the requests that this host opened and closed since. The
+   * part of other hosts decays exponentially, because this host does not learn when their requests
+   * end.
    */
   public double estimatedLoad(long now) {
-    double others = Math.max(0, reportedLoad - openAtReport);
+    double otherHosts = Math.max(0, reportedLoad - openAtReport);
     double age = (double) (now - reportedAt) / REPORT_HALF_LIFE_MILLIS;
-    return localOpenRequests + others * Math.pow(0.5, age);
+    return localOpenRequests + otherHosts * Math.pow(0.5, age);
   }
 
   /**
-   * Returns whether the target has room.
+   * Returns whether the target has room for a request.
    *
-   * @param overShare whether the last room is to be left for others, so that their small requests
-   *     need not wait until a long one ends
+   * @param overShare whether the client account exceeds its fair share, so that some slots are
+   *     reserved for other accounts
    */
   boolean hasRoom(long now, boolean overShare) {
     int slots = description.slots();
-    int reserve = overShare && slots > 1 ? Math.max(1, slots / RESERVED_PART) : 0;
+    int reserve = overShare && slots > 1 ? Math.max(1, slots / RESERVED_SLOTS_DIVISOR) : 0;
     return estimatedLoad(now) < slots - reserve;
   }
 
-  /** Passes the target over for a while that grows with each failure; returns whether it is new. */
+  /**
+   * Records a failure; a fault starts a backoff that doubles with each fault. Returns whether the
+   * target was not failing before.
+   */
   boolean recordFailure(TargetFailure failure, long now) {
     if (failure == TargetFailure.FULL) {
-      // The refusal is a load report in itself: others fill the target.
+      // The response shows that requests of other hosts occupy all slots.
       recordLoad(description.slots() + localOpenRequests, now);
     }
     if (failure == TargetFailure.FULL || failure == TargetFailure.RESTING) {
@@ -164,42 +173,44 @@
     boolean first = !failing;
     failing = true;
     lastFailureAt = now;
-    failingUntil = now + backoffMillis;
-    backoffMillis = Math.min(LONGEST_BACKOFF_MILLIS, backoffMillis * 2);
+    backoffUntil = now + backoffMillis;
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
     return first;
   }
 
-  /** Notes that the target said goodbye, or that another one answers at its address. */
+  /** Records that the target has announced its end, or that another target uses its address. */
   void recordGone(long now) {
     lastFailureAt = now;
   }
 
-  /** Notes that bytes came from the target. */
   public void recordDataReceived(long now) {
     lastDataAt = now;
   }
 
-  /** Returns when bytes last came from the target. */
+  /** Returns when this host last received bytes from the target, in milliseconds. */
   public long lastDataAt() {
     return lastDataAt;
   }
 
-  /** Returns when the target last answered that it has no room. */
+  /**
+   * Returns when the target last rejected a request because it has no room or requests a backoff,
+   * in milliseconds.
+   */
   public long lastRefusalAt() {
     return lastRefusalAt;
   }
 
-  /** Returns when the target last failed. */
+  /** Returns when the target last failed, in milliseconds. */
   public long lastFailureAt() {
     return lastFailureAt;
   }
 
-  /** Notes a sign of life; returns whether the target was failing. */
+  /** Records a response, which ends the backoff; returns whether the target was failing. */
   boolean recordResponse() {
     boolean recovered = failing;
     failing = false;
-    failingUntil = 0;
-    backoffMillis = FIRST_BACKOFF_MILLIS;
+    backoffUntil = 0;
+    backoffMillis = MIN_BACKOFF_MILLIS;
     return recovered;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TokenGapEstimator.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TokenGapEstimator.java
@@ -1,30 +1,29 @@
 package org.gatereel.core.target;
 
 /**
- * Learns how long one engine usually takes between two tokens.
+ * Estimates the usual time between two tokens of one engine.
  *
- * <p>It keeps a decaying mean and mean deviation, as transport protocols do for round trips: two
- * numbers an engine, no samples.
+ * <p>It keeps an exponentially decaying mean and mean deviation.
  */
 public final class TokenGapEstimator {
   private static final double MEAN_GAIN = 1.0 / 32;
   private static final double DEVIATION_GAIN = 1.0 / 16;
-  private static final double START_MILLIS = 30;
+  private static final double INITIAL_MILLIS = 30;
   private static final double OUTLIER_DEVIATIONS = 10;
 
-  private double mean = START_MILLIS;
-  private double deviation = START_MILLIS;
+  private double mean = INITIAL_MILLIS;
+  private double deviation = INITIAL_MILLIS;
 
   /**
    * Adds one gap in milliseconds.
    *
-   * <p>A gap far beyond the usual counts as a long one only: an engine that was frozen for seconds
-   * and came back must not be given seconds from then on.
+   * <p>The gap is capped at {@link #OUTLIER_DEVIATIONS}, so that one long pause of an engine does
+   * not raise the estimate to seconds.
    */
   public void addGap(long gapMillis) {
-    double error = Math.min((double) gapMillis, upperBound(OUTLIER_DEVIATIONS)) - mean;
-    mean += MEAN_GAIN * error;
-    deviation += DEVIATION_GAIN * (Math.abs(error) - deviation);
+    double difference = Math.min((double) gapMillis, upperBound(OUTLIER_DEVIATIONS)) - mean;
+    mean += MEAN_GAIN * difference;
+    deviation += DEVIATION_GAIN * (Math.abs(difference) - deviation);
   }
 
   /** Returns the mean gap plus {@code deviations} mean deviations, in milliseconds. */
--- a/gatereel-core/src/test/java/org/gatereel/core/target/TargetListChangesTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/target/TargetListChangesTest.java
@@ -21,7 +21,6 @@
 import org.gatereel.core.table.PolicyTable;
 import org.junit.jupiter.api.Test;
 
-/** What the log tells of the platform's lists. */
 class TargetListChangesTest {
   private final CoreContext context =
       new CoreContext(new HostId("h"), new DataCentre("north"), new SplittableRandom(1));
@@ -39,7 +38,7 @@
         state);
   }
 
-  private List<String> linesOf(TargetDescription... listed) {
+  private List<String> logLinesFor(TargetDescription... listed) {
     targets.applyList(new HostList(++version, List.of(), List.of(listed)));
     return context.takeActions().stream()
         .filter(Action.Note.class::isInstance)
@@ -50,41 +49,41 @@
   }
 
   @Test
-  void aListThatChangesMuchIsOneLine() {
-    linesOf(target(1, LifeState.LIVE), target(2, LifeState.LIVE), target(3, LifeState.LIVE));
+  void logsAllChangesOfAListAsOneLine() {
+    logLinesFor(target(1, LifeState.LIVE), target(2, LifeState.LIVE), target(3, LifeState.LIVE));
 
     assertEquals(
         List.of("known=3 came=1:e4 leaving=1:e2 gone=1:e1"),
-        linesOf(
+        logLinesFor(
             target(2, LifeState.LEAVING), target(3, LifeState.LIVE), target(4, LifeState.LIVE)));
   }
 
   @Test
-  void aListThatChangesNothingIsNone() {
-    linesOf(target(1, LifeState.LIVE));
+  void logsNothingForAnUnchangedList() {
+    logLinesFor(target(1, LifeState.LIVE));
 
-    assertEquals(List.of(), linesOf(target(1, LifeState.LIVE)));
+    assertEquals(List.of(), logLinesFor(target(1, LifeState.LIVE)));
   }
 
   @Test
-  void theNamesOfALineAreBoundedAndTheirNumberIsWhole() {
+  void limitsLoggedIdsButLogsTheirFullNumber() {
     TargetDescription[] many =
         IntStream.range(0, 200)
             .mapToObj(number -> target(number, LifeState.LIVE))
             .toArray(TargetDescription[]::new);
 
-    String line = linesOf(many).get(0);
+    String line = logLinesFor(many).get(0);
 
     assertTrue(line.contains("came=200:e0,e1,") && line.endsWith(",..."), line);
     assertTrue(line.length() < 200, line);
   }
 
   @Test
-  void aTargetThatSaidItselfThatItLeavesIsNotToldAgain() {
-    linesOf(target(1, LifeState.LIVE));
+  void logsNothingForATargetAlreadyKnownToLeave() {
+    logLinesFor(target(1, LifeState.LIVE));
     targets.recordLeaving(new TargetId("e1"));
     context.takeActions();
 
-    assertEquals(List.of(), linesOf(target(1, LifeState.LEAVING)));
+    assertEquals(List.of(), logLinesFor(target(1, LifeState.LEAVING)));
   }
 }
