--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -218,7 +218,9 @@
   }
 
   private void targetAnswered(Event.TargetAnswered answered) {
-    targets.find(answered.target()).ifPresent(target -> targets.recordResponse(target, answered.load()));
+    targets
+        .find(answered.target())
+        .ifPresent(target -> targets.recordResponse(target, answered.load()));
     if (answered.leaving()) {
       targets.recordLeaving(answered.target());
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -10,11 +10,11 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.TokenIssuer;
+import org.gatereel.core.limit.TargetLimits;
 import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenIssuer;
 import org.gatereel.core.limit.TokenPort;
 import org.gatereel.core.limit.TokenRequest;
-import org.gatereel.core.limit.TargetLimits;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.model.TargetId;
@@ -85,14 +85,16 @@
     this.rests = new TargetBackoffs(context, facts);
     this.statements = new StatementIntake(context, facts, limits.announced(), rests);
     this.port = new ListeningPort(context, port, statements);
-    this.selector = new TargetSelector(context, targets, loads, directory, rests::isBackingOffElsewhere);
+    this.selector =
+        new TargetSelector(context, targets, loads, directory, rests::isBackingOffElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, loans);
     this.stopPlan = new StopPlan(context);
     this.prompts = new PromptLocator(context, targets, this.port, rests::isBackingOff);
     this.poison = poison;
     this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.announced()::perSecond, rests::isBackingOff);
+        new OverloadControl(
+            context, targets, loads, limits.announced()::perSecond, rests::isBackingOff);
     loads.exchangeTargetFacts(facts);
     facts.onChange(this::hear);
     poison.onHeld(this::hold);
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -92,7 +92,10 @@
   }
 
   RetryBudgets(
-      CoreContext context, ForwardPolicy.RetryLimit limit, HostDirectory directory, TokenPort port) {
+      CoreContext context,
+      ForwardPolicy.RetryLimit limit,
+      HostDirectory directory,
+      TokenPort port) {
     this.context = context;
     this.limit = limit;
     this.directory = directory;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
@@ -6,10 +6,10 @@
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.rest.TargetBackoffs;
-import org.gatereel.core.statement.FactKind;
-import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.Announcement;
 import org.gatereel.core.statement.Announcements;
+import org.gatereel.core.statement.FactKind;
+import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.TargetFacts;
 import org.gatereel.core.statement.UnknownHeaders;
 
@@ -31,7 +31,8 @@
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
-  StatementIntake(CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs rests) {
+  StatementIntake(
+      CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs rests) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
@@ -79,7 +80,10 @@
       limits.observeNone(target, sentAt);
     }
     boolean leftBefore =
-        facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.announcedAt()).isPresent();
+        facts
+            .find(FactKind.LEAVING, target)
+            .filter(fact -> sentAt > fact.announcedAt())
+            .isPresent();
     if (leftBefore && !said.isLeaving()) {
       noteContradiction(target);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -153,7 +153,8 @@
    * have begun to leave, or to rest, and its version may have been rolled back.
    */
   boolean mayHave(TargetState target) {
-    return forwarder.rests().millisUntilAllowed(target.description().id()) == 0 && mayHave(target, isNew());
+    return forwarder.rests().millisUntilAllowed(target.description().id()) == 0
+        && mayHave(target, isNew());
   }
 
   /** Returns whether the target of the present try may be sent it now that it is connected. */
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
@@ -58,7 +58,8 @@
       ranks.clear();
       ranksOf = directory.version();
     }
-    return ranks.computeIfAbsent(target, any -> directory.rankedIssuers(dataCentre, target.toString()));
+    return ranks.computeIfAbsent(
+        target, any -> directory.rankedIssuers(dataCentre, target.toString()));
   }
 
   private boolean isSelf(Address host) {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
@@ -106,7 +106,8 @@
       ask(asked, count, 1, loan -> lent(urgency, count, loan));
     }
 
-    private void ask(TokenRequest.LimitTokens asked, int count, int number, Consumer<TokenGrant> answer) {
+    private void ask(
+        TokenRequest.LimitTokens asked, int count, int number, Consumer<TokenGrant> answer) {
       Optional<Address> host = ranking.issuerFor(target, dataCentre);
       if (host.isEmpty()) {
         lender.issue(asked, count, loan -> answer.accept(loan.orElse(TokenGrant.NONE)));
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
@@ -57,7 +57,8 @@
     }
   }
 
-  LimitTokenIssuer(CoreContext context, AnnouncedLimits book, IssuerRanking ranking, TokenPort port) {
+  LimitTokenIssuer(
+      CoreContext context, AnnouncedLimits book, IssuerRanking ranking, TokenPort port) {
     this.context = context;
     this.book = book;
     this.ranking = ranking;
@@ -117,7 +118,8 @@
     Bucket bucket = buckets.computeIfAbsent(target, any -> new Bucket(context.now()));
     bucket.usedAt = context.now();
     int granted = bucket.tokens.take(context.now(), perSecond, count, asked.urgent());
-    return new TokenGrant(granted, againMillis(bucket.tokens.millisToNext(perSecond, asked.urgent())));
+    return new TokenGrant(
+        granted, againMillis(bucket.tokens.millisToNext(perSecond, asked.urgent())));
   }
 
   private long againMillis(long next) {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
@@ -57,7 +57,8 @@
   }
 
   /** Lends another host requests to a target; empty if another host is to lend them. */
-  public void issue(TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
+  public void issue(
+      TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
     lender.issue(asked, count, answer);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenPort.java
@@ -13,5 +13,6 @@
    * @param answer is told once, later, what is lent; empty if the host does not answer in time or
    *     does not lend this
    */
-  void requestTokens(Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
+  void requestTokens(
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.BackoffFact;
+import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.TargetFacts;
 
 /**
@@ -111,7 +111,9 @@
     if (rest == null || rest.admits(now)) {
       return 0;
     }
-    return now < rest.until ? rest.until - now : Math.max(1, rest.reopening.nextAdmissionAt() - now);
+    return now < rest.until
+        ? rest.until - now
+        : Math.max(1, rest.reopening.nextAdmissionAt() - now);
   }
 
   /** Returns how many targets rest. */
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
@@ -38,6 +38,7 @@
 
   @Override
   public LimitFact shiftedBy(long millis) {
-    return new LimitFact(target, new AnnouncedLimit(limit.perSecond(), limit.announcedAt() + millis));
+    return new LimitFact(
+        target, new AnnouncedLimit(limit.perSecond(), limit.announcedAt() + millis));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -121,7 +121,10 @@
 
   /** A question to another host for requests to a target that takes only so many. */
   record TokenQuestion(
-      Address lender, TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {}
+      Address lender,
+      TokenRequest.LimitTokens asked,
+      int count,
+      Consumer<Optional<TokenGrant>> answer) {}
 
   record Head(
       int status,
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -23,16 +23,17 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.LeavingFact;
-import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.Announcement;
 import org.gatereel.core.statement.Announcements;
+import org.gatereel.core.statement.BackoffFact;
+import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
 /** What targets say of leaving and of rest, on each way by which a request may reach them. */
 class StatementForwardingTest {
-  private static final Announcements LEAVES = Announcements.NONE.withLeaving(new Announcement.Announced<>(true));
+  private static final Announcements LEAVES =
+      Announcements.NONE.withLeaving(new Announcement.Announced<>(true));
   private static final long REST_MILLIS = 3_000;
   private static final Announcements RESTS =
       Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(REST_MILLIS));
@@ -399,7 +400,8 @@
   void aCallThatTheOnlyTargetRefusedForRestIsRefusedAtOnce() {
     listOnly("c1");
     world.ask("/safe/x", caller);
-    Announcements shortRest = Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(1L));
+    Announcements shortRest =
+        Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(1L));
 
     world.last().accepted().listener.answered(head(503, true, shortRest));
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -230,7 +230,13 @@
   private void loseHolderOf(ForwardWorld.SentCall call) {
     Address holder = call.dispatch.copyTo().orElseThrow();
     world.restart(
-        world.targets.findByAddress(ForwardWorld.ENGINES, holder).orElseThrow().description().id().value(),
+        world
+            .targets
+            .findByAddress(ForwardWorld.ENGINES, holder)
+            .orElseThrow()
+            .description()
+            .id()
+            .value(),
         "e9");
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/AnnouncementParserTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/AnnouncementParserTest.java
@@ -30,7 +30,8 @@
   @Test
   void whatIsNoPlainNumberIsUnreadable() {
     for (String text : new String[] {"", "-1", "NaN", "Infinity", "5,4", "1e3", "0x10", "five"}) {
-      assertInstanceOf(Announcement.Unreadable.class, AnnouncementParser.limit(List.of(text)), text);
+      assertInstanceOf(
+          Announcement.Unreadable.class, AnnouncementParser.limit(List.of(text)), text);
     }
     assertInstanceOf(Announcement.Unreadable.class, AnnouncementParser.limit(List.of("5", "some")));
   }
@@ -44,10 +45,14 @@
 
   @Test
   void restIsToldInSecondsAndTheLongestHolds() {
-    assertEquals(new Announcement.Announced<>(3_000L), AnnouncementParser.backoffMillis(List.of("3")));
-    assertEquals(new Announcement.Announced<>(250L), AnnouncementParser.backoffMillis(List.of(" .25 ")));
+    assertEquals(
+        new Announcement.Announced<>(3_000L), AnnouncementParser.backoffMillis(List.of("3")));
+    assertEquals(
+        new Announcement.Announced<>(250L), AnnouncementParser.backoffMillis(List.of(" .25 ")));
     assertEquals(new Announcement.Announced<>(0L), AnnouncementParser.backoffMillis(List.of("0")));
-    assertEquals(new Announcement.Announced<>(4_500L), AnnouncementParser.backoffMillis(List.of("1", "4.5")));
+    assertEquals(
+        new Announcement.Announced<>(4_500L),
+        AnnouncementParser.backoffMillis(List.of("1", "4.5")));
     assertEquals(Announcement.none(), AnnouncementParser.backoffMillis(List.of()));
   }
 
@@ -64,7 +69,8 @@
   @Test
   void aRestThatIsNoNumberOfSecondsIsUnreadable() {
     for (String text : new String[] {"", "-3", "soon", "Thu, 03 Dec 2026 08:00:00 GMT"}) {
-      assertInstanceOf(Announcement.Unreadable.class, AnnouncementParser.backoffMillis(List.of(text)), text);
+      assertInstanceOf(
+          Announcement.Unreadable.class, AnnouncementParser.backoffMillis(List.of(text)), text);
     }
   }
 
@@ -80,7 +86,8 @@
   @Test
   void anyOtherWordOnLeavingIsUnreadable() {
     for (String text : new String[] {"", "2", "yes", "leaving"}) {
-      assertInstanceOf(Announcement.Unreadable.class, AnnouncementParser.leaving(List.of(text)), text);
+      assertInstanceOf(
+          Announcement.Unreadable.class, AnnouncementParser.leaving(List.of(text)), text);
     }
   }
 }
