--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -197,7 +197,8 @@
           .toJavaUtil()
           .filter(known -> target != null)
           .flatMap(
-              known -> known.create(TargetNames.read(target), number, now - Math.max(0, agoMillis)));
+              known ->
+                  known.create(TargetNames.read(target), number, now - Math.max(0, agoMillis)));
     }
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanClient.java
@@ -36,7 +36,8 @@
 
   private record Question(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
     long timeoutMillis() {
-      boolean passedOn = subject instanceof TokenRequest.LimitTokens requests && requests.forwarded();
+      boolean passedOn =
+          subject instanceof TokenRequest.LimitTokens requests && requests.forwarded();
       return passedOn ? PASSED_ON_TIMEOUT_MILLIS : TIMEOUT_MILLIS;
     }
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoanMessages.java
@@ -76,7 +76,8 @@
   }
 
   private static Optional<TokenRequest> repeats(Map<String, List<String>> parameters) {
-    return text(parameters, SERVICE).map(name -> new TokenRequest.RetryTokens(new ServiceName(name)));
+    return text(parameters, SERVICE)
+        .map(name -> new TokenRequest.RetryTokens(new ServiceName(name)));
   }
 
   private static Optional<TokenRequest> requests(Map<String, List<String>> parameters, long now) {
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -27,9 +27,9 @@
 import org.gatereel.core.rollout.Signal;
 import org.gatereel.core.rollout.Tally;
 import org.gatereel.core.statement.AnnouncedLimit;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.LimitFact;
-import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -277,7 +277,9 @@
     }
     TargetSaying said = saying.get();
     Announcements leaving =
-        said.leaves() ? Announcements.NONE.withLeaving(new Announcement.Announced<>(true)) : Announcements.NONE;
+        said.leaves()
+            ? Announcements.NONE.withLeaving(new Announcement.Announced<>(true))
+            : Announcements.NONE;
     return said.refuses()
         ? leaving.withBackoffMillis(new Announcement.Announced<>(said.restMillis()))
         : leaving;
