--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -35,6 +35,8 @@
   private final Predicate<TargetId> backsOffElsewhere;
 
   /**
+   * Makes a selector.
+   *
    * @param loads the loads that other hosts report
    * @param hosts counts the hosts that select among the same targets
    * @param backsOffElsewhere tests whether a target has requested a backoff from another host
