--- a/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
@@ -13,29 +13,28 @@
 import org.gatereel.core.statement.TargetFacts;
 
 /**
- * The limits that targets have named, as far as this host has heard of them from targets or hosts.
+ * The limits that targets have announced, to this host or to others that reported them.
  *
- * <p>A limit holds for one run of a target until the target says otherwise. A lower one holds at
- * once. A higher one, or none, holds only if it answers a request that was sent after the present
- * one was known: answers overtake each other, and an older one must not lift it.
+ * <p>A limit is valid for one incarnation of a target. A lower limit applies immediately. A higher
+ * one, or none, applies only if it is in the response to a request that was sent after the current
+ * limit became known, because responses may arrive out of order.
  */
 public final class AnnouncedLimits {
   /**
-   * A target that takes nothing for now is asked again each ten seconds, since only its answers
-   * tell when it takes more; less than one in a second harms none.
+   * A target with a limit of 0 still receives requests at this rate, because only its responses
+   * show when it accepts more.
    */
-  private static final double LEAST_PER_SECOND = 0.1;
+  private static final double MIN_PER_SECOND = 0.1;
 
   private final CoreContext context;
   private final TargetFacts facts;
 
-  /** Makes a view on the limits among what targets have said. */
   public AnnouncedLimits(CoreContext context, TargetFacts facts) {
     this.context = context;
     this.facts = facts;
   }
 
-  /** Returns the limit of a target, if it named one and holds to it. */
+  /** Returns the current limit of a target, if it has one. */
   public Optional<AnnouncedLimit> find(TargetId target) {
     return known(target).filter(limit -> !limit.isNone());
   }
@@ -45,14 +44,14 @@
   }
 
   /**
-   * Returns how many requests a second a target is sent at the most; infinite if it has named no
-   * limit, and never 0, so that admission too lets the request through that asks it again.
+   * Returns how many requests a second may be sent to a target; infinite if it has no limit, and
+   * never 0, so that admission lets through the request that detects a change.
    */
   public double perSecond(TargetId target) {
     return facts.isEmpty(FactKind.LIMIT)
         ? Double.POSITIVE_INFINITY
         : find(target)
-            .map(limit -> Math.max(LEAST_PER_SECOND, limit.perSecond()))
+            .map(limit -> Math.max(MIN_PER_SECOND, limit.perSecond()))
             .orElse(Double.POSITIVE_INFINITY);
   }
 
@@ -63,20 +62,19 @@
         .filter(fact -> !fact.limit().isNone());
   }
 
-  /** Returns the targets that have a limit now. */
   public Set<TargetId> limitedTargets() {
     return inForce().map(LimitFact::target).collect(Collectors.toSet());
   }
 
-  /** Returns how many targets have a limit now. */
+  /** Returns the number of targets that have a limit. */
   public int size() {
     return (int) inForce().count();
   }
 
   /**
-   * Takes in that a target's answer names a limit.
+   * Records that a response of a target announces a limit.
    *
-   * @param sentAt when the request was sent that is answered, in milliseconds
+   * @param sentAt when the request was sent, in milliseconds
    */
   public void observe(TargetId target, double perSecond, long sentAt) {
     Optional<AnnouncedLimit> known = known(target);
@@ -87,9 +85,9 @@
   }
 
   /**
-   * Takes in that a target's answer names no limit.
+   * Records that a response of a target announces no limit.
    *
-   * @param sentAt when the request was sent that is answered, in milliseconds
+   * @param sentAt when the request was sent, in milliseconds
    */
   public void observeNone(TargetId target, long sentAt) {
     if (known(target).isPresent()) {
@@ -97,7 +95,7 @@
     }
   }
 
-  /** Takes in what another host says of a target's limit. */
+  /** Merges a limit that another host reported. */
   void merge(LimitFact fact) {
     facts.learn(List.of(fact));
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerDirectory.java
@@ -5,41 +5,41 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 
-/** Knows which hosts may lend requests to a target. */
+/** Ranks the hosts that may issue the tokens of a target. */
 public interface IssuerDirectory {
   /**
-   * How many hosts of the target's data centre come first. Where these are silent all of them
-   * probably are, and the next one is found elsewhere.
+   * How many hosts of the data centre of the target rank first. If none of them responds, the data
+   * centre is probably unreachable, and a host of another one follows.
    */
   int LOCAL_HOSTS_FIRST = 2;
 
   /**
-   * Returns all hosts in the order in which they are to lend under a key, this one included.
+   * Returns all hosts, including this one, in the order in which they issue tokens for a key.
    *
-   * @param dataCentre where the target is
+   * @param dataCentre the data centre of the target
    */
   List<Address> rankedIssuers(DataCentre dataCentre, String key);
 
   /**
-   * Puts ranked hosts into the order in which they are to lend: who reaches a target nearly always
-   * reaches hosts beside it, so that some of these come first.
+   * Orders ranked hosts: some of the data centre of the target first, because they are likely to be
+   * reachable if the target is; then all of other data centres, then the rest.
    *
-   * @param here those of the target's data centre
-   * @param elsewhere all others
+   * @param local the hosts of the data centre of the target
+   * @param remote all other hosts
    */
-  static <T> List<T> order(List<T> here, List<T> elsewhere) {
-    List<T> order = new ArrayList<>(here.subList(0, Math.min(LOCAL_HOSTS_FIRST, here.size())));
-    order.addAll(elsewhere);
-    order.addAll(here.subList(Math.min(LOCAL_HOSTS_FIRST, here.size()), here.size()));
+  static <T> List<T> order(List<T> local, List<T> remote) {
+    List<T> order = new ArrayList<>(local.subList(0, Math.min(LOCAL_HOSTS_FIRST, local.size())));
+    order.addAll(remote);
+    order.addAll(local.subList(Math.min(LOCAL_HOSTS_FIRST, local.size()), local.size()));
     return order;
   }
 
-  /** Returns a number that is another one whenever the hosts known are others. */
+  /** Returns a number that changes whenever the known hosts change. */
   long version();
 
-  /** Returns where other hosts ask this one. */
+  /** Returns the address at which other hosts reach this one. */
   Address self();
 
-  /** Returns how many hosts there probably are, also before any of them is known. */
+  /** Returns the estimated number of hosts, also before any other host is known. */
   int estimatedHosts();
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
@@ -10,55 +10,63 @@
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.TargetId;
 
-/** Ranks hosts as lenders of requests to a target; those that did not answer are passed over. */
+/**
+ * Selects the host that issues the tokens of a target; skips hosts that did not respond recently.
+ */
 final class IssuerRanking {
   /**
-   * How long a host that did not answer is passed over. As long two hosts may lend for one target,
-   * which adds as much as the limit allows in this time.
+   * How long a host that did not respond is skipped. During this time two hosts may issue tokens
+   * for one target, which adds at most one second of its limit.
    */
-  private static final long PASSED_OVER_MILLIS = 1_000;
+  private static final long UNRESPONSIVE_MILLIS = 1_000;
 
-  /** Ranks are computed anew where more targets than this were asked for since hosts changed. */
-  private static final int MOST_KEPT = 1_000;
+  /** The cache is cleared when it holds more targets than this. */
+  private static final int MAX_CACHED_RANKINGS = 1_000;
 
   private final CoreContext context;
   private final IssuerDirectory directory;
-  private final Map<Address, Long> passedOverUntil = new HashMap<>();
-  private final Map<TargetId, List<Address>> ranks = new HashMap<>();
-  private long ranksOf = -1;
+  private final Map<Address, Long> unresponsiveUntil = new HashMap<>();
+  private final Map<TargetId, List<Address>> rankings = new HashMap<>();
+  private long rankingsVersion = -1;
 
   IssuerRanking(CoreContext context, IssuerDirectory directory) {
     this.context = context;
     this.directory = directory;
   }
 
-  /** Returns the host that lends requests to a target; empty if that is this one. */
+  /** Returns the host that issues the tokens of a target; empty if that is this host. */
   Optional<Address> issuerFor(TargetId target, DataCentre dataCentre) {
     return ranked(target, dataCentre).stream()
-        .filter(host -> isSelf(host) || !isPassedOver(host))
+        .filter(host -> isSelf(host) || !isUnresponsive(host))
         .findFirst()
         .filter(host -> !isSelf(host));
   }
 
-  /** Returns the host that lends in this one's place; empty if there is none. */
+  /**
+   * Returns the host that issues the tokens of a target instead of this host; empty if there is
+   * none.
+   */
   Optional<Address> otherIssuerFor(TargetId target, DataCentre dataCentre) {
     return ranked(target, dataCentre).stream()
-        .filter(host -> !isSelf(host) && !isPassedOver(host))
+        .filter(host -> !isSelf(host) && !isUnresponsive(host))
         .findFirst();
   }
 
-  /** Returns among how many hosts a limit is to be divided by one that knows of no other. */
+  /**
+   * Returns the number of hosts that share a limit with this host without knowing each other: 1 if
+   * this host knows others, else the estimated number of hosts.
+   */
   int limitDivisor() {
-    boolean knowsOthers = ranks.values().stream().anyMatch(hosts -> hosts.size() > 1);
+    boolean knowsOthers = rankings.values().stream().anyMatch(hosts -> hosts.size() > 1);
     return knowsOthers ? 1 : directory.estimatedHosts();
   }
 
   private List<Address> ranked(TargetId target, DataCentre dataCentre) {
-    if (ranksOf != directory.version() || ranks.size() > MOST_KEPT) {
-      ranks.clear();
-      ranksOf = directory.version();
+    if (rankingsVersion != directory.version() || rankings.size() > MAX_CACHED_RANKINGS) {
+      rankings.clear();
+      rankingsVersion = directory.version();
     }
-    return ranks.computeIfAbsent(
+    return rankings.computeIfAbsent(
         target, any -> directory.rankedIssuers(dataCentre, target.toString()));
   }
 
@@ -66,14 +74,14 @@
     return host.equals(directory.self());
   }
 
-  private boolean isPassedOver(Address host) {
-    return passedOverUntil.getOrDefault(host, Long.MIN_VALUE) > context.now();
+  private boolean isUnresponsive(Address host) {
+    return unresponsiveUntil.getOrDefault(host, Long.MIN_VALUE) > context.now();
   }
 
-  /** Passes a host over for a while, because it did not answer a question about a target. */
-  void markUnresponsive(Address host, TargetId asked) {
-    context.note(EventCode.LIMIT_LENDER_SILENT, asked.toString(), "host=" + host);
-    passedOverUntil.values().removeIf(until -> until <= context.now());
-    passedOverUntil.put(host, context.now() + PASSED_OVER_MILLIS);
+  /** Skips a host for a while because it did not respond to a token request. */
+  void markUnresponsive(Address host, TargetId target) {
+    context.note(EventCode.LIMIT_LENDER_SILENT, target.toString(), "host=" + host);
+    unresponsiveUntil.values().removeIf(until -> until <= context.now());
+    unresponsiveUntil.put(host, context.now() + UNRESPONSIVE_MILLIS);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
@@ -18,212 +18,213 @@
 import org.gatereel.core.statement.LimitFact;
 
 /**
- * Gets tokens for this host's requests to targets that take only so many, one for each request that
- * is sent.
+ * Acquires the rate limit tokens for this host's requests to targets that have announced a limit.
  *
- * <p>Requests for one target that wait at the same time are asked for together. A target that has
- * none left is passed over until its lender expects one.
+ * <p>Each request needs one token. Requests to one target that wait at the same time share a token
+ * request. A target without tokens is skipped until its issuer expects the next one.
  */
 public final class LimitTokenClient {
+  /** How long a target is skipped if no issuer responded. */
+  private static final long NO_ISSUER_RETRY_DELAY_MILLIS = 1_000;
+
   /**
-   * How long a target is passed over for which no lender answered: most of them are where it is, so
-   * that it is probably out of reach too. As long they are not asked for other targets either.
+   * Includes the first issuer outside the data centre of the target; bounds the wait of the
+   * request.
    */
-  private static final long UNANSWERED_MILLIS = 1_000;
-
-  /** Those beside the target, and the first elsewhere; more would let the request wait too long. */
-  private static final int MOST_LENDERS = IssuerDirectory.LOCAL_HOSTS_FIRST + 1;
+  private static final int MAX_ISSUERS_TRIED = IssuerDirectory.LOCAL_HOSTS_FIRST + 1;
 
-  /** A token that a request did not use serves the next one for so long, and then is let go. */
-  private static final long SPARE_MILLIS = 500;
+  /** How long a token that was released unused is kept for the next request. */
+  private static final long UNUSED_TOKEN_EXPIRY_MILLIS = 500;
 
-  /** A target that has no tokens is logged no more often. */
-  private static final long LOG_MILLIS = 1_000;
+  private static final long MIN_LOG_INTERVAL_MILLIS = 1_000;
 
   private final CoreContext context;
-  private final AnnouncedLimits book;
+  private final AnnouncedLimits limits;
   private final IssuerRanking ranking;
   private final TokenPort port;
-  private final LimitTokenIssuer lender;
-  private final Map<TargetId, Purse> purses = new HashMap<>();
+  private final LimitTokenIssuer localIssuer;
+  private final Map<TargetId, TargetTokens> tokensByTarget = new HashMap<>();
   private long granted;
   private long denied;
 
-  /** How soon tokens are needed. */
   private enum Urgency {
-    /** Streams whose callers have part of the answer, and cannot wait. */
+    /** Requests that resume a stream whose caller has received a part of the response. */
     URGENT,
-    /** All others. */
+    /** All other requests. */
     USUAL
   }
 
-  /** What this host has of one target's tokens, and who waits for some. */
-  private final class Purse {
+  /** The unused tokens of one target and the requests that wait for tokens. */
+  private final class TargetTokens {
     private final TargetId target;
-    private final Map<Urgency, TokenWaiters> waiting = new EnumMap<>(Urgency.class);
-    private final Map<Urgency, Long> spentUntil = new EnumMap<>(Urgency.class);
-    private final Queue<Long> spares = new ArrayDeque<>();
+    private final Map<Urgency, TokenWaiters> waiters = new EnumMap<>(Urgency.class);
+    private final Map<Urgency, Long> exhaustedUntil = new EnumMap<>(Urgency.class);
+    private final Queue<Long> unusedTokenExpiries = new ArrayDeque<>();
     private DataCentre dataCentre;
     private long deniedSinceLog;
     private long loggedAt = Long.MIN_VALUE / 2;
 
-    private Purse(TargetId target) {
+    private TargetTokens(TargetId target) {
       this.target = target;
       for (Urgency each : Urgency.values()) {
-        waiting.put(each, new TokenWaiters());
+        waiters.put(each, new TokenWaiters());
       }
     }
 
-    private boolean takeSpare() {
-      while (!spares.isEmpty() && spares.peek() < context.now()) {
-        spares.remove();
+    private boolean takeUnused() {
+      while (!unusedTokenExpiries.isEmpty() && unusedTokenExpiries.peek() < context.now()) {
+        unusedTokenExpiries.remove();
       }
-      return spares.poll() != null;
+      return unusedTokenExpiries.poll() != null;
     }
 
-    private void take(Urgency urgency, Consumer<Boolean> answer) {
-      if (takeSpare()) {
-        answer.accept(true);
+    private void acquire(Urgency urgency, Consumer<Boolean> callback) {
+      if (takeUnused()) {
+        callback.accept(true);
         return;
       }
-      waiting.get(urgency).add(answer);
-      ask(urgency);
+      waiters.get(urgency).add(callback);
+      requestTokens(urgency);
     }
 
-    private void ask(Urgency urgency) {
-      int count = waiting.get(urgency).startBatch();
+    private void requestTokens(Urgency urgency) {
+      int count = waiters.get(urgency).startBatch();
       if (count == 0) {
         return;
       }
-      Optional<AnnouncedLimit> limit = book.find(target);
+      Optional<AnnouncedLimit> limit = limits.find(target);
       if (limit.isEmpty()) {
-        lent(urgency, count, new TokenGrant(count, 0));
+        onGrant(urgency, count, new TokenGrant(count, 0));
         return;
       }
-      TokenRequest.LimitTokens asked =
+      TokenRequest.LimitTokens request =
           new TokenRequest.LimitTokens(
               new LimitFact(target, limit.get()), dataCentre, urgency == Urgency.URGENT, false);
-      ask(asked, count, 1, loan -> lent(urgency, count, loan));
+      requestTokens(request, count, 1, grant -> onGrant(urgency, count, grant));
     }
 
-    private void ask(
-        TokenRequest.LimitTokens asked, int count, int number, Consumer<TokenGrant> answer) {
+    private void requestTokens(
+        TokenRequest.LimitTokens request,
+        int count,
+        int issuerNumber,
+        Consumer<TokenGrant> callback) {
       Optional<Address> host = ranking.issuerFor(target, dataCentre);
       if (host.isEmpty()) {
-        lender.issue(asked, count, loan -> answer.accept(loan.orElse(TokenGrant.NONE)));
+        localIssuer.issue(request, count, grant -> callback.accept(grant.orElse(TokenGrant.NONE)));
         return;
       }
       port.requestTokens(
           host.get(),
-          asked,
+          request,
           count,
-          loan -> {
-            if (loan.isPresent()) {
-              answer.accept(loan.get());
+          grant -> {
+            if (grant.isPresent()) {
+              callback.accept(grant.get());
               return;
             }
             ranking.markUnresponsive(host.get(), target);
-            if (number < MOST_LENDERS) {
-              ask(asked, count, number + 1, answer);
+            if (issuerNumber < MAX_ISSUERS_TRIED) {
+              requestTokens(request, count, issuerNumber + 1, callback);
             } else {
-              answer.accept(TokenGrant.NONE);
+              callback.accept(TokenGrant.NONE);
             }
           });
     }
 
-    private void lent(Urgency urgency, int count, TokenGrant loan) {
-      int served = Math.min(count, loan.granted());
-      if (served < count) {
-        long again = loan.retryAfterMillis() > 0 ? loan.retryAfterMillis() : UNANSWERED_MILLIS;
-        spentUntil.put(urgency, context.now() + again);
-        noteDenied(count - served, again);
+    private void onGrant(Urgency urgency, int count, TokenGrant grant) {
+      int grantedCount = Math.min(count, grant.granted());
+      if (grantedCount < count) {
+        long retryAfterMillis =
+            grant.retryAfterMillis() > 0 ? grant.retryAfterMillis() : NO_ISSUER_RETRY_DELAY_MILLIS;
+        exhaustedUntil.put(urgency, context.now() + retryAfterMillis);
+        logDenied(count - grantedCount, retryAfterMillis);
       }
-      granted += served;
-      denied += count - served;
-      waiting.get(urgency).completeBatch(count, served);
-      ask(urgency);
+      granted += grantedCount;
+      denied += count - grantedCount;
+      waiters.get(urgency).completeBatch(count, grantedCount);
+      requestTokens(urgency);
     }
 
-    private void noteDenied(int count, long again) {
+    private void logDenied(int count, long retryAfterMillis) {
       deniedSinceLog += count;
-      if (context.now() - loggedAt < LOG_MILLIS) {
+      if (context.now() - loggedAt < MIN_LOG_INTERVAL_MILLIS) {
         return;
       }
       context.note(
           EventCode.LIMIT_REACHED,
           target.toString(),
           "perSecond="
-              + book.perSecond(target)
+              + limits.perSecond(target)
               + " passedOver="
               + deniedSinceLog
               + " againMillis="
-              + again);
+              + retryAfterMillis);
       loggedAt = context.now();
       deniedSinceLog = 0;
     }
 
-    private boolean isSpent(Urgency urgency) {
-      return spentUntil.getOrDefault(urgency, Long.MIN_VALUE) > context.now();
+    private boolean isExhausted(Urgency urgency) {
+      return exhaustedUntil.getOrDefault(urgency, Long.MIN_VALUE) > context.now();
     }
   }
 
   LimitTokenClient(
       CoreContext context,
-      AnnouncedLimits book,
+      AnnouncedLimits limits,
       IssuerRanking ranking,
       TokenPort port,
-      LimitTokenIssuer lender) {
+      LimitTokenIssuer localIssuer) {
     this.context = context;
-    this.book = book;
+    this.limits = limits;
     this.ranking = ranking;
     this.port = port;
-    this.lender = lender;
+    this.localIssuer = localIssuer;
   }
 
   /**
-   * Takes a token for one request.
+   * Acquires a token for one request.
    *
-   * @param urgent whether it goes on with a stream that its caller has part of
-   * @param answer is told once, at once or later, whether the request may be sent
+   * @param urgent whether the request resumes a stream that its caller has received a part of
+   * @param callback called once, immediately or later, with whether the request may be sent
    */
-  void acquire(TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> answer) {
-    if (book.find(target).isEmpty()) {
-      answer.accept(true);
+  void acquire(TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> callback) {
+    if (limits.find(target).isEmpty()) {
+      callback.accept(true);
       return;
     }
-    Purse purse = purses.computeIfAbsent(target, Purse::new);
-    purse.dataCentre = dataCentre;
-    purse.take(urgent ? Urgency.URGENT : Urgency.USUAL, answer);
+    TargetTokens tokens = tokensByTarget.computeIfAbsent(target, TargetTokens::new);
+    tokens.dataCentre = dataCentre;
+    tokens.acquire(urgent ? Urgency.URGENT : Urgency.USUAL, callback);
   }
 
-  /** Takes a token back that a request has not used; the next one at this host has it. */
+  /** Returns an unused token, which the next request of this host uses. */
   void release(TargetId target) {
-    Purse purse = purses.get(target);
-    if (purse != null) {
-      purse.spares.add(context.now() + SPARE_MILLIS);
+    TargetTokens tokens = tokensByTarget.get(target);
+    if (tokens != null) {
+      tokens.unusedTokenExpiries.add(context.now() + UNUSED_TOKEN_EXPIRY_MILLIS);
     }
   }
 
-  /** Returns the targets for which no token is to be had just now. */
+  /** Returns the targets for which no token is available now. */
   Set<TargetId> exhausted(boolean urgent) {
-    if (purses.isEmpty()) {
+    if (tokensByTarget.isEmpty()) {
       return Set.of();
     }
-    purses.keySet().removeIf(target -> book.find(target).isEmpty() && isIdle(target));
-    Set<TargetId> spent = new HashSet<>();
-    purses.forEach(
-        (target, purse) -> {
-          if (purse.isSpent(urgent ? Urgency.URGENT : Urgency.USUAL)
-              && book.find(target).isPresent()) {
-            spent.add(target);
+    tokensByTarget.keySet().removeIf(target -> limits.find(target).isEmpty() && isIdle(target));
+    Set<TargetId> exhausted = new HashSet<>();
+    tokensByTarget.forEach(
+        (target, tokens) -> {
+          if (tokens.isExhausted(urgent ? Urgency.URGENT : Urgency.USUAL)
+              && limits.find(target).isPresent()) {
+            exhausted.add(target);
           }
         });
-    return spent;
+    return exhausted;
   }
 
   private boolean isIdle(TargetId target) {
-    Purse purse = purses.get(target);
-    return purse.waiting.values().stream().allMatch(TokenWaiters::isEmpty);
+    TargetTokens tokens = tokensByTarget.get(target);
+    return tokens.waiters.values().stream().allMatch(TokenWaiters::isEmpty);
   }
 
   long granted() {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
@@ -9,44 +9,44 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * Lends requests to targets out of their limits, each target's by one host at a time.
+ * Issues tokens out of the limits that targets have announced; each target has one issuer at a
+ * time.
  *
- * <p>Hosts learn of each other at different times and find each other silent at different times. So
- * a host that is asked though another one ranks before it asks that one in turn, and lends itself
- * only if it gets no answer.
+ * <p>Hosts may disagree on which host is the issuer. A host that is asked although another one
+ * ranks higher therefore forwards the request, and issues tokens itself only if it gets no
+ * response.
  */
 final class LimitTokenIssuer {
   /**
-   * All hosts know of one that has started after 8 s, in which they read each other's entries; so
-   * long it leaves lending to those that were there before.
+   * How long a host leaves issuing to others after its start. Longer than all hosts take to learn
+   * of it.
    */
   static final long STARTUP_PERIOD_MILLIS = 10_000;
 
   /**
-   * What a young host lends of a limit if no other lends: two of them, which do not know of each
-   * other yet, lend less together than a target bears.
+   * The ratio of a limit that a starting host issues if no other host does. Less than 1 because two
+   * starting hosts may not know of each other.
    */
-  private static final double YOUNG_PART = 0.6;
+  private static final double STARTUP_LIMIT_RATIO = 0.6;
 
-  /** Sooner than this hosts that found nothing need not ask again. */
-  private static final long SOONEST_MILLIS = 20;
+  private static final long MIN_RETRY_DELAY_MILLIS = 20;
 
-  /** A host asks at least so often, to hear that the limit is another one. */
-  private static final long LATEST_MILLIS = 2_000;
+  /** Bounds the time until a host learns of a changed limit. */
+  private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
 
-  /** Hosts that were told the same time do not all come back at once. */
-  private static final double SPREAD = 0.5;
+  /** Spreads the next requests of hosts that were refused at the same time. */
+  private static final double JITTER_RATIO = 0.5;
 
-  /** Buckets that nobody takes from are let go; they would be full. */
-  private static final long UNUSED_MILLIS = 60_000;
+  /** Long enough that an idle bucket is full, so removing it loses nothing. */
+  private static final long BUCKET_IDLE_TIMEOUT_MILLIS = 60_000;
 
   private final CoreContext context;
-  private final AnnouncedLimits book;
+  private final AnnouncedLimits limits;
   private final IssuerRanking ranking;
   private final TokenPort port;
   private final long startedAt;
   private final Map<TargetId, Bucket> buckets = new HashMap<>();
-  private long tidiedAt;
+  private long lastCleanupAt;
 
   private static final class Bucket {
     private final TokenBucket tokens;
@@ -58,79 +58,83 @@
   }
 
   LimitTokenIssuer(
-      CoreContext context, AnnouncedLimits book, IssuerRanking ranking, TokenPort port) {
+      CoreContext context, AnnouncedLimits limits, IssuerRanking ranking, TokenPort port) {
     this.context = context;
-    this.book = book;
+    this.limits = limits;
     this.ranking = ranking;
     this.port = port;
     this.startedAt = context.now();
   }
 
   /**
-   * Lends requests to a target.
+   * Issues tokens for requests to a target.
    *
-   * @param answer is told once, at once or later; empty if another host is to lend
+   * @param callback called once, immediately or later; empty if another host is the issuer
    */
-  void issue(TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
-    book.merge(asked.limit());
-    if (asked.forwarded()) {
-      answer.accept(isYoung() ? Optional.empty() : Optional.of(lendHere(asked, count)));
+  void issue(TokenRequest.LimitTokens request, int count, Consumer<Optional<TokenGrant>> callback) {
+    limits.merge(request.limit());
+    if (request.forwarded()) {
+      callback.accept(
+          isStartingUp() ? Optional.empty() : Optional.of(issueLocally(request, count)));
       return;
     }
-    TargetId target = asked.limit().target();
+    TargetId target = request.limit().target();
     Optional<Address> other =
-        isYoung()
-            ? ranking.otherIssuerFor(target, asked.dataCentre())
-            : ranking.issuerFor(target, asked.dataCentre());
+        isStartingUp()
+            ? ranking.otherIssuerFor(target, request.dataCentre())
+            : ranking.issuerFor(target, request.dataCentre());
     other.ifPresentOrElse(
         host ->
             port.requestTokens(
                 host,
-                asked.asForwarded(),
+                request.asForwarded(),
                 count,
-                loan -> answer.accept(orHere(host, loan, asked, count))),
-        () -> answer.accept(Optional.of(lendHere(asked, count))));
+                grant -> callback.accept(orIssueLocally(host, grant, request, count))),
+        () -> callback.accept(Optional.of(issueLocally(request, count))));
   }
 
-  private Optional<TokenGrant> orHere(
-      Address host, Optional<TokenGrant> loan, TokenRequest.LimitTokens asked, int count) {
-    if (loan.isPresent()) {
-      return loan;
+  private Optional<TokenGrant> orIssueLocally(
+      Address host, Optional<TokenGrant> grant, TokenRequest.LimitTokens request, int count) {
+    if (grant.isPresent()) {
+      return grant;
     }
-    ranking.markUnresponsive(host, asked.limit().target());
-    return Optional.of(lendHere(asked, count));
+    ranking.markUnresponsive(host, request.limit().target());
+    return Optional.of(issueLocally(request, count));
   }
 
-  private boolean isYoung() {
+  private boolean isStartingUp() {
     return context.now() - startedAt < STARTUP_PERIOD_MILLIS;
   }
 
-  private TokenGrant lendHere(TokenRequest.LimitTokens asked, int count) {
-    tidy();
-    TargetId target = asked.limit().target();
-    double limit = book.perSecond(target);
+  private TokenGrant issueLocally(TokenRequest.LimitTokens request, int count) {
+    removeIdleBuckets();
+    TargetId target = request.limit().target();
+    double limit = limits.perSecond(target);
     if (limit == Double.POSITIVE_INFINITY) {
-      // The target has taken its word back meanwhile, which the asker is about to hear.
+      // The target no longer has a limit; the requesting host has not received that yet.
       return new TokenGrant(count, 0);
     }
-    double part = isYoung() ? YOUNG_PART / ranking.limitDivisor() : 1;
-    double perSecond = part * limit;
+    double ratio = isStartingUp() ? STARTUP_LIMIT_RATIO / ranking.limitDivisor() : 1;
+    double perSecond = ratio * limit;
     Bucket bucket = buckets.computeIfAbsent(target, any -> new Bucket(context.now()));
     bucket.usedAt = context.now();
-    int granted = bucket.tokens.take(context.now(), perSecond, count, asked.urgent());
+    int granted = bucket.tokens.take(context.now(), perSecond, count, request.urgent());
     return new TokenGrant(
-        granted, againMillis(bucket.tokens.millisToNext(perSecond, asked.urgent())));
+        granted, retryAfterMillis(bucket.tokens.millisToNext(perSecond, request.urgent())));
   }
 
-  private long againMillis(long next) {
-    double spread = next * (1 + SPREAD * context.random().nextDouble());
-    return Math.max(SOONEST_MILLIS, Math.min(LATEST_MILLIS, Math.round(spread)));
+  private long retryAfterMillis(long millisToNext) {
+    double delayMillis = millisToNext * (1 + JITTER_RATIO * context.random().nextDouble());
+    return Math.max(
+        MIN_RETRY_DELAY_MILLIS, Math.min(MAX_RETRY_DELAY_MILLIS, Math.round(delayMillis)));
   }
 
-  private void tidy() {
-    if (context.now() - tidiedAt > UNUSED_MILLIS) {
-      tidiedAt = context.now();
-      buckets.values().removeIf(bucket -> context.now() - bucket.usedAt > UNUSED_MILLIS);
+  private void removeIdleBuckets() {
+    if (context.now() - lastCleanupAt > BUCKET_IDLE_TIMEOUT_MILLIS) {
+      lastCleanupAt = context.now();
+      buckets
+          .values()
+          .removeIf(bucket -> context.now() - bucket.usedAt > BUCKET_IDLE_TIMEOUT_MILLIS);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
@@ -8,66 +8,69 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.statement.TargetFacts;
 
-/** Keeps to the limits that targets name, together with all other hosts. */
+/** Keeps to the limits that targets have announced, together with all other hosts. */
 public final class TargetLimits {
   private final AnnouncedLimits announced;
-  private final LimitTokenIssuer lender;
+  private final LimitTokenIssuer issuer;
   private final LimitTokenClient tokens;
 
   /**
-   * Makes it; no limit is known yet.
+   * Makes limits without any announcement.
    *
-   * @param facts what targets have said
-   * @param directory the hosts that share limits
-   * @param port the way to those that lend
+   * @param facts what targets have announced
+   * @param directory the hosts that share the limits
+   * @param port sends token requests to other hosts
    */
   public TargetLimits(
       CoreContext context, TargetFacts facts, IssuerDirectory directory, TokenPort port) {
     IssuerRanking ranking = new IssuerRanking(context, directory);
     this.announced = new AnnouncedLimits(context, facts);
-    this.lender = new LimitTokenIssuer(context, announced, ranking, port);
-    this.tokens = new LimitTokenClient(context, announced, ranking, port, lender);
+    this.issuer = new LimitTokenIssuer(context, announced, ranking, port);
+    this.tokens = new LimitTokenClient(context, announced, ranking, port, issuer);
   }
 
-  /** Returns what targets have said. */
   public AnnouncedLimits announced() {
     return announced;
   }
 
   /**
-   * Takes a token for one request to a target.
+   * Acquires a token for one request to a target.
    *
-   * @param dataCentre where the target is
-   * @param urgent whether it goes on with a stream that its caller has part of
-   * @param answer is told once, at once or later, whether the request may be sent
+   * @param dataCentre the data centre of the target
+   * @param urgent whether the request resumes a stream that its caller has received a part of
+   * @param callback called once, immediately or later, with whether the request may be sent
    */
   public void acquire(
-      TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> answer) {
-    tokens.acquire(target, dataCentre, urgent, answer);
+      TargetId target, DataCentre dataCentre, boolean urgent, Consumer<Boolean> callback) {
+    tokens.acquire(target, dataCentre, urgent, callback);
   }
 
-  /** Takes a token back that a request has not used. */
+  /** Returns a token that a request has not used. */
   public void release(TargetId target) {
     tokens.release(target);
   }
 
-  /** Returns the targets for which no token is to be had just now. */
+  /** Returns the targets for which no token is available now. */
   public Set<TargetId> exhausted(boolean urgent) {
     return tokens.exhausted(urgent);
   }
 
-  /** Lends another host requests to a target; empty if another host is to lend them. */
+  /**
+   * Issues tokens to another host.
+   *
+   * @param callback called once, immediately or later; empty if another host is the issuer
+   */
   public void issue(
-      TokenRequest.LimitTokens asked, int count, Consumer<Optional<TokenGrant>> answer) {
-    lender.issue(asked, count, answer);
+      TokenRequest.LimitTokens request, int count, Consumer<Optional<TokenGrant>> callback) {
+    issuer.issue(request, count, callback);
   }
 
-  /** Returns how many tokens this host's requests had. */
+  /** Returns how many tokens this host's requests were granted. */
   public long granted() {
     return tokens.granted();
   }
 
-  /** Returns how often there was none for a request, which then looked elsewhere or waited. */
+  /** Returns how often this host's requests were denied a token. */
   public long denied() {
     return tokens.denied();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenBucket.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenBucket.java
@@ -1,30 +1,28 @@
 package org.gatereel.core.limit;
 
 /**
- * Counts the requests that a target may still be sent, at a rate that may change.
+ * A token bucket whose rate may change.
  *
- * <p>It begins empty: whoever counted before may have given all out a moment ago.
+ * <p>It starts empty, because another host may just have issued all tokens of the target.
  */
 final class TokenBucket {
   /**
-   * What may be saved up: with it in any 4 s four and a half times the rate and 2 are given out,
-   * and 2 more for streams that go on, of the six times the rate and 5 that a target bears. What
-   * remains covers requests that arrive late and the moments in which two hosts lend.
+   * The burst capacity in seconds of the rate. Kept small, because late requests and a second
+   * issuer add to what the target receives.
    */
-  private static final double SAVED_SECONDS = 0.5;
+  private static final double MAX_SAVED_SECONDS = 0.5;
 
-  /** At low rates requests come at any time, and what was not saved until then is lost. */
-  private static final double SAVED_TOKENS = 2;
+  /** Added to the capacity, so that tokens are not lost between requests at low rates. */
+  private static final double MIN_CAPACITY_TOKENS = 2;
 
   /**
-   * Where nobody has asked for so long, another host may have lent meanwhile, and nothing is saved
-   * at the rate: a lender that pauses 0.7 s in every 2 s, and the one that follows it, gave out 77
-   * tokens in 4 s at 10 a second otherwise, where 65 are borne.
+   * After this time without requests another host may have issued tokens, so nothing is saved in
+   * proportion to the rate.
    */
-  private static final long UNASKED_MILLIS = 500;
+  private static final long IDLE_MILLIS = 500;
 
-  /** What is given out in advance to streams that have begun, whose callers cannot wait. */
-  private static final double ADVANCE = 2;
+  /** How many tokens are issued in advance for urgent requests. */
+  private static final double MAX_ADVANCE_TOKENS = 2;
 
   private double tokens;
   private long filledAt;
@@ -34,30 +32,32 @@
   }
 
   /**
-   * Takes some tokens.
+   * Takes up to {@code count} tokens.
    *
-   * @param perSecond the present rate
-   * @param urgent whether they may be given in advance
-   * @return how many there were, at most {@code count}
+   * @param perSecond the current rate
+   * @param urgent whether tokens may be issued in advance
+   * @return how many tokens were taken
    */
   int take(long now, double perSecond, int count, boolean urgent) {
     fill(now, perSecond);
-    double least = urgent ? -ADVANCE : 0;
-    int taken = (int) Math.max(0, Math.min(count, Math.floor(tokens - least)));
+    double minTokens = urgent ? -MAX_ADVANCE_TOKENS : 0;
+    int taken = (int) Math.max(0, Math.min(count, Math.floor(tokens - minTokens)));
     tokens -= taken;
     return taken;
   }
 
-  /** Returns when there will be a token, from now, in milliseconds; 0 if there is one. */
+  /**
+   * Returns the time in milliseconds until the next token is available; 0 if one is available now.
+   */
   long millisToNext(double perSecond, boolean urgent) {
-    double missing = 1 - tokens - (urgent ? ADVANCE : 0);
+    double missing = 1 - tokens - (urgent ? MAX_ADVANCE_TOKENS : 0);
     return missing <= 0 ? 0 : (long) Math.ceil(missing * 1_000 / perSecond);
   }
 
   private void fill(long now, double perSecond) {
-    boolean unasked = now - filledAt > UNASKED_MILLIS;
-    double most = SAVED_TOKENS + (unasked ? 0 : SAVED_SECONDS * perSecond);
-    tokens = Math.min(most, tokens + (now - filledAt) * perSecond / 1_000);
+    boolean idle = now - filledAt > IDLE_MILLIS;
+    double capacity = MIN_CAPACITY_TOKENS + (idle ? 0 : MAX_SAVED_SECONDS * perSecond);
+    tokens = Math.min(capacity, tokens + (now - filledAt) * perSecond / 1_000);
     filledAt = now;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenGrant.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenGrant.java
@@ -1,12 +1,12 @@
 package org.gatereel.core.limit;
 
 /**
- * What a host lends another one.
+ * The response to a token request.
  *
- * @param granted how many of those asked for
- * @param retryAfterMillis in how many milliseconds there may be more; 0 if that is not known
+ * @param granted how many of the requested tokens are granted
+ * @param retryAfterMillis time until more tokens may be available; 0 if unknown
  */
 public record TokenGrant(int granted, long retryAfterMillis) {
-  /** Nothing is lent, and nobody knows when there will be something. */
+  /** No tokens, with an unknown time until there are more. */
   public static final TokenGrant NONE = new TokenGrant(0, 0);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenIssuer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenIssuer.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Lends other hosts what all hosts share. */
+/** Issues tokens of shared budgets and limits to other hosts. */
 public interface TokenIssuer {
   /**
-   * Lends what a host asks for.
+   * Issues tokens.
    *
-   * @param count how many, at least one
-   * @param answer is told once, at once or later; empty if this host does not lend it now
+   * @param count the number of tokens requested; at least one
+   * @param callback called once, immediately or later; empty if this host is not the issuer
    */
-  void issue(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
+  void issue(TokenRequest request, int count, Consumer<Optional<TokenGrant>> callback);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenPort.java
@@ -4,15 +4,15 @@
 import java.util.function.Consumer;
 import org.gatereel.core.model.Address;
 
-/** The way to hosts that lend what all hosts share. */
+/** Sends token requests to other hosts. */
 public interface TokenPort {
   /**
-   * Asks another host for a loan.
+   * Requests tokens from another host.
    *
-   * @param count how many, at least one
-   * @param answer is told once, later, what is lent; empty if the host does not answer in time or
-   *     does not lend this
+   * @param count the number of tokens requested; at least one
+   * @param callback called once, later; empty if the host does not respond in time or is not the
+   *     issuer
    */
   void requestTokens(
-      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer);
+      Address issuer, TokenRequest request, int count, Consumer<Optional<TokenGrant>> callback);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenRequest.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenRequest.java
@@ -4,18 +4,19 @@
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.statement.LimitFact;
 
-/** What hosts lend each other. */
+/** A request of one host to another for tokens, each of which allows one request to a target. */
 public sealed interface TokenRequest {
-  /** Repeats of a service's requests, out of the data centre's part of the retry budget. */
+  /** Tokens for retries, out of the data centre's part of a service's retry budget. */
   record RetryTokens(ServiceName service) implements TokenRequest {}
 
   /**
-   * Requests to a target, out of its limit.
+   * Tokens for requests to a target, out of its limit.
    *
-   * @param limit the target and what it takes, as the asker knows it
-   * @param dataCentre where the target is
-   * @param urgent whether they are for streams that have begun
-   * @param forwarded whether a host asks for another one, so that it must not be asked in turn
+   * @param limit the target and its limit as the requesting host knows it
+   * @param dataCentre the data centre of the target
+   * @param urgent whether the requests resume streams
+   * @param forwarded whether another host forwards the request, so that it must not be forwarded
+   *     again
    */
   record LimitTokens(LimitFact limit, DataCentre dataCentre, boolean urgent, boolean forwarded)
       implements TokenRequest {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenWaiters.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenWaiters.java
@@ -7,46 +7,48 @@
 import java.util.function.Consumer;
 
 /**
- * Those who wait at this host for the same thing that another one lends: while a question is open
- * they gather, and are asked for together with the next one.
+ * A queue of requests that wait for tokens from one issuer. Requests that arrive while a token
+ * request is pending wait for the next one.
  */
 public final class TokenWaiters {
   private final Queue<Consumer<Boolean>> waiting = new ArrayDeque<>();
-  private boolean asking;
+  private boolean isBatchOpen;
 
-  /** Adds one, who is told once whether there was something for them. */
-  public void add(Consumer<Boolean> answer) {
-    waiting.add(answer);
+  /** Adds a request; {@code callback} is called once with whether it got a token. */
+  public void add(Consumer<Boolean> callback) {
+    waiting.add(callback);
   }
 
   public boolean isEmpty() {
     return waiting.isEmpty();
   }
 
-  /** Begins a question; returns for how many, 0 if nobody waits or one is open. */
+  /**
+   * Starts a batch of all waiting requests. Returns its size; 0 if none wait or a batch is pending.
+   */
   public int startBatch() {
-    if (asking || waiting.isEmpty()) {
+    if (isBatchOpen || waiting.isEmpty()) {
       return 0;
     }
-    asking = true;
+    isBatchOpen = true;
     return waiting.size();
   }
 
   /**
-   * Ends a question and tells those for whom it was, the first of them that there was something.
+   * Completes a batch and calls its callbacks; the first requests get the tokens.
    *
-   * @param asked for how many it was
-   * @param granted for how many of them there was something
+   * @param size the size of the batch
+   * @param granted how many tokens were granted
    */
-  public void completeBatch(int asked, int granted) {
-    // Whoever is told may wait again at once, and begin a question before the others are told.
-    List<Consumer<Boolean>> told = new ArrayList<>();
-    for (int index = 0; index < asked; index++) {
-      told.add(waiting.remove());
+  public void completeBatch(int size, int granted) {
+    // A callback may add a request and start the next batch before the others are called.
+    List<Consumer<Boolean>> batch = new ArrayList<>();
+    for (int index = 0; index < size; index++) {
+      batch.add(waiting.remove());
     }
-    asking = false;
-    for (int index = 0; index < asked; index++) {
-      told.get(index).accept(index < granted);
+    isBatchOpen = false;
+    for (int index = 0; index < size; index++) {
+      batch.get(index).accept(index < granted);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/package-info.java
@@ -1,8 +1,7 @@
 /**
- * How many requests a second a target takes from all hosts together, by its own word, and how hosts
- * keep to it.
+ * Request rate limits that targets announce, and how all hosts together keep to them.
  *
- * <p>What a target says is told to all hosts as a fact of its run. For each target one host lends
- * requests out of its limit, and all others ask it before they send one.
+ * <p>Hosts exchange announced limits as facts about an incarnation of a target. For each target one
+ * host issues tokens out of its limit, and every host acquires a token before it sends a request.
  */
 package org.gatereel.core.limit;
