--- a/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
@@ -21,33 +21,33 @@
 
 class AnnouncedLimitsTest {
   private static final TargetId TARGET = new TargetId("t1", 7);
-  private static final TargetId NEXT_RUN = new TargetId("t1", 8);
+  private static final TargetId NEXT_INCARNATION = new TargetId("t1", 8);
   private static final double NONE = Double.POSITIVE_INFINITY;
 
-  private final Set<TargetId> listed = new HashSet<>(Set.of(TARGET, NEXT_RUN));
+  private final Set<TargetId> listed = new HashSet<>(Set.of(TARGET, NEXT_INCARNATION));
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetFacts facts = new TargetFacts(context, listed::contains);
-  private final AnnouncedLimits book = new AnnouncedLimits(context, facts);
+  private final AnnouncedLimits limits = new AnnouncedLimits(context, facts);
 
   AnnouncedLimitsTest() {
     context.moveTo(100_000);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     context.moveTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
-  private void hear(double perSecond, long sentAgo) {
-    book.observe(TARGET, perSecond, context.now() - sentAgo);
+  private void observe(double perSecond, long sentAgo) {
+    limits.observe(TARGET, perSecond, context.now() - sentAgo);
   }
 
-  private void hearNone(long sentAgo) {
-    book.observeNone(TARGET, context.now() - sentAgo);
+  private void observeNone(long sentAgo) {
+    limits.observeNone(TARGET, context.now() - sentAgo);
   }
 
-  private void told(double perSecond, long ago) {
+  private void reported(double perSecond, long ago) {
     facts.learn(List.of(new LimitFact(TARGET, new AnnouncedLimit(perSecond, context.now() - ago))));
   }
 
@@ -59,143 +59,150 @@
   }
 
   @Test
-  void aTargetThatNamesNoneTakesAnyNumber() {
-    hearNone(0);
+  void targetWithoutLimitIsUnlimited() {
+    observeNone(0);
 
-    assertEquals(NONE, book.perSecond(TARGET));
-    assertEquals(Optional.empty(), book.find(TARGET));
+    assertEquals(NONE, limits.perSecond(TARGET));
+    assertEquals(Optional.empty(), limits.find(TARGET));
   }
 
-  /** Were it 0, admission would refuse all, and nobody would hear that it takes more again. */
+  /**
+   * Guards against rejecting all requests, after which no response could announce a higher limit.
+   */
   @Test
-  void aTargetThatTakesNothingIsAskedAgainNowAndThen() {
-    hear(0, 10);
+  void limitOfZeroAllowsAMinimumRate() {
+    observe(0, 10);
 
-    assertEquals(0.1, book.perSecond(TARGET));
-    assertEquals(0, book.find(TARGET).orElseThrow().perSecond(), "others are told its own word");
+    assertEquals(0.1, limits.perSecond(TARGET));
+    assertEquals(
+        0,
+        limits.find(TARGET).orElseThrow().perSecond(),
+        "other hosts receive the announced value");
   }
 
   @Test
-  void aLimitHoldsForOneRunOfATarget() {
-    hear(5.4, 10);
+  void limitIsValidForOneIncarnation() {
+    observe(5.4, 10);
 
-    assertEquals(5.4, book.perSecond(TARGET));
-    assertEquals(NONE, book.perSecond(NEXT_RUN));
+    assertEquals(5.4, limits.perSecond(TARGET));
+    assertEquals(NONE, limits.perSecond(NEXT_INCARNATION));
   }
 
   @Test
-  void aLowerLimitHoldsAtOnceAndAHigherOneOnlyForARequestSentAfterIt() {
-    hear(5.4, 10);
-    hear(2, 500);
-    assertEquals(2, book.perSecond(TARGET));
-    pass(200);
-    hear(8, 300);
-    assertEquals(2, book.perSecond(TARGET), "answers a request that was sent before");
-    hear(8, 100);
-    assertEquals(8, book.perSecond(TARGET));
+  void lowerLimitAppliesImmediatelyAndHigherLimitOnlyToLaterRequests() {
+    observe(5.4, 10);
+    observe(2, 500);
+    assertEquals(2, limits.perSecond(TARGET));
+    advance(200);
+    observe(8, 300);
+    assertEquals(2, limits.perSecond(TARGET), "responds to a request that was sent before");
+    observe(8, 100);
+    assertEquals(8, limits.perSecond(TARGET));
   }
 
   @Test
-  void anAnswerWithoutItEndsALimit() {
-    hear(5.4, 10);
-    pass(100);
-    hearNone(200);
-    assertEquals(5.4, book.perSecond(TARGET));
+  void responseWithoutLimitEndsTheLimit() {
+    observe(5.4, 10);
+    advance(100);
+    observeNone(200);
+    assertEquals(5.4, limits.perSecond(TARGET));
 
-    hearNone(50);
+    observeNone(50);
 
-    assertEquals(NONE, book.perSecond(TARGET));
-    assertEquals(0, book.size());
+    assertEquals(NONE, limits.perSecond(TARGET));
+    assertEquals(0, limits.size());
   }
 
   @Test
-  void aLimitThatChangesWithEachAnswerFillsNoLog() {
+  void limitsTheLoggingOfAFrequentlyChangingLimit() {
     for (int answer = 0; answer < 100; answer++) {
-      hear(answer % 2 == 0 ? 5.4 : 2, 0);
-      pass(10);
+      observe(answer % 2 == 0 ? 5.4 : 2, 0);
+      advance(10);
     }
 
     assertTrue(notes().size() <= 2);
   }
 
   @Test
-  void theLaterOfWhatTwoHostsWereToldHolds() {
-    told(5.4, 4_000);
-    told(8, 2_000);
-    told(2, 3_000);
-    assertEquals(8, book.perSecond(TARGET));
+  void laterOfTwoReportedLimitsApplies() {
+    reported(5.4, 4_000);
+    reported(8, 2_000);
+    reported(2, 3_000);
+    assertEquals(8, limits.perSecond(TARGET));
 
-    told(NONE, 500);
-    told(8, 2_000);
+    reported(NONE, 500);
+    reported(8, 2_000);
 
-    assertEquals(NONE, book.perSecond(TARGET));
+    assertEquals(NONE, limits.perSecond(TARGET));
   }
 
   @Test
-  void ofWhatTwoHostsWereToldAtOnceTheLowerHoldsInAnyOrder() {
-    told(5.4, 1_050);
-    told(3.6, 1_000);
-    assertEquals(3.6, book.perSecond(TARGET));
+  void lowerOfTwoSimultaneousReportsAppliesInAnyOrder() {
+    reported(5.4, 1_050);
+    reported(3.6, 1_000);
+    assertEquals(3.6, limits.perSecond(TARGET));
 
-    told(5.4, 980);
+    reported(5.4, 980);
 
-    assertEquals(3.6, book.perSecond(TARGET));
+    assertEquals(3.6, limits.perSecond(TARGET));
   }
 
-  /** Its steady clock stood still meanwhile, so that all it knows seems younger than it is. */
+  /** The steady clock stops during a suspension, so a limit would seem newer than it is. */
   @Test
-  void whatAHostHeardBeforeItWasSuspendedIsNoYoungerForIt() {
-    hear(8, 0);
-    pass(100);
+  void ageOfALimitIncludesTheSuspensionOfTheHost() {
+    observe(8, 0);
+    advance(100);
     context.noteLost(5_000);
 
-    long told = facts.after(0, 1).get(0).fact().announcedAt();
-    assertEquals(5_100, context.now() - told);
+    long announcedAt = facts.after(0, 1).get(0).fact().announcedAt();
+    assertEquals(5_100, context.now() - announcedAt);
 
-    told(2, 3_000);
-    assertEquals(2, book.perSecond(TARGET), "said while this host was suspended");
-    told(8, 4_000);
-    assertEquals(2, book.perSecond(TARGET));
-    pass(10);
-    hear(8, 5);
-    assertEquals(8, book.perSecond(TARGET));
+    reported(2, 3_000);
+    assertEquals(2, limits.perSecond(TARGET), "announced while this host was suspended");
+    reported(8, 4_000);
+    assertEquals(2, limits.perSecond(TARGET));
+    advance(10);
+    observe(8, 5);
+    assertEquals(8, limits.perSecond(TARGET));
   }
 
-  /** Each report makes the time a little later; it must not go round for ever. */
+  /**
+   * Reports change the time of a limit slightly; hosts must not report it to each other endlessly.
+   */
   @Test
-  void whatComesBackUnchangedIsNoNews() {
-    hear(5.4, 0);
+  void unchangedLimitIsNotReportedAgain() {
+    observe(5.4, 0);
     long number = facts.after(0, 10).get(0).number();
-    pass(500);
+    advance(500);
 
-    told(5.4, 400);
+    reported(5.4, 400);
 
     assertEquals(List.of(), facts.after(number, 10));
   }
 
   @Test
-  void hostsAreToldTheLatestAlone() {
-    hear(5.4, 0);
-    pass(10);
-    hear(2, 0);
-    pass(10);
-    hearNone(0);
+  void onlyTheLatestLimitIsReported() {
+    observe(5.4, 0);
+    advance(10);
+    observe(2, 0);
+    advance(10);
+    observeNone(0);
 
-    List<TargetFact> told = facts.after(0, 10).stream().map(next -> next.fact()).toList();
+    List<TargetFact> reported = facts.after(0, 10).stream().map(next -> next.fact()).toList();
 
-    assertEquals(1, told.size());
-    assertTrue(((LimitFact) told.get(0)).limit().isNone());
+    assertEquals(1, reported.size());
+    assertTrue(((LimitFact) reported.get(0)).limit().isNone());
   }
 
   @Test
-  void theLimitOfARunThatIsGoneIsForgotten() {
-    hear(5.4, 0);
+  void limitOfAnUnlistedIncarnationExpires() {
+    observe(5.4, 0);
     listed.remove(TARGET);
 
-    pass(60_000);
-    pass(60_001);
+    advance(60_000);
+    advance(60_001);
 
     assertEquals(List.of(), facts.after(0, 10));
-    assertEquals(0, book.size());
+    assertEquals(0, limits.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
@@ -20,7 +20,7 @@
 import org.gatereel.core.statement.LimitFact;
 import org.gatereel.core.statement.TargetFacts;
 
-/** Hosts that share the limit of one target, over messages that take time; time is virtual. */
+/** Simulates hosts that share the limit of one target, with message delays and virtual time. */
 final class LimitWorld {
   static final TargetId TARGET = new TargetId("t1");
   static final long START = 1_000_000;
@@ -32,23 +32,23 @@
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final SplittableRandom random;
   private final List<Long> sent = new ArrayList<>();
-  private final DataCentre targetsPlace = dataCentre(0);
+  private final DataCentre targetDataCentre = dataCentre(0);
   private final int dataCentres;
   private final double perSecond;
   private long now = START;
   private long number;
-  private long asked;
+  private long tokenRequests;
 
   private record Event(long at, long number, Runnable task) {}
 
-  /** One host; it knows all hosts whose entries it has read. */
+  /** A simulated host, which knows the hosts that {@link #setKnownHosts} has set. */
   final class Host implements IssuerDirectory {
     final CoreContext context;
     final Address address;
     final DataCentre dataCentre;
     private final TargetLimits limits;
     private List<Host> known = new ArrayList<>();
-    private long changes;
+    private long version;
     boolean alive = true;
     boolean cutOff;
 
@@ -57,23 +57,26 @@
       address = new Address("10.0." + index / 200 + "." + index % 200, 7);
       context = new CoreContext(new HostId("h" + index), dataCentre, new SplittableRandom(index));
       context.moveTo(now);
-      limits = new TargetLimits(context, new TargetFacts(context, any -> true), this, this::borrow);
+      limits =
+          new TargetLimits(
+              context, new TargetFacts(context, any -> true), this, this::requestTokens);
       limits.announced().merge(fact());
     }
 
     @Override
-    public List<Address> rankedIssuers(DataCentre place, String key) {
-      Map<Boolean, List<Host>> byPlace =
+    public List<Address> rankedIssuers(DataCentre dataCentreOfTarget, String key) {
+      Map<Boolean, List<Host>> byDataCentre =
           Rendezvous.rank(key, known, host -> host.context.self().value()).stream()
-              .collect(Collectors.partitioningBy(host -> host.dataCentre.equals(place)));
-      return IssuerDirectory.order(byPlace.get(true), byPlace.get(false)).stream()
+              .collect(
+                  Collectors.partitioningBy(host -> host.dataCentre.equals(dataCentreOfTarget)));
+      return IssuerDirectory.order(byDataCentre.get(true), byDataCentre.get(false)).stream()
           .map(host -> host.address)
           .toList();
     }
 
     @Override
     public long version() {
-      return changes;
+      return version;
     }
 
     @Override
@@ -86,42 +89,44 @@
       return Math.max(1, known.size());
     }
 
-    void knows(List<Host> others) {
+    void setKnownHosts(List<Host> others) {
       known = List.copyOf(others);
-      changes++;
+      version++;
     }
 
-    private void borrow(
-        Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
-      asked++;
-      boolean[] told = new boolean[1];
+    private void requestTokens(
+        Address issuer, TokenRequest request, int count, Consumer<Optional<TokenGrant>> callback) {
+      tokenRequests++;
+      boolean[] called = new boolean[1];
       Consumer<Optional<TokenGrant>> once =
-          loan -> {
-            if (!told[0]) {
-              told[0] = true;
-              step(() -> answer.accept(loan));
+          grant -> {
+            if (!called[0]) {
+              called[0] = true;
+              execute(() -> callback.accept(grant));
             }
           };
-      boolean passedOn = ((TokenRequest.LimitTokens) subject).forwarded();
-      in(passedOn ? TIMEOUT_MILLIS / 2 : TIMEOUT_MILLIS, () -> once.accept(Optional.empty()));
-      Host to = hosts.get(lender);
-      in(
+      boolean forwarded = ((TokenRequest.LimitTokens) request).forwarded();
+      schedule(
+          forwarded ? TIMEOUT_MILLIS / 2 : TIMEOUT_MILLIS, () -> once.accept(Optional.empty()));
+      Host to = hosts.get(issuer);
+      schedule(
           DELAY_MILLIS,
           () -> {
             if (reaches(to)) {
-              to.step(
+              to.execute(
                   () ->
                       to.limits.issue(
-                          (TokenRequest.LimitTokens) subject,
+                          (TokenRequest.LimitTokens) request,
                           count,
-                          loan -> in(DELAY_MILLIS, () -> reply(to, once, loan))));
+                          grant -> schedule(DELAY_MILLIS, () -> respond(to, once, grant))));
             }
           });
     }
 
-    private void reply(Host from, Consumer<Optional<TokenGrant>> once, Optional<TokenGrant> loan) {
+    private void respond(
+        Host from, Consumer<Optional<TokenGrant>> once, Optional<TokenGrant> grant) {
       if (reaches(from)) {
-        once.accept(loan);
+        once.accept(grant);
       }
     }
 
@@ -129,7 +134,7 @@
       return alive && other.alive && !cutOff && !other.cutOff;
     }
 
-    private void step(Runnable task) {
+    private void execute(Runnable task) {
       if (!alive) {
         return;
       }
@@ -138,22 +143,22 @@
       task.run();
     }
 
-    /** Has a request for the target come; it is sent if there is a token. */
+    /** Simulates a request to the target, which is sent if a token is granted. */
     void request(boolean urgent) {
-      step(
+      execute(
           () -> {
             if (!limits.exhausted(urgent).contains(TARGET)) {
-              limits.acquire(TARGET, targetsPlace, urgent, this::answered);
+              limits.acquire(TARGET, targetDataCentre, urgent, this::sendIfGranted);
             }
           });
     }
 
-    /** Takes a token without a request. */
-    void take(Consumer<Boolean> answer) {
-      step(() -> limits.acquire(TARGET, targetsPlace, false, answer));
+    /** Acquires a token without sending a request. */
+    void acquire(Consumer<Boolean> callback) {
+      execute(() -> limits.acquire(TARGET, targetDataCentre, false, callback));
     }
 
-    private void answered(boolean granted) {
+    private void sendIfGranted(boolean granted) {
       if (granted && !cutOff) {
         sent.add(now);
       }
@@ -167,8 +172,8 @@
     for (int index = 0; index < count; index++) {
       add();
     }
-    all().forEach(host -> host.knows(all()));
-    in(LimitTokenIssuer.STARTUP_PERIOD_MILLIS, () -> {});
+    allHosts().forEach(host -> host.setKnownHosts(allHosts()));
+    schedule(LimitTokenIssuer.STARTUP_PERIOD_MILLIS, () -> {});
     run(LimitTokenIssuer.STARTUP_PERIOD_MILLIS);
   }
 
@@ -180,35 +185,39 @@
     return new LimitFact(TARGET, new AnnouncedLimit(perSecond, START));
   }
 
-  /** Starts one more host, which nobody knows yet. */
+  /** Starts a host that no other host knows yet. */
   Host add() {
     Host host = new Host(hosts.size());
     hosts.put(host.address, host);
     return host;
   }
 
-  List<Host> all() {
+  List<Host> allHosts() {
     return List.copyOf(hosts.values());
   }
 
-  /** Returns the host that lends while all hosts answer. */
-  Host lender() {
-    return hosts.get(all().get(0).rankedIssuers(targetsPlace, TARGET.toString()).get(0));
+  /** Returns the host that issues tokens while all hosts respond. */
+  Host issuer() {
+    return hosts.get(allHosts().get(0).rankedIssuers(targetDataCentre, TARGET.toString()).get(0));
   }
 
-  /** Does something later, in milliseconds from now. */
-  void in(long millis, Runnable task) {
+  /** Schedules a task after a delay in milliseconds. */
+  void schedule(long millis, Runnable task) {
     events.add(new Event(now + millis, number++, task));
   }
 
-  /** Has so many requests a second come for a while, at any host. */
-  void ask(double rate, long millis) {
+  /** Schedules requests at random hosts, with exponentially distributed intervals. */
+  void scheduleRequests(double requestsPerSecond, long millis) {
     long until = now + millis;
-    for (double at = now; at < until; at += -Math.log(1 - random.nextDouble()) * 1_000 / rate) {
+    for (double at = now;
+        at < until;
+        at += -Math.log(1 - random.nextDouble()) * 1_000 / requestsPerSecond) {
       boolean urgent = random.nextInt(10) == 0;
       events.add(
           new Event(
-              (long) at, number++, () -> all().get(random.nextInt(hosts.size())).request(urgent)));
+              (long) at,
+              number++,
+              () -> allHosts().get(random.nextInt(hosts.size())).request(urgent)));
     }
   }
 
@@ -222,31 +231,31 @@
     now = until;
   }
 
-  /** Returns the most that were sent within 4 s. */
-  long mostInWindow() {
-    long most = 0;
+  /** Returns the maximum number of requests sent within any 4 s. */
+  long maxSentInWindow() {
+    long max = 0;
     int from = 0;
     for (int last = 0; last < sent.size(); last++) {
       while (sent.get(from) <= sent.get(last) - 4_000) {
         from++;
       }
-      most = Math.max(most, last - from + 1);
+      max = Math.max(max, last - from + 1);
     }
-    return most;
+    return max;
   }
 
-  double borne() {
+  double maxAllowedInWindow() {
     return 1.5 * perSecond * 4 + 5;
   }
 
-  /** Returns which part of the limit was used from a time on, in milliseconds from the start. */
-  double used(long from) {
+  /** Returns the ratio of the limit that was used, from a time in milliseconds after the start. */
+  double usedRatio(long from) {
     long counted = sent.stream().filter(at -> at >= START + from).count();
     return counted / (perSecond * (now - START - from) / 1_000);
   }
 
-  /** Returns how many questions hosts have asked each other. */
-  long asked() {
-    return asked;
+  /** Returns the number of token requests between hosts. */
+  long tokenRequests() {
+    return tokenRequests;
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/SharedLimitTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/SharedLimitTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Hosts that together send a target what it takes: never more than it bears, and not much less
- * while more is asked for, also where the host that lends is lost, comes back or changes.
+ * Hosts together keep to the limit of a target and use most of it, also when the token issuer ends,
+ * pauses or changes.
  */
 class SharedLimitTest {
-  private static final double USED = 0.85;
-  private static final long WARM = LimitTokenIssuer.STARTUP_PERIOD_MILLIS;
+  private static final double MIN_USED_RATIO = 0.85;
+  private static final long WARM_UP_MILLIS = LimitTokenIssuer.STARTUP_PERIOD_MILLIS;
 
   private static void assertWithin(LimitWorld world) {
     assertTrue(
-        world.mostInWindow() <= world.borne(),
-        world.mostInWindow() + " in 4 s, borne " + world.borne());
+        world.maxSentInWindow() <= world.maxAllowedInWindow(),
+        world.maxSentInWindow() + " in 4 s, allowed " + world.maxAllowedInWindow());
   }
 
-  private static void assertUsed(LimitWorld world, double least) {
-    double used = world.used(WARM);
-    assertTrue(used >= least, "used " + used);
+  private static void assertUsed(LimitWorld world, double minRatio) {
+    double used = world.usedRatio(WARM_UP_MILLIS);
+    assertTrue(used >= minRatio, "used " + used);
   }
 
   @ParameterizedTest
@@ -33,37 +33,39 @@
     "9,0.2", "9,1", "9,5.4", "9,50", "73,0.2", "73,5.4", "95,0.2", "95,1", "95,5.4", "95,50",
     "300,0.2", "300,1", "300,5.4", "300,50"
   })
-  void theLimitIsKeptAndUsedAtAnyNumberOfHosts(int hosts, double perSecond) {
+  void limitIsKeptAndUsedAtAnyNumberOfHosts(int hosts, double perSecond) {
     LimitWorld world = new LimitWorld(hosts, 3, perSecond, 1);
     long millis = perSecond < 1 ? 200_000 : 40_000;
 
-    world.ask(3 * perSecond, millis);
+    world.scheduleRequests(3 * perSecond, millis);
     world.run(millis);
 
     assertWithin(world);
-    assertUsed(world, USED);
+    assertUsed(world, MIN_USED_RATIO);
   }
 
   @Test
-  void aLenderThatEndsIsFollowedByTheNext() {
+  void nextHostIssuesTokensAfterTheIssuerEnds() {
     LimitWorld world = new LimitWorld(95, 5, 5.4, 2);
-    world.ask(20, 40_000);
-    world.in(10_000, () -> world.lender().alive = false);
+    world.scheduleRequests(20, 40_000);
+    world.schedule(10_000, () -> world.issuer().alive = false);
 
     world.run(40_000);
 
     assertWithin(world);
-    assertUsed(world, USED);
+    assertUsed(world, MIN_USED_RATIO);
   }
 
-  /** Those that passed it over come back at different times, and two hosts lend meanwhile. */
+  /**
+   * Hosts detect the pause and the return at different times, so two hosts issue tokens meanwhile.
+   */
   @Test
-  void aLenderThatPausesAgainAndAgainAddsNoMoreThanIsBorne() {
+  void limitIsKeptWhileTheIssuerPausesRepeatedly() {
     LimitWorld world = new LimitWorld(30, 3, 10, 3);
-    world.ask(40, 60_000);
+    world.scheduleRequests(40, 60_000);
     for (long at = 5_000; at < 55_000; at += 2_000) {
-      world.in(at, () -> world.lender().alive = false);
-      world.in(at + 700, () -> world.lender().alive = true);
+      world.schedule(at, () -> world.issuer().alive = false);
+      world.schedule(at + 700, () -> world.issuer().alive = true);
     }
 
     world.run(60_000);
@@ -72,17 +74,17 @@
     assertUsed(world, 0.5);
   }
 
-  /** Also where they are many: the next lender is found elsewhere, and not after all of them. */
+  /** The next issuer must be in another data centre, without trying all hosts of the first one. */
   @ParameterizedTest
   @CsvSource({"9", "95"})
-  void allHostsOfTheTargetsDataCentreMayEndAtOnce(int hosts) {
+  void limitIsUsedAfterAllHostsOfTheDataCentreEnd(int hosts) {
     LimitWorld world = new LimitWorld(hosts, 3, 5.4, 4);
-    world.ask(20, 40_000);
-    world.in(
+    world.scheduleRequests(20, 40_000);
+    world.schedule(
         10_000,
         () ->
-            world.all().stream()
-                .filter(host -> host.dataCentre.equals(world.lender().dataCentre))
+            world.allHosts().stream()
+                .filter(host -> host.dataCentre.equals(world.issuer().dataCentre))
                 .toList()
                 .forEach(host -> host.alive = false));
 
@@ -92,98 +94,98 @@
     assertUsed(world, 0.7);
   }
 
-  /** It would rank first, and others hear of it one after the other, within eight seconds. */
+  /** The started hosts may rank first, and others learn of them one after the other. */
   @Test
-  void aHostThatStartsLendsOnlyOnceAllKnowOfIt() {
+  void limitIsKeptWhileStartingHostsBecomeKnown() {
     for (int seed = 5; seed < 25; seed++) {
       LimitWorld world = new LimitWorld(12, 1, 10, seed);
-      world.ask(40, 50_000);
+      world.scheduleRequests(40, 50_000);
       world.run(5_000);
-      List<LimitWorld.Host> fresh = new ArrayList<>();
+      List<LimitWorld.Host> newHosts = new ArrayList<>();
       for (int index = 0; index < 12; index++) {
-        fresh.add(world.add());
+        newHosts.add(world.add());
       }
-      List<LimitWorld.Host> all = world.all();
-      fresh.forEach(host -> host.knows(all));
+      List<LimitWorld.Host> allHosts = world.allHosts();
+      newHosts.forEach(host -> host.setKnownHosts(allHosts));
       for (int index = 0; index < 12; index++) {
-        LimitWorld.Host old = all.get(index);
-        world.in(700L * index, () -> old.knows(all));
+        LimitWorld.Host oldHost = allHosts.get(index);
+        world.schedule(700L * index, () -> oldHost.setKnownHosts(allHosts));
       }
 
       world.run(45_000);
 
       assertWithin(world);
-      assertUsed(world, USED);
+      assertUsed(world, MIN_USED_RATIO);
     }
   }
 
   @Test
-  void hostsThatAllStartTogetherKeepTheLimitToo() {
+  void limitIsKeptWhenAllHostsRestartTogether() {
     LimitWorld world = new LimitWorld(9, 3, 5.4, 6);
     world.run(60_000);
-    List<LimitWorld.Host> old = world.all();
-    old.forEach(host -> host.alive = false);
-    List<LimitWorld.Host> fresh = new ArrayList<>();
+    List<LimitWorld.Host> oldHosts = world.allHosts();
+    oldHosts.forEach(host -> host.alive = false);
+    List<LimitWorld.Host> newHosts = new ArrayList<>();
     for (int index = 0; index < 9; index++) {
-      fresh.add(world.add());
+      newHosts.add(world.add());
     }
-    fresh.forEach(host -> host.knows(List.of(host)));
+    newHosts.forEach(host -> host.setKnownHosts(List.of(host)));
     for (int index = 0; index < 9; index++) {
-      LimitWorld.Host host = fresh.get(index);
-      world.in(300L * index, () -> host.knows(fresh));
+      LimitWorld.Host host = newHosts.get(index);
+      world.schedule(300L * index, () -> host.setKnownHosts(newHosts));
     }
 
-    world.ask(40, 30_000);
+    world.scheduleRequests(40, 30_000);
     world.run(30_000);
 
     assertWithin(world);
   }
 
   @Test
-  void hostsThatReachNoOtherSendNothingMoreThanBorne() {
+  void limitIsKeptDuringANetworkPartition() {
     LimitWorld world = new LimitWorld(30, 3, 5.4, 7);
-    world.ask(30, 30_000);
-    world.in(
+    world.scheduleRequests(30, 30_000);
+    world.schedule(
         5_000,
         () ->
-            world.all().stream()
-                .filter(host -> !host.dataCentre.equals(world.lender().dataCentre))
+            world.allHosts().stream()
+                .filter(host -> !host.dataCentre.equals(world.issuer().dataCentre))
                 .forEach(host -> host.cutOff = true));
-    world.in(15_000, () -> world.all().forEach(host -> host.cutOff = false));
+    world.schedule(15_000, () -> world.allHosts().forEach(host -> host.cutOff = false));
 
     world.run(30_000);
 
     assertWithin(world);
   }
 
-  /** Whoever is answered asks again at once, while others who asked with it wait for theirs. */
+  /** A callback acquires another token while the callbacks of its batch are still pending. */
   @Test
-  void anAnswerThatAsksAgainTakesNobodysPlace() {
+  void callbackThatAcquiresAgainDoesNotDelayOthers() {
     LimitWorld world = new LimitWorld(2, 1, 5, 9);
-    List<Boolean> answers = new ArrayList<>();
-    LimitWorld.Host borrower =
-        world.all().stream().filter(host -> host != world.lender()).findFirst().orElseThrow();
+    List<Boolean> grants = new ArrayList<>();
+    LimitWorld.Host requester =
+        world.allHosts().stream().filter(host -> host != world.issuer()).findFirst().orElseThrow();
 
-    borrower.take(answers::add);
-    borrower.take(
+    requester.acquire(grants::add);
+    requester.acquire(
         granted -> {
-          answers.add(granted);
-          borrower.take(answers::add);
+          grants.add(granted);
+          requester.acquire(grants::add);
         });
-    borrower.take(answers::add);
+    requester.acquire(grants::add);
     world.run(1_000);
 
-    assertEquals(4, answers.size());
+    assertEquals(4, grants.size());
   }
 
-  /** Each request asks once at the most, and few where nothing is to be had. */
+  /** Each request causes at most one token request. */
   @Test
-  void questionsAreFew() {
+  void numberOfTokenRequestsIsBounded() {
     LimitWorld world = new LimitWorld(95, 5, 5.4, 8);
 
-    world.ask(50, 40_000);
+    world.scheduleRequests(50, 40_000);
     world.run(40_000);
 
-    assertTrue(world.asked() <= 50 * 40, "asked " + world.asked());
+    assertTrue(world.tokenRequests() <= 50 * 40, "token requests " + world.tokenRequests());
   }
 }
