--- a/gatereel-core/src/main/java/org/gatereel/core/statement/AnnouncedLimit.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/AnnouncedLimit.java
@@ -1,32 +1,32 @@
 package org.gatereel.core.statement;
 
 /**
- * How many requests a second a target takes from all hosts together.
+ * How many requests a second a target accepts from all hosts together.
  *
- * @param perSecond the number; infinite where the target named a limit before and does no more
- * @param announcedAt when it was first said, on this host's steady clock in milliseconds
+ * @param perSecond the rate; infinite if the target announced a limit before and has none now
+ * @param announcedAt when it was first announced, on the steady clock of this host in milliseconds
  */
 public record AnnouncedLimit(double perSecond, long announcedAt) {
   /**
-   * What two hosts heard within this time counts as said at once: a report between hosts, through
-   * which the time travels as an age, takes as long.
+   * Announcements within this time count as simultaneous. Hosts exchange ages, so times differ by
+   * the delay of a report.
    */
-  private static final long SAME_TIME_MILLIS = 100;
+  private static final long MAX_CLOCK_DIFFERENCE_MILLIS = 100;
 
-  /** Returns whether the target takes any number of requests. */
+  /** Returns whether the target accepts any number of requests. */
   public boolean isNone() {
     return perSecond == Double.POSITIVE_INFINITY;
   }
 
   /**
-   * Returns whether this is to take the place of another one: said later, or at once and lower, so
-   * that all hosts come to the same, in whichever order they hear of both.
+   * Returns whether this limit replaces another one: if it is later, or simultaneous and lower.
+   * Hosts thus agree on one limit, whatever the order in which they receive both.
    */
   boolean supersedes(AnnouncedLimit other) {
     if (perSecond == other.perSecond) {
       return false;
     }
-    if (Math.abs(announcedAt - other.announcedAt) <= SAME_TIME_MILLIS) {
+    if (Math.abs(announcedAt - other.announcedAt) <= MAX_CLOCK_DIFFERENCE_MILLIS) {
       return perSecond < other.perSecond;
     }
     return announcedAt > other.announcedAt;
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/Announcement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/Announcement.java
@@ -3,41 +3,43 @@
 import java.util.Optional;
 
 /**
- * One thing that an answer may say of its target.
+ * One piece of information that a response may announce about its target.
  *
- * @param <T> what is said
+ * @param <T> the type of the information
  */
 public sealed interface Announcement<T> {
-  /** Nothing is said. */
+  /** The response does not announce it. */
   record None<T>() implements Announcement<T> {}
 
-  /** Something is said. */
+  /** The response announces a valid value. */
   record Announced<T>(T value) implements Announcement<T> {}
 
   /**
-   * Something is said that cannot be read, so that nothing is known.
+   * The response announces a value that cannot be parsed.
    *
-   * @param text the beginning of it
+   * @param text the beginning of the value
    */
   record Unreadable<T>(String text) implements Announcement<T> {}
 
-  /** Returns the statement of an answer that says nothing. */
   static <T> Announcement<T> none() {
     return new None<>();
   }
 
-  /** Returns a statement of a number. */
   static Announcement<Double> number(double value) {
     return new Announced<>(value);
   }
 
-  /** Returns what is said, if it can be read. */
+  /** Returns the value, if there is a valid one. */
   default Optional<T> announced() {
-    return this instanceof Announced<T> said ? Optional.of(said.value()) : Optional.empty();
+    return this instanceof Announced<T> announcement
+        ? Optional.of(announcement.value())
+        : Optional.empty();
   }
 
-  /** Returns the beginning of what is said, if it cannot be read. */
+  /** Returns the beginning of the value, if it cannot be parsed. */
   default Optional<String> unreadable() {
-    return this instanceof Unreadable<T> found ? Optional.of(found.text()) : Optional.empty();
+    return this instanceof Unreadable<T> announcement
+        ? Optional.of(announcement.text())
+        : Optional.empty();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/AnnouncementParser.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/AnnouncementParser.java
@@ -8,52 +8,52 @@
 import java.util.function.Function;
 import java.util.regex.Pattern;
 
-/** Reads what targets write, which may be given several times in one answer. */
+/**
+ * Parses the values of response headers in which targets make announcements. A response may contain
+ * several values for one header; the strictest one counts.
+ */
 public final class AnnouncementParser {
-  /**
-   * A target that names a longer rest is asked once more after this time, so that a wrong number
-   * does not take it out of service for good.
-   */
+  /** Bounds a backoff, so that an invalid value does not exclude a target permanently. */
   public static final long MAX_BACKOFF_MILLIS = 600_000;
 
-  private static final double SECOND_MILLIS = 1_000;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** A plain decimal number; signs and exponents are none that a target would write. */
+  /** Excludes signs and exponents. */
   private static final Pattern DECIMAL =
       Pattern.compile("[0-9]{1,18}(\\.[0-9]{0,18})?|\\.[0-9]{1,18}");
 
-  private static final Set<String> YES = ImmutableSet.of("1", "true");
-  private static final Set<String> NO = ImmutableSet.of("0", "false");
+  private static final Set<String> TRUE_VALUES = ImmutableSet.of("1", "true");
+  private static final Set<String> FALSE_VALUES = ImmutableSet.of("0", "false");
 
   private AnnouncementParser() {}
 
-  /** Reads how many requests a second a target takes; of several numbers the lowest. */
+  /** Parses how many requests a second a target accepts; the lowest of several values counts. */
   public static Announcement<Double> limit(List<String> values) {
-    return read(values, AnnouncementParser::decimal, Math::min);
+    return parse(values, AnnouncementParser::decimal, Math::min);
   }
 
   /**
-   * Reads for how many milliseconds a target wants rest, told in seconds; the longest of several.
+   * Parses a backoff, given in seconds, into milliseconds; the longest of several values counts.
    */
   public static Announcement<Long> backoffMillis(List<String> values) {
-    return read(values, text -> decimal(text).map(AnnouncementParser::millis), Math::max);
+    return parse(values, text -> decimal(text).map(AnnouncementParser::millis), Math::max);
   }
 
-  /** Reads whether a target leaves; it does if any of several values says so. */
+  /** Parses whether a target is leaving; one true value suffices. */
   public static Announcement<Boolean> leaving(List<String> values) {
-    return read(values, AnnouncementParser::flag, Boolean::logicalOr);
+    return parse(values, AnnouncementParser::flag, Boolean::logicalOr);
   }
 
-  private static <T> Announcement<T> read(
-      List<String> values, Function<String, Optional<T>> reader, BinaryOperator<T> stricter) {
+  private static <T> Announcement<T> parse(
+      List<String> values, Function<String, Optional<T>> parser, BinaryOperator<T> stricter) {
     Optional<T> strictest = Optional.empty();
     for (String value : values) {
-      Optional<T> read = reader.apply(value.strip());
-      if (read.isEmpty()) {
+      Optional<T> parsed = parser.apply(value.strip());
+      if (parsed.isEmpty()) {
         return new Announcement.Unreadable<>(LogText.truncate(value));
       }
       strictest =
-          strictest.isEmpty() ? read : Optional.of(stricter.apply(strictest.get(), read.get()));
+          strictest.isEmpty() ? parsed : Optional.of(stricter.apply(strictest.get(), parsed.get()));
     }
     return strictest.<Announcement<T>>map(Announcement.Announced::new).orElse(Announcement.none());
   }
@@ -65,13 +65,13 @@
   }
 
   private static long millis(double seconds) {
-    return Math.min(MAX_BACKOFF_MILLIS, Math.round(seconds * SECOND_MILLIS));
+    return Math.min(MAX_BACKOFF_MILLIS, Math.round(seconds * MILLIS_PER_SECOND));
   }
 
   private static Optional<Boolean> flag(String text) {
-    if (YES.contains(text)) {
+    if (TRUE_VALUES.contains(text)) {
       return Optional.of(true);
     }
-    return NO.contains(text) ? Optional.of(false) : Optional.empty();
+    return FALSE_VALUES.contains(text) ? Optional.of(false) : Optional.empty();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/Announcements.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/Announcements.java
@@ -5,19 +5,18 @@
 import java.util.Set;
 
 /**
- * What the head of one answer, or a report, says of its target.
+ * What a response head or a probe report announces about its target.
  *
- * @param limit how many requests a second the target takes from all hosts together
- * @param leaving whether the target is about to end and wants nothing new
- * @param backoffMillis for how long the target wants nothing from this host
- * @param unknown the values of headers and fields that nothing reads, by their names
+ * @param limit how many requests a second the target accepts from all hosts together
+ * @param leaving whether the target is about to end and accepts no new requests
+ * @param backoffMillis how long this host must send the target no requests
+ * @param unknown the values of unknown headers and report fields, by name
  */
 public record Announcements(
     Announcement<Double> limit,
     Announcement<Boolean> leaving,
     Announcement<Long> backoffMillis,
     Map<String, String> unknown) {
-  /** An answer that says nothing. */
   public static final Announcements NONE =
       new Announcements(Announcement.none(), Announcement.none(), Announcement.none(), Map.of());
 
@@ -27,22 +26,22 @@
     unknown = Map.copyOf(unknown);
   }
 
-  /** Returns the same with another limit. */
+  /** Returns a copy with another limit. */
   public Announcements withLimit(Announcement<Double> other) {
     return new Announcements(other, leaving, backoffMillis, unknown);
   }
 
-  /** Returns the same with another word on leaving. */
+  /** Returns a copy with another announcement on leaving. */
   public Announcements withLeaving(Announcement<Boolean> other) {
     return new Announcements(limit, other, backoffMillis, unknown);
   }
 
-  /** Returns the same with another rest. */
+  /** Returns a copy with another backoff. */
   public Announcements withBackoffMillis(Announcement<Long> other) {
     return new Announcements(limit, leaving, other, unknown);
   }
 
-  /** Returns the same with fields of a report that nothing reads. */
+  /** Returns a copy with additional unknown fields of a report. */
   public Announcements withUnknownFields(Set<String> names) {
     if (names.isEmpty()) {
       return this;
@@ -52,12 +51,12 @@
     return new Announcements(limit, leaving, backoffMillis, all);
   }
 
-  /** Returns whether the target leaves, as far as that can be read. */
+  /** Returns whether the target has validly announced that it is leaving. */
   public boolean isLeaving() {
     return leaving.announced().orElse(false);
   }
 
-  /** Returns for how long the target wants rest; 0 if it wants none, or that cannot be read. */
+  /** Returns the backoff in milliseconds; 0 if there is none or it cannot be parsed. */
   public long backoffMillisOrZero() {
     return backoffMillis.announced().orElse(0L);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/BackoffFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/BackoffFact.java
@@ -4,16 +4,16 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * One run of a target wants nothing from some host until a time.
+ * The fact that an incarnation of a target has requested a backoff from some host.
  *
- * @param until the end, on this host's steady clock in milliseconds
+ * @param until the end, on the steady clock of this host in milliseconds
  */
 public record BackoffFact(TargetId target, long announcedAt, long until) implements TargetFact {
   /**
-   * An end is news if it is later by this part of the rest: many hosts that are refused in turn
-   * each hear of an end a little later, which would fill reports.
+   * A backoff is exchanged again only if its end moves by this part of its duration, because many
+   * hosts may receive slightly different ends.
    */
-  private static final int NEWS_PART = 2;
+  private static final int MIN_EXTENSION_DIVISOR = 2;
 
   @Override
   public FactKind kind() {
@@ -32,8 +32,9 @@
 
   @Override
   public boolean subsumes(TargetFact other) {
-    return !(other instanceof BackoffFact rest)
-        || rest.until - until < (rest.until - rest.announcedAt) / NEWS_PART;
+    return !(other instanceof BackoffFact otherBackoff)
+        || otherBackoff.until - until
+            < (otherBackoff.until - otherBackoff.announcedAt) / MIN_EXTENSION_DIVISOR;
   }
 
   @Override
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/FactKind.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/FactKind.java
@@ -5,44 +5,45 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.model.TargetId;
 
-/** The kinds of what targets say that hosts keep and tell each other. */
+/** The kinds of facts about targets that hosts store and exchange. */
 public enum FactKind {
-  /** How many requests a second a target takes; without a number it takes any. */
+  /** The number of requests a second that a target accepts; unlimited without a value. */
   LIMIT(EventCode.LIMIT_ANNOUNCED, "perSecond", FactKind.MINUTE_MILLIS) {
     @Override
-    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long announcedAt) {
       double perSecond = value.orElse(Double.POSITIVE_INFINITY);
       return perSecond < 0
           ? Optional.empty()
-          : Optional.of(new LimitFact(target, new AnnouncedLimit(perSecond, since)));
+          : Optional.of(new LimitFact(target, new AnnouncedLimit(perSecond, announcedAt)));
     }
   },
-  /** A target is about to end. */
-  LEAVING(EventCode.LEAVING_ANNOUNCED, "leaving", FactKind.LEAVING_KEPT_MILLIS) {
+  /** The target is about to end. */
+  LEAVING(EventCode.LEAVING_ANNOUNCED, "leaving", FactKind.LEAVING_RETENTION_MILLIS) {
     @Override
-    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
-      return Optional.of(new LeavingFact(target, since));
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long announcedAt) {
+      return Optional.of(new LeavingFact(target, announcedAt));
     }
   },
-  /** A target wants nothing for some time from a host; the number is that time in milliseconds. */
+  /** The target has requested a backoff from a host; the value is its duration in milliseconds. */
   REST(EventCode.REST_ANNOUNCED, "restMillis", FactKind.MINUTE_MILLIS) {
     @Override
-    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long since) {
+    public Optional<TargetFact> create(TargetId target, OptionalDouble value, long announcedAt) {
       double millis = value.orElse(-1);
       return millis < 0
           ? Optional.empty()
           : Optional.of(
               new BackoffFact(
                   target,
-                  since,
-                  since + Math.min(AnnouncementParser.MAX_BACKOFF_MILLIS, Math.round(millis))));
+                  announcedAt,
+                  announcedAt
+                      + Math.min(AnnouncementParser.MAX_BACKOFF_MILLIS, Math.round(millis))));
     }
   };
 
   private static final long MINUTE_MILLIS = 60_000;
 
-  /** Longer than a target serves on after it has said that it leaves. */
-  private static final long LEAVING_KEPT_MILLIS = 10 * MINUTE_MILLIS;
+  /** Longer than a target serves requests after it announces that it is leaving. */
+  private static final long LEAVING_RETENTION_MILLIS = 10 * MINUTE_MILLIS;
 
   private final EventCode code;
   private final String logKey;
@@ -55,11 +56,13 @@
   }
 
   /**
-   * Makes a fact of this kind; empty if the value is none that it can have.
+   * Creates a fact of this kind; empty if the value is invalid.
    *
-   * @param since when the target said it, on this host's steady clock in milliseconds
+   * @param announcedAt when the target announced it, on the steady clock of this host in
+   *     milliseconds
    */
-  public abstract Optional<TargetFact> create(TargetId target, OptionalDouble value, long since);
+  public abstract Optional<TargetFact> create(
+      TargetId target, OptionalDouble value, long announcedAt);
 
   EventCode code() {
     return code;
@@ -69,7 +72,7 @@
     return logKey;
   }
 
-  /** Returns for how long a fact of a target that is listed no more is kept. */
+  /** Returns how long a fact is kept after its target is no longer listed. */
   long retentionMillis() {
     return retentionMillis;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/LeavingFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/LeavingFact.java
@@ -3,7 +3,7 @@
 import java.util.OptionalDouble;
 import org.gatereel.core.model.TargetId;
 
-/** One run of a target has said that it is about to end; nothing takes that back. */
+/** The fact that an incarnation of a target has announced its end; it is permanent. */
 public record LeavingFact(TargetId target, long announcedAt) implements TargetFact {
   @Override
   public FactKind kind() {
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/LimitFact.java
@@ -4,7 +4,7 @@
 import java.util.OptionalDouble;
 import org.gatereel.core.model.TargetId;
 
-/** What one run of a target has said of how many requests it takes. */
+/** The request rate limit that an incarnation of a target has announced. */
 public record LimitFact(TargetId target, AnnouncedLimit limit) implements TargetFact {
   @Override
   public FactKind kind() {
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
@@ -15,48 +15,44 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * What targets have said, as far as this host has heard of it from targets or hosts.
+ * The facts that targets have announced, to this host or to others that reported them.
  *
- * <p>Facts travel with the steady clock's times, and are kept by the clock that counts suspensions:
- * a word that a host heard before it was suspended must not seem younger than what others heard
- * meanwhile.
+ * <p>Facts are exchanged with times of the steady clock, but stored with times of the clock that
+ * includes suspensions of this host. Otherwise a fact from before a suspension would seem newer
+ * than facts that other hosts received meanwhile.
  */
 public final class TargetFacts implements SharedFacts<TargetFact> {
-  /** Facts of targets that are listed no more are looked through so often. */
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long CLEANUP_INTERVAL_MILLIS = 60_000;
 
-  /** A target that says something else in each answer fills no log. */
-  private static final long LOG_MILLIS = 1_000;
+  /** Bounds the log lines for a target that changes its announcement with each response. */
+  private static final long MIN_LOG_INTERVAL_MILLIS = 1_000;
 
   private final CoreContext context;
   private final Predicate<TargetId> isListed;
   private final Map<FactKind, Map<TargetId, Entry>> entries = new EnumMap<>(FactKind.class);
   private final TreeMap<Long, TargetFact> numbered = new TreeMap<>();
   private final List<Consumer<TargetFact>> listeners = new ArrayList<>();
-  private long number;
-  private boolean forgetting;
+  private long lastNumber;
+  private boolean cleanupScheduled;
 
-  /** What is known of one kind from one run of a target. */
+  /** The latest fact of one kind about one incarnation of a target. */
   private static final class Entry {
-    /** With its times on the clock that counts suspensions. */
+    /** With times of the clock that includes suspensions. */
     private TargetFact fact;
 
     private long number;
     private long loggedAt = Long.MIN_VALUE / 2;
   }
 
-  /** Where a fact was heard. */
   private enum Source {
-    /** The target told this host. */
     TARGET,
-    /** Another host told of it. */
     OTHER_HOST
   }
 
   /**
-   * Makes a book without any fact.
+   * Makes an empty set of facts.
    *
-   * @param isListed whether a run of a target is still to be known
+   * @param isListed tests whether an incarnation of a target is in the target list
    */
   public TargetFacts(CoreContext context, Predicate<TargetId> isListed) {
     this.context = context;
@@ -66,70 +62,66 @@
     }
   }
 
-  /** Has {@code listener} told each fact that is news here. */
+  /** Registers a listener that is called with each new or changed fact. */
   public void onChange(Consumer<TargetFact> listener) {
     listeners.add(listener);
   }
 
-  /** Returns whether nothing of a kind is known. */
   public boolean isEmpty(FactKind kind) {
     return entries.get(kind).isEmpty();
   }
 
-  /** Returns what a target has said of a kind. */
   public Optional<TargetFact> find(FactKind kind, TargetId target) {
-    return Optional.ofNullable(entries.get(kind).get(target)).map(entry -> outward(entry.fact));
+    return Optional.ofNullable(entries.get(kind).get(target))
+        .map(entry -> toSteadyClock(entry.fact));
   }
 
-  /** Returns all facts of a kind. */
   public Stream<TargetFact> all(FactKind kind) {
-    return entries.get(kind).values().stream().map(entry -> outward(entry.fact));
+    return entries.get(kind).values().stream().map(entry -> toSteadyClock(entry.fact));
   }
 
-  /** Takes in what a target told this host, whatever is known of it. */
+  /** Stores a fact that a target announced to this host; it replaces the known one. */
   public void observe(TargetFact fact) {
-    take(inward(fact), Source.TARGET);
+    store(toSuspendAwareClock(fact), Source.TARGET);
   }
 
   @Override
-  public void learn(List<TargetFact> told) {
-    for (TargetFact fact : told) {
+  public void learn(List<TargetFact> reported) {
+    for (TargetFact fact : reported) {
       Entry known = entries.get(fact.kind()).get(fact.target());
-      TargetFact kept = inward(fact);
-      if (known == null || kept.supersedes(known.fact)) {
-        take(kept, Source.OTHER_HOST);
+      TargetFact localFact = toSuspendAwareClock(fact);
+      if (known == null || localFact.supersedes(known.fact)) {
+        store(localFact, Source.OTHER_HOST);
       }
     }
   }
 
-  /** Puts times of the steady clock on the one that counts suspensions. */
-  private TargetFact inward(TargetFact fact) {
+  private TargetFact toSuspendAwareClock(TargetFact fact) {
     return fact.shiftedBy(context.knowledgeTime() - context.now());
   }
 
-  /** Puts times back on the steady clock, so that the age by that is the true one. */
-  private TargetFact outward(TargetFact fact) {
+  private TargetFact toSteadyClock(TargetFact fact) {
     return fact.shiftedBy(context.now() - context.knowledgeTime());
   }
 
-  private void take(TargetFact fact, Source source) {
+  private void store(TargetFact fact, Source source) {
     Entry entry = entries.get(fact.kind()).computeIfAbsent(fact.target(), any -> new Entry());
-    TargetFact before = entry.fact;
-    if (before != null && before.subsumes(fact)) {
+    TargetFact previous = entry.fact;
+    if (previous != null && previous.subsumes(fact)) {
       return;
     }
     entry.fact = fact;
     numbered.remove(entry.number);
-    entry.number = ++number;
-    numbered.put(number, fact);
-    note(before, entry, source);
-    TargetFact news = outward(fact);
-    listeners.forEach(listener -> listener.accept(news));
-    forgetLater();
+    entry.number = ++lastNumber;
+    numbered.put(lastNumber, fact);
+    log(previous, entry, source);
+    TargetFact change = toSteadyClock(fact);
+    listeners.forEach(listener -> listener.accept(change));
+    scheduleCleanup();
   }
 
-  private void note(TargetFact before, Entry entry, Source source) {
-    if (context.now() - entry.loggedAt < LOG_MILLIS) {
+  private void log(TargetFact previous, Entry entry, Source source) {
+    if (context.now() - entry.loggedAt < MIN_LOG_INTERVAL_MILLIS) {
       return;
     }
     entry.loggedAt = context.now();
@@ -141,7 +133,7 @@
             + "="
             + fact.valueText()
             + " before="
-            + (before == null ? "-" : before.valueText())
+            + (previous == null ? "-" : previous.valueText())
             + " source="
             + source
             + " ageMillis="
@@ -151,36 +143,39 @@
   }
 
   @Override
-  public List<Numbered<TargetFact>> after(long known, int most) {
+  public List<Numbered<TargetFact>> after(long known, int maxCount) {
     return numbered.tailMap(known, false).entrySet().stream()
-        .limit(most)
-        .map(entry -> new Numbered<>(entry.getKey(), outward(entry.getValue())))
+        .limit(maxCount)
+        .map(entry -> new Numbered<>(entry.getKey(), toSteadyClock(entry.getValue())))
         .toList();
   }
 
-  private void forgetLater() {
-    if (!forgetting) {
-      forgetting = true;
-      context.after(FORGET_MILLIS, this::forget);
+  private void scheduleCleanup() {
+    if (!cleanupScheduled) {
+      cleanupScheduled = true;
+      context.after(CLEANUP_INTERVAL_MILLIS, this::cleanUp);
     }
   }
 
-  private void forget() {
-    forgetting = false;
-    entries.values().forEach(known -> known.values().removeIf(this::isOver));
+  private void cleanUp() {
+    cleanupScheduled = false;
+    entries.values().forEach(known -> known.values().removeIf(this::removeIfExpired));
     if (!numbered.isEmpty()) {
-      forgetLater();
+      scheduleCleanup();
     }
   }
 
-  /** A fact may come before the list that names its target, so young ones are kept. */
-  private boolean isOver(Entry entry) {
+  /**
+   * Tests whether an entry has expired and removes its number. A recent fact is kept, because it
+   * may arrive before the list that names its target.
+   */
+  private boolean removeIfExpired(Entry entry) {
     TargetFact fact = entry.fact;
-    long before = context.knowledgeTime() - fact.kind().retentionMillis();
-    boolean over = !isListed.test(fact.target()) && fact.announcedAt() < before;
-    if (over) {
+    long expiredBefore = context.knowledgeTime() - fact.kind().retentionMillis();
+    boolean expired = !isListed.test(fact.target()) && fact.announcedAt() < expiredBefore;
+    if (expired) {
       numbered.remove(entry.number);
     }
-    return over;
+    return expired;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
@@ -8,27 +8,31 @@
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.model.TargetId;
 
-/** Logs each header of targets' answers that nothing reads, once for each service. */
+/** Logs each unknown header in responses of targets once for each service. */
 public final class UnknownHeaders {
-  /** Bounds what a target can make this host remember and log. */
-  private static final int MOST_NAMES = 200;
+  /** Bounds the memory and the log lines that targets can cause. */
+  private static final int MAX_LOGGED_HEADERS = 200;
 
   private final CoreContext context;
-  private final Set<Seen> seen = new HashSet<>();
+  private final Set<Header> logged = new HashSet<>();
 
-  private record Seen(ServiceName service, String name) {}
+  private record Header(ServiceName service, String name) {}
 
   public UnknownHeaders(CoreContext context) {
     this.context = context;
   }
 
-  /** Notes the unknown headers of an answer, with their values. */
+  /**
+   * Logs the unknown headers of a response that were not logged before.
+   *
+   * @param headers the values by name
+   */
   public void log(ServiceName service, TargetId target, Map<String, String> headers) {
-    headers.forEach((name, value) -> log(new Seen(service, name), target, value));
+    headers.forEach((name, value) -> log(new Header(service, name), target, value));
   }
 
-  private void log(Seen header, TargetId target, String value) {
-    if (seen.size() < MOST_NAMES && seen.add(header)) {
+  private void log(Header header, TargetId target, String value) {
+    if (logged.size() < MAX_LOGGED_HEADERS && logged.add(header)) {
       context.note(
           EventCode.TARGET_HEADER_UNKNOWN,
           target.toString(),
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What targets say of themselves: the statements that one answer makes, and the facts that hosts
- * keep of them and tell each other.
+ * Announcements that targets make about themselves in responses, and the facts that hosts store and
+ * exchange about them.
  *
- * <p>A fact holds for one run of a target. Nothing here decides what follows from it.
+ * <p>A fact is valid for one incarnation of a target. Its consequences are decided elsewhere.
  */
 package org.gatereel.core.statement;
