--- a/gatereel-core/src/test/java/org/gatereel/core/statement/AnnouncementParserTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/AnnouncementParserTest.java
@@ -9,12 +9,12 @@
 
 class AnnouncementParserTest {
   @Test
-  void anAnswerWithoutALimitSaysNone() {
+  void noValueIsNoLimit() {
     assertEquals(Announcement.none(), AnnouncementParser.limit(List.of()));
   }
 
   @Test
-  void decimalNumbersAreRequestsASecond() {
+  void parsesDecimalLimits() {
     assertEquals(Announcement.number(5.4), AnnouncementParser.limit(List.of("5.4")));
     assertEquals(Announcement.number(12), AnnouncementParser.limit(List.of(" 12 ")));
     assertEquals(Announcement.number(0.25), AnnouncementParser.limit(List.of(".25")));
@@ -23,12 +23,12 @@
   }
 
   @Test
-  void theLowestOfSeveralHolds() {
+  void lowestOfSeveralLimitsCounts() {
     assertEquals(Announcement.number(2), AnnouncementParser.limit(List.of("8", "2", "5.4")));
   }
 
   @Test
-  void whatIsNoPlainNumberIsUnreadable() {
+  void limitThatIsNotAPlainNumberIsUnreadable() {
     for (String text : new String[] {"", "-1", "NaN", "Infinity", "5,4", "1e3", "0x10", "five"}) {
       assertInstanceOf(
           Announcement.Unreadable.class, AnnouncementParser.limit(List.of(text)), text);
@@ -37,14 +37,14 @@
   }
 
   @Test
-  void littleOfALongTextIsKept() {
-    Announcement<Double> statement = AnnouncementParser.limit(List.of("x".repeat(10_000)));
+  void truncatesUnreadableText() {
+    Announcement<Double> announcement = AnnouncementParser.limit(List.of("x".repeat(10_000)));
 
-    assertTrue(statement.unreadable().orElseThrow().length() <= 40);
+    assertTrue(announcement.unreadable().orElseThrow().length() <= 40);
   }
 
   @Test
-  void restIsToldInSecondsAndTheLongestHolds() {
+  void parsesBackoffInSecondsAndLongestCounts() {
     assertEquals(
         new Announcement.Announced<>(3_000L), AnnouncementParser.backoffMillis(List.of("3")));
     assertEquals(
@@ -56,9 +56,9 @@
     assertEquals(Announcement.none(), AnnouncementParser.backoffMillis(List.of()));
   }
 
-  /** A wrong number must not take a target out of service for good. */
+  /** An invalid value must not exclude a target permanently. */
   @Test
-  void noRestIsLongerThanTheLongest() {
+  void boundsTheBackoff() {
     for (String text : new String[] {"601", "999999999", "999999999999999999"}) {
       assertEquals(
           new Announcement.Announced<>(AnnouncementParser.MAX_BACKOFF_MILLIS),
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void aRestThatIsNoNumberOfSecondsIsUnreadable() {
+  void backoffThatIsNotANumberOfSecondsIsUnreadable() {
     for (String text : new String[] {"", "-3", "soon", "Thu, 03 Dec 2026 08:00:00 GMT"}) {
       assertInstanceOf(
           Announcement.Unreadable.class, AnnouncementParser.backoffMillis(List.of(text)), text);
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aTargetLeavesIfAnyOfSeveralValuesSaysSo() {
+  void anyTrueValueMeansLeaving() {
     assertEquals(new Announcement.Announced<>(true), AnnouncementParser.leaving(List.of("1")));
     assertEquals(new Announcement.Announced<>(true), AnnouncementParser.leaving(List.of(" true ")));
     assertEquals(new Announcement.Announced<>(true), AnnouncementParser.leaving(List.of("0", "1")));
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void anyOtherWordOnLeavingIsUnreadable() {
+  void otherLeavingValuesAreUnreadable() {
     for (String text : new String[] {"", "2", "yes", "leaving"}) {
       assertInstanceOf(
           Announcement.Unreadable.class, AnnouncementParser.leaving(List.of(text)), text);
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
@@ -23,68 +23,68 @@
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetFacts facts = new TargetFacts(context, listed::contains);
-  private final List<TargetFact> news = new ArrayList<>();
+  private final List<TargetFact> changes = new ArrayList<>();
 
   TargetFactsTest() {
     context.moveTo(1_000_000);
-    facts.onChange(news::add);
+    facts.onChange(changes::add);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     context.moveTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
   @Test
-  void factsOfDifferentKindsStandBesideEachOther() {
+  void factsOfDifferentKindsAreIndependent() {
     facts.observe(new LeavingFact(TARGET, context.now()));
     facts.observe(new BackoffFact(TARGET, context.now(), context.now() + 1_000));
     facts.observe(new LimitFact(TARGET, new AnnouncedLimit(5, context.now())));
 
-    assertEquals(3, news.size());
+    assertEquals(3, changes.size());
     for (FactKind kind : FactKind.values()) {
       assertTrue(facts.find(kind, TARGET).isPresent(), kind.name());
     }
   }
 
   @Test
-  void leavingIsNewsOnceWhoeverTellsItAgain() {
+  void leavingIsAChangeOnlyOnce() {
     facts.observe(new LeavingFact(TARGET, context.now()));
-    pass(500);
+    advance(500);
     facts.observe(new LeavingFact(TARGET, context.now()));
     facts.learn(List.of(new LeavingFact(TARGET, context.now() - 900)));
 
-    assertEquals(1, news.size());
+    assertEquals(1, changes.size());
     assertEquals(1, facts.after(0, 10).size());
   }
 
   @Test
-  void theLaterEndOfTwoRestsHoldsInAnyOrder() {
+  void laterEndOfTwoBackoffsApplies() {
     facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 3_000)));
     facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 1_000)));
 
-    BackoffFact rest = (BackoffFact) facts.find(FactKind.REST, TARGET).orElseThrow();
+    BackoffFact backoff = (BackoffFact) facts.find(FactKind.REST, TARGET).orElseThrow();
 
-    assertEquals(context.now() + 3_000, rest.until());
+    assertEquals(context.now() + 3_000, backoff.until());
   }
 
-  /** A store that comes back from an older copy, or an entry that lapsed, names the run again. */
+  /** An outdated or restored target list may name the incarnation again. */
   @Test
-  void thatARunLeavesIsRememberedForLongAfterItsEntryHasGone() {
+  void leavingFactIsRetainedAfterTheIncarnationIsUnlisted() {
     facts.observe(new LeavingFact(TARGET, context.now()));
     listed.clear();
 
-    pass(300_000);
+    advance(300_000);
     assertTrue(facts.find(FactKind.LEAVING, TARGET).isPresent());
-    pass(300_000);
-    pass(60_001);
+    advance(300_000);
+    advance(60_001);
 
     assertEquals(Optional.empty(), facts.find(FactKind.LEAVING, TARGET));
     assertEquals(List.of(), facts.after(0, 10));
   }
 
   @Test
-  void whatNoKindCanHaveMakesNoFact() {
+  void invalidValuesCreateNoFact() {
     assertEquals(Optional.empty(), FactKind.LIMIT.create(TARGET, OptionalDouble.of(-1), 0));
     assertEquals(Optional.empty(), FactKind.REST.create(TARGET, OptionalDouble.empty(), 0));
     BackoffFact longest =
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void eachNameIsLoggedOnceForEachService() {
+  void logsEachHeaderOnceForEachService() {
     for (int answer = 0; answer < 3; answer++) {
       unknown.log(SERVICE, TARGET, Map.of("x-new", "value " + answer));
       unknown.log(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aTargetThatMakesNamesUpFillsNoLog() {
+  void boundsTheNumberAndLengthOfLogLines() {
     for (int name = 0; name < 10_000; name++) {
       unknown.log(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
     }
