--- a/gatereel-core/src/main/java/org/gatereel/core/rest/SlowStart.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/SlowStart.java
@@ -1,23 +1,21 @@
 package org.gatereel.core.rest;
 
 /**
- * How many requests a target may be sent again after its rest: one, and twice as many for each step
- * of time that passes without another refusal.
+ * Limits the requests to a target after its backoff: first one, then twice as many for each step of
+ * time without another rejection.
  *
- * <p>A target that still wants rest refuses the first at once, so that what goes out before the
- * refusal is known is bounded by how long the way there and back takes.
+ * <p>A target that is still overloaded rejects the first request, which starts a new backoff.
  */
 final class SlowStart {
-  /** Longer than the way to a target and back, between data centres too. */
+  /** Longer than a round trip to a target, including one in another data centre. */
   private static final long STEP_MILLIS = 100;
 
-  /** After so many steps more may be sent than a host has waiting. */
-  private static final int STEPS = 6;
+  /** After this many steps the target is no longer limited. */
+  private static final int MAX_STEPS = 6;
 
   private long firstSentAt;
   private int sent;
 
-  /** Notes that a request is sent. */
   void recordSent(long now) {
     if (sent == 0) {
       firstSentAt = now;
@@ -26,24 +24,24 @@
   }
 
   boolean admits(long now) {
-    return sent < window(now);
+    return sent < maxRequests(now);
   }
 
-  private int window(long now) {
+  private int maxRequests(long now) {
     return 1 << (sent == 0 ? 0 : steps(now));
   }
 
   private int steps(long now) {
-    return (int) Math.min(STEPS, (now - firstSentAt) / STEP_MILLIS);
+    return (int) Math.min(MAX_STEPS, (now - firstSentAt) / STEP_MILLIS);
   }
 
-  /** Returns when one more is admitted, if none is now. */
+  /** Returns when the next request is admitted, in milliseconds, if none is admitted now. */
   long nextAdmissionAt() {
     return firstSentAt + STEP_MILLIS * (Integer.SIZE - Integer.numberOfLeadingZeros(sent));
   }
 
-  /** Returns whether the target takes as many as any other again. */
+  /** Returns whether the target is no longer limited. */
   boolean isComplete(long now) {
-    return sent > 0 && steps(now) == STEPS;
+    return sent > 0 && steps(now) == MAX_STEPS;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
@@ -11,40 +11,42 @@
 import org.gatereel.core.statement.TargetFacts;
 
 /**
- * The targets that want nothing from this host for now.
+ * The targets that have requested a backoff from this host.
  *
- * <p>A target asks one host for rest, and binds that host alone. Others are told, and ask elsewhere
- * first: what is too much for the target was sent by all of them.
+ * <p>A backoff is binding only for the host that received it. Other hosts learn of it and prefer
+ * other targets, because the load of all hosts caused it.
  */
 public final class TargetBackoffs {
-  /** Hosts that were refused together do not come back together. */
-  private static final long SPREAD_MILLIS = 100;
+  /** Spreads the first requests of hosts that were rejected at the same time. */
+  private static final long MAX_JITTER_MILLIS = 100;
 
-  /** A target that nobody has sent anything to for so long after its rest is like any other. */
-  private static final long UNUSED_MILLIS = 10_000;
+  /**
+   * Time after the end of a backoff without requests, after which the target is no longer limited.
+   */
+  private static final long IDLE_EXPIRY_MILLIS = 10_000;
 
   private final CoreContext context;
   private final TargetFacts facts;
-  private final Map<TargetId, Rest> rests = new HashMap<>();
+  private final Map<TargetId, Backoff> backoffs = new HashMap<>();
 
-  /** What is known of one target's rest; times by the clock that counts suspensions. */
-  private static final class Rest {
+  /** The backoff of one target, with times of the clock that includes suspensions. */
+  private static final class Backoff {
     private long until = Long.MIN_VALUE;
-    private SlowStart reopening = new SlowStart();
+    private SlowStart slowStart = new SlowStart();
 
-    private boolean isOver(long now) {
-      return now >= until && (reopening.isComplete(now) || now - until > UNUSED_MILLIS);
+    private boolean isExpired(long now) {
+      return now >= until && (slowStart.isComplete(now) || now - until > IDLE_EXPIRY_MILLIS);
     }
 
     private boolean admits(long now) {
-      return now >= until && reopening.admits(now);
+      return now >= until && slowStart.admits(now);
     }
   }
 
   /**
-   * Makes it; no target rests.
+   * Makes an empty set of backoffs.
    *
-   * @param facts by which hosts tell each other of rests
+   * @param facts the facts that hosts exchange
    */
   public TargetBackoffs(CoreContext context, TargetFacts facts) {
     this.context = context;
@@ -52,72 +54,72 @@
   }
 
   /**
-   * A target asked this host for rest. Of several the longest holds.
+   * Records that a target requested a backoff from this host. The latest end of several counts.
    *
-   * @param millis for how long, from now on
+   * @param millis the duration from now in milliseconds
    */
   public void observe(TargetId target, long millis) {
     facts.observe(new BackoffFact(target, context.now(), context.now() + millis));
-    Rest rest = rests.computeIfAbsent(target, any -> new Rest());
-    long until = context.knowledgeTime() + millis + context.random().nextLong(SPREAD_MILLIS);
-    rest.until = Math.max(rest.until, until);
-    rest.reopening = new SlowStart();
+    Backoff backoff = backoffs.computeIfAbsent(target, any -> new Backoff());
+    long until = context.knowledgeTime() + millis + context.random().nextLong(MAX_JITTER_MILLIS);
+    backoff.until = Math.max(backoff.until, until);
+    backoff.slowStart = new SlowStart();
   }
 
-  /** Returns whether a target is in the time for which it asked this host for rest. */
+  /** Returns whether the backoff of a target has not ended. */
   public boolean isBackingOff(TargetId target) {
-    Rest rest = rests.get(target);
-    return rest != null && context.knowledgeTime() < rest.until;
+    Backoff backoff = backoffs.get(target);
+    return backoff != null && context.knowledgeTime() < backoff.until;
   }
 
-  /** Returns whether another host was asked for rest, so that this one better asks elsewhere. */
+  /** Returns whether a target has requested a backoff from any host that has not ended. */
   public boolean isBackingOffElsewhere(TargetId target) {
     return facts
         .find(FactKind.REST, target)
         .map(BackoffFact.class::cast)
-        .filter(rest -> rest.until() > context.now())
+        .filter(backoff -> backoff.until() > context.now())
         .isPresent();
   }
 
-  /** Notes that a request is sent to a target. */
+  /** Records that a request is sent to a target. */
   public void recordSent(TargetId target) {
-    Rest rest = rests.get(target);
-    if (rest != null) {
-      rest.reopening.recordSent(context.knowledgeTime());
+    Backoff backoff = backoffs.get(target);
+    if (backoff != null) {
+      backoff.slowStart.recordSent(context.knowledgeTime());
     }
   }
 
-  /** Returns the targets that are sent nothing just now. */
+  /** Returns the targets that must not be sent a request now. */
   public Set<TargetId> blockedTargets() {
-    if (rests.isEmpty()) {
+    if (backoffs.isEmpty()) {
       return Set.of();
     }
     long now = context.knowledgeTime();
-    rests.values().removeIf(rest -> rest.isOver(now));
-    Set<TargetId> barred = new HashSet<>();
-    rests.forEach(
-        (target, rest) -> {
-          if (!rest.admits(now)) {
-            barred.add(target);
+    backoffs.values().removeIf(backoff -> backoff.isExpired(now));
+    Set<TargetId> blocked = new HashSet<>();
+    backoffs.forEach(
+        (target, backoff) -> {
+          if (!backoff.admits(now)) {
+            blocked.add(target);
           }
         });
-    return barred;
+    return blocked;
   }
 
-  /** Returns in how many milliseconds a target may be sent a request; 0 if it may now. */
+  /** Returns the time in milliseconds until a target may be sent a request; 0 if it may now. */
   public long millisUntilAllowed(TargetId target) {
-    Rest rest = rests.get(target);
+    Backoff backoff = backoffs.get(target);
     long now = context.knowledgeTime();
-    if (rest == null || rest.admits(now)) {
+    if (backoff == null || backoff.admits(now)) {
       return 0;
     }
-    return now < rest.until
-        ? rest.until - now
-        : Math.max(1, rest.reopening.nextAdmissionAt() - now);
+    return now < backoff.until
+        ? backoff.until - now
+        : Math.max(1, backoff.slowStart.nextAdmissionAt() - now);
   }
 
-  /** Returns how many targets rest. */
+  /** Returns the number of targets whose backoff has not ended. */
   public int size() {
-    return (int) rests.keySet().stream().filter(this::isBackingOff).count();
+    return (int) backoffs.keySet().stream().filter(this::isBackingOff).count();
   }
 }
