--- a/gatereel-core/src/test/java/org/gatereel/core/rest/TargetBackoffsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/TargetBackoffsTest.java
@@ -17,110 +17,110 @@
 
 class TargetBackoffsTest {
   private static final TargetId TARGET = new TargetId("t1", 7);
-  private static final TargetId NEXT_RUN = new TargetId("t1", 8);
-  private static final long BACK_WITHIN_MILLIS = 200;
+  private static final TargetId NEXT_INCARNATION = new TargetId("t1", 8);
+  private static final long MAX_JITTER_MILLIS = 200;
 
   private final CoreContext context =
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final TargetFacts facts = new TargetFacts(context, any -> true);
-  private final TargetBackoffs rests = new TargetBackoffs(context, facts);
+  private final TargetBackoffs backoffs = new TargetBackoffs(context, facts);
 
   TargetBackoffsTest() {
     context.moveTo(100_000);
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     context.moveTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
   private boolean admits() {
-    boolean admits = !rests.blockedTargets().contains(TARGET);
-    assertEquals(admits, rests.millisUntilAllowed(TARGET) == 0);
+    boolean admits = !backoffs.blockedTargets().contains(TARGET);
+    assertEquals(admits, backoffs.millisUntilAllowed(TARGET) == 0);
     return admits;
   }
 
-  /** Sends as many requests as are admitted now, up to a number. */
-  private int send(int most) {
+  /** Sends as many requests as are admitted now, up to {@code max}. */
+  private int send(int max) {
     int sent = 0;
-    while (sent < most && admits()) {
-      rests.recordSent(TARGET);
+    while (sent < max && admits()) {
+      backoffs.recordSent(TARGET);
       sent++;
     }
     return sent;
   }
 
   @Test
-  void aTargetThatAskedForNothingIsAdmitted() {
+  void admitsATargetWithoutBackoff() {
     assertTrue(admits());
-    assertEquals(Set.of(), rests.blockedTargets());
+    assertEquals(Set.of(), backoffs.blockedTargets());
   }
 
   @Test
-  void nothingIsSentUntilTheEndAndSomethingSoonAfterIt() {
-    rests.observe(TARGET, 3_000);
+  void admitsNothingBeforeTheEndAndARequestSoonAfter() {
+    backoffs.observe(TARGET, 3_000);
     for (int millis = 0; millis < 3_000; millis += 10) {
       assertFalse(admits());
-      pass(10);
+      advance(10);
     }
 
-    pass(BACK_WITHIN_MILLIS);
+    advance(MAX_JITTER_MILLIS);
 
     assertTrue(admits());
   }
 
   @Test
-  void itBindsOneRunAlone() {
-    rests.observe(TARGET, 3_000);
+  void appliesToOneIncarnationOnly() {
+    backoffs.observe(TARGET, 3_000);
 
-    assertEquals(0, rests.millisUntilAllowed(NEXT_RUN));
-    assertFalse(rests.isBackingOffElsewhere(NEXT_RUN));
+    assertEquals(0, backoffs.millisUntilAllowed(NEXT_INCARNATION));
+    assertFalse(backoffs.isBackingOffElsewhere(NEXT_INCARNATION));
   }
 
   @Test
-  void ofSeveralTheLongestHolds() {
-    rests.observe(TARGET, 3_000);
-    pass(500);
-    rests.observe(TARGET, 1_000);
-    pass(2_400);
+  void latestEndOfSeveralCounts() {
+    backoffs.observe(TARGET, 3_000);
+    advance(500);
+    backoffs.observe(TARGET, 1_000);
+    advance(2_400);
     assertFalse(admits());
-    rests.observe(TARGET, 1_000);
-    pass(900);
+    backoffs.observe(TARGET, 1_000);
+    advance(900);
     assertFalse(admits());
   }
 
-  /** The target's clock went on while this host's stood still. */
+  /** The clock of the target advances while the host is suspended. */
   @Test
-  void timeInWhichTheHostWasSuspendedCounts() {
-    rests.observe(TARGET, 3_000);
+  void countsTheTimeOfAHostSuspension() {
+    backoffs.observe(TARGET, 3_000);
 
-    context.noteLost(3_000 + BACK_WITHIN_MILLIS);
+    context.noteLost(3_000 + MAX_JITTER_MILLIS);
 
     assertTrue(admits());
   }
 
   @Test
-  void afterTheEndOneIsSentAndThenTwiceAsManyEachStep() {
-    rests.observe(TARGET, 1_000);
-    pass(1_000 + BACK_WITHIN_MILLIS);
+  void admitsOneRequestAfterTheEndAndThenTwiceAsManyEachStep() {
+    backoffs.observe(TARGET, 1_000);
+    advance(1_000 + MAX_JITTER_MILLIS);
 
     assertEquals(1, send(1_000));
-    assertTrue(rests.millisUntilAllowed(TARGET) <= 100);
-    pass(100);
+    assertTrue(backoffs.millisUntilAllowed(TARGET) <= 100);
+    advance(100);
     assertEquals(1, send(1_000));
-    pass(100);
+    advance(100);
     assertEquals(2, send(1_000));
-    pass(400);
-    assertEquals(1_000, send(1_000), "it is like any other again");
+    advance(400);
+    assertEquals(1_000, send(1_000), "the target is no longer limited");
   }
 
-  /** A refusal comes back long before the second step. */
+  /** The rejection arrives before the second step of the slow start. */
   @Test
-  void aTargetThatWantsMoreRestHasTwoRequestsAtTheMost() {
+  void sendsFewRequestsToATargetThatRepeatsItsBackoff() {
     int sent = 0;
     for (int round = 0; round < 10; round++) {
-      rests.observe(TARGET, 1_000);
-      pass(1_000 + BACK_WITHIN_MILLIS);
+      backoffs.observe(TARGET, 1_000);
+      advance(1_000 + MAX_JITTER_MILLIS);
       sent += send(1_000);
     }
 
@@ -128,34 +128,34 @@
   }
 
   @Test
-  void aTargetThatNobodyNeededForAWhileIsLikeAnyOther() {
-    rests.observe(TARGET, 1_000);
-    pass(12_000);
+  void doesNotLimitATargetAfterALongIdleTime() {
+    backoffs.observe(TARGET, 1_000);
+    advance(12_000);
 
     assertEquals(1_000, send(1_000));
   }
 
   @Test
-  void whatAnotherHostWasAskedForIsNoBarButToldUntilItsEnd() {
+  void backoffFromAnotherHostDoesNotBlockTheTarget() {
     facts.learn(List.of(new BackoffFact(TARGET, context.now() - 200, context.now() + 2_800)));
 
     assertTrue(admits());
-    assertTrue(rests.isBackingOffElsewhere(TARGET));
-    pass(2_800);
-    assertFalse(rests.isBackingOffElsewhere(TARGET));
+    assertTrue(backoffs.isBackingOffElsewhere(TARGET));
+    advance(2_800);
+    assertFalse(backoffs.isBackingOffElsewhere(TARGET));
   }
 
   @Test
-  void hostsAreToldOfARestOnceAndOfAnEndThatIsMuchLater() {
-    rests.observe(TARGET, 3_000);
-    long told = facts.after(0, 10).get(0).number();
-    pass(100);
-    rests.observe(TARGET, 3_000);
-    assertEquals(List.of(), facts.after(told, 10));
+  void reportsABackoffAgainOnlyIfItsEndIsMuchLater() {
+    backoffs.observe(TARGET, 3_000);
+    long number = facts.after(0, 10).get(0).number();
+    advance(100);
+    backoffs.observe(TARGET, 3_000);
+    assertEquals(List.of(), facts.after(number, 10));
 
-    pass(1_400);
-    rests.observe(TARGET, 3_000);
+    advance(1_400);
+    backoffs.observe(TARGET, 3_000);
 
-    assertEquals(1, facts.after(told, 10).size());
+    assertEquals(1, facts.after(number, 10).size());
   }
 }
