--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetHealth.java
@@ -15,14 +15,14 @@
   /** Longer than the spread of correlated failures in a data centre, shorter than most restarts. */
   private static final long RECENT_WINDOW_MILLIS = 1_500;
 
-  /** Upper bound for the delay of a failure report from another host. */
-  private static final long REPORT_DELAY_MILLIS = 200;
+  /** The longest delay of a failure report from another host. */
+  private static final long MAX_REPORT_DELAY_MILLIS = 200;
 
   /**
    * Combines the observations of this host with the reports of others; the latest outcome counts.
    *
    * <p>Hosts report failures but not successes. An open request of another host counts as a success
-   * up to {@link #REPORT_DELAY_MILLIS} ago if no recent failure was reported.
+   * up to {@link #MAX_REPORT_DELAY_MILLIS} ago if no recent failure was reported.
    */
   static TargetHealth of(TargetState target, TargetLoad others, long now) {
     long failedAt = Math.max(target.lastFailureAt(), others.failedAt());
@@ -30,7 +30,7 @@
         target.description().kind() == TargetKind.ENGINE
             && others.open() > others.reading()
             && !isRecent(others.failedAt(), now);
-    long workedElsewhereAt = executesElsewhere ? now - REPORT_DELAY_MILLIS : Long.MIN_VALUE;
+    long workedElsewhereAt = executesElsewhere ? now - MAX_REPORT_DELAY_MILLIS : Long.MIN_VALUE;
     return new TargetHealth(
         isRecent(failedAt, now) && failedAt >= target.lastDataAt(),
         failedAt,
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -96,18 +96,18 @@
   }
 
   private Optional<TargetChoice> best(TargetQuery query, Predicate<TargetState> allowed) {
-    List<TargetState> listed = query.versions().among(targets.notLeaving(query.service()));
+    List<TargetState> eligible = query.versions().among(targets.notLeaving(query.service()));
     SelectionContext selectionContext =
         new SelectionContext(
             context.now(),
             context.dataCentre(),
             query.fittingRequests(),
             dataCentreFailures(query.service()),
-            ErrorBaseline.of(listed, this::errors),
+            ErrorBaseline.of(eligible, this::errors),
             query.promptCachedAt(),
             context.random());
     List<Candidate> candidates =
-        listed.stream()
+        eligible.stream()
             .filter(allowed)
             .map(target -> candidate(target, selectionContext))
             .collect(Collectors.toCollection(ArrayList::new));
