--- a/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Returns the number of hosts that share a limit with this host without knowing each other: 1 if
-   * this host knows others, else the estimated number of hosts.
+   * Returns by how much a starting host divides a limit: 1 if this host knows other hosts, else the
+   * estimated number of hosts, which may all issue tokens for the same limit.
    */
   int limitDivisor() {
     boolean knowsOthers = rankings.values().stream().anyMatch(hosts -> hosts.size() > 1);
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TargetLimits.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.statement.TargetFacts;
 
-/** Keeps to the limits that targets have announced, together with all other hosts. */
+/** Enforces the limits that targets have announced, in cooperation with all other hosts. */
 public final class TargetLimits {
   private final AnnouncedLimits announced;
   private final LimitTokenIssuer issuer;
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/TokenBucket.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenBucket.java
@@ -7,8 +7,8 @@
  */
 final class TokenBucket {
   /**
-   * The burst capacity in seconds of the rate. Kept small, because late requests and a second
-   * issuer add to what the target receives.
+   * The burst capacity in proportion to the rate, in seconds. Kept small, because late requests and
+   * a second issuer add to what the target receives.
    */
   private static final double MAX_SAVED_SECONDS = 0.5;
 
