--- a/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
@@ -115,8 +115,8 @@
 
   @Test
   void limitsTheLoggingOfAFrequentlyChangingLimit() {
-    for (int answer = 0; answer < 100; answer++) {
-      observe(answer % 2 == 0 ? 5.4 : 2, 0);
+    for (int response = 0; response < 100; response++) {
+      observe(response % 2 == 0 ? 5.4 : 2, 0);
       advance(10);
     }
 
