--- a/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
@@ -29,8 +29,8 @@
 
   @Test
   void logsEachHeaderOnceForEachService() {
-    for (int answer = 0; answer < 3; answer++) {
-      unknown.log(SERVICE, TARGET, Map.of("x-new", "value " + answer));
+    for (int response = 0; response < 3; response++) {
+      unknown.log(SERVICE, TARGET, Map.of("x-new", "value " + response));
       unknown.log(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
     }
 
