--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
@@ -37,7 +37,6 @@
   /** Spreads the next requests of hosts that were refused at the same time. */
   private static final double JITTER_RATIO = 0.5;
 
-  /** Long enough that an idle bucket is full, so removing it loses nothing. */
   private static final long BUCKET_IDLE_TIMEOUT_MILLIS = 60_000;
 
   private final CoreContext context;
