--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
@@ -2,14 +2,14 @@
 
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.LimitBook;
+import org.gatereel.core.limit.AnnouncedLimits;
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.rest.Rests;
+import org.gatereel.core.rest.TargetBackoffs;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.LeavingFact;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
 import org.gatereel.core.statement.TargetFacts;
 import org.gatereel.core.statement.UnknownHeaders;
 
@@ -26,13 +26,14 @@
 
   private final CoreContext context;
   private final TargetFacts facts;
-  private final LimitBook limits;
-  private final Rests rests;
+  private final AnnouncedLimits limits;
+  private final TargetBackoffs rests;
   private final UnknownHeaders unknownHeaders;
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
-  AnnouncementReceiver(CoreContext context, TargetFacts facts, LimitBook limits, Rests rests) {
+  AnnouncementReceiver(
+      CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs rests) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
@@ -55,18 +56,18 @@
    *
    * @param sentAt when the request was sent to which they respond, in milliseconds
    */
-  void receive(TargetDescription target, Statements announcements, long sentAt) {
+  void receive(TargetDescription target, Announcements announcements, long sentAt) {
     TargetId id = target.id();
-    unknownHeaders.note(target.service(), id, announcements.unknown());
+    unknownHeaders.log(target.service(), id, announcements.unknown());
     logUnreadable(id, FactKind.LIMIT, announcements.limit());
     logUnreadable(id, FactKind.LEAVING, announcements.leaving());
-    logUnreadable(id, FactKind.REST, announcements.restMillis());
-    announcements.limit().said().ifPresent(limit -> limits.hear(id, limit, sentAt));
-    if (announcements.saysLeaving()) {
-      facts.hear(new LeavingFact(id, context.now()));
+    logUnreadable(id, FactKind.REST, announcements.backoffMillis());
+    announcements.limit().announced().ifPresent(limit -> limits.observe(id, limit, sentAt));
+    if (announcements.isLeaving()) {
+      facts.observe(new LeavingFact(id, context.now()));
     }
-    if (announcements.rest() > 0) {
-      rests.hear(id, announcements.rest());
+    if (announcements.backoffMillisOrZero() > 0) {
+      rests.observe(id, announcements.backoffMillisOrZero());
     }
   }
 
@@ -75,13 +76,16 @@
     if (!head.isAuthentic()) {
       return;
     }
-    Statements announcements = head.announcements();
-    if (announcements.limit().equals(Statement.none())) {
-      limits.hearNone(target, sentAt);
+    Announcements announcements = head.announcements();
+    if (announcements.limit().equals(Announcement.none())) {
+      limits.observeNone(target, sentAt);
     }
     boolean announcedLeavingBefore =
-        facts.find(FactKind.LEAVING, target).filter(fact -> sentAt > fact.since()).isPresent();
-    if (announcedLeavingBefore && !announcements.saysLeaving()) {
+        facts
+            .find(FactKind.LEAVING, target)
+            .filter(fact -> sentAt > fact.announcedAt())
+            .isPresent();
+    if (announcedLeavingBefore && !announcements.isLeaving()) {
       logContradiction(target);
     }
   }
@@ -93,7 +97,7 @@
     }
   }
 
-  private void logUnreadable(TargetId target, FactKind kind, Statement<?> announcement) {
+  private void logUnreadable(TargetId target, FactKind kind, Announcement<?> announcement) {
     boolean loggedRecently = context.now() - unreadableLoggedAt < LOG_INTERVAL_MILLIS;
     if (announcement.unreadable().isPresent() && !loggedRecently) {
       unreadableLoggedAt = context.now();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Attempt.java
@@ -154,14 +154,14 @@
   void beginPrefill() {
     if (!continuation) {
       prefilling = true;
-      target.noteReading(1);
+      target.adjustPrefills(1);
     }
   }
 
   private void endPrefill() {
     if (prefilling) {
       prefilling = false;
-      target.noteReading(-1);
+      target.adjustPrefills(-1);
     }
   }
 
@@ -184,7 +184,7 @@
 
   void recordDataReceived(long now) {
     lastDataAt = now;
-    target.noteSign(now);
+    target.recordDataReceived(now);
   }
 
   /** Marks the attempt as closed; returns whether it was open before. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/CopyTracker.java
@@ -49,10 +49,10 @@
   Optional<MemoryCopy> takeCopy() {
     Optional<MemoryCopy> copy =
         leftCopyAddress
-            .flatMap(address -> forwarder.targets().at(service, address))
-            .filter(state -> state.seenAt() <= leftCopyAt)
+            .flatMap(address -> forwarder.targets().findByAddress(service, address))
+            .filter(state -> state.firstSeenAt() <= leftCopyAt)
             .filter(forwarder.rollouts().rule(service)::admits)
-            .filter(state -> forwarder.backoffs().millisTo(state.description().id()) == 0)
+            .filter(state -> forwarder.backoffs().millisUntilAllowed(state.description().id()) == 0)
             .map(state -> new MemoryCopy(state, request.id()));
     leftCopyAddress = Optional.empty();
     return copy;
@@ -64,8 +64,8 @@
   }
 
   private void setHolder(Optional<TargetState> newHolder) {
-    holder.ifPresent(state -> state.noteCopies(-1));
-    newHolder.ifPresent(state -> state.noteCopies(1));
+    holder.ifPresent(state -> state.adjustCopies(-1));
+    newHolder.ifPresent(state -> state.adjustCopies(1));
     holder = newHolder;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -206,7 +206,7 @@
     TargetState target = choice.target();
     attemptCounter.recordStart();
     attempt = new Attempt(this, target, copyName.isPresent(), context.now());
-    forwarder.targets().opened(target);
+    forwarder.targets().recordOpened(target);
     versions.recordSent(attempt);
     if (route.kind() == RouteKind.STREAM && !search.hasPromptCached(target)) {
       attempt.beginPrefill();
@@ -383,7 +383,7 @@
     }
     stallDetector.stop();
     search.copies().release();
-    forwarder.targets().closed(closing.target());
+    forwarder.targets().recordClosed(closing.target());
     forwarder.loads().changed();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -10,18 +10,18 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
 import org.gatereel.core.limit.TargetLimits;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenIssuer;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.overload.OverloadControl;
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.poison.PoisonControl;
-import org.gatereel.core.rest.Rests;
+import org.gatereel.core.rest.TargetBackoffs;
 import org.gatereel.core.rollout.RolloutControl;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.TargetFact;
@@ -30,7 +30,7 @@
 import org.gatereel.core.target.TargetState;
 
 /** Forwards requests of callers to targets; holds the decisions and performs no I/O itself. */
-public final class Forwarder implements Lender {
+public final class Forwarder implements TokenIssuer {
   private final CoreContext context;
   private final TargetRegistry targets;
   private final ConfigurationHolder configuration;
@@ -47,7 +47,7 @@
   private final PoisonControl poison;
   private final TargetExitDetector exitDetector;
   private final TargetLimits limits;
-  private final Rests backoffs;
+  private final TargetBackoffs backoffs;
   private final AnnouncementReceiver announcements;
   private final Set<Exchange> exchanges = new LinkedHashSet<>();
   private final Set<TargetId> probing = new HashSet<>();
@@ -69,7 +69,7 @@
       TargetPort port,
       ForwardObserver observer,
       HostDirectory directory,
-      LoanPort tokenPort,
+      TokenPort tokenPort,
       LoadExchange loads,
       RolloutControl rollouts,
       PoisonControl poison) {
@@ -82,28 +82,29 @@
     this.rollouts = rollouts;
     TargetFacts facts = new TargetFacts(context, target -> targets.find(target).isPresent());
     this.limits = new TargetLimits(context, facts, directory, tokenPort);
-    this.backoffs = new Rests(context, facts);
-    this.announcements = new AnnouncementReceiver(context, facts, limits.book(), backoffs);
+    this.backoffs = new TargetBackoffs(context, facts);
+    this.announcements = new AnnouncementReceiver(context, facts, limits.announced(), backoffs);
     this.port = new ObservingTargetPort(context, port, announcements);
     this.selector =
-        new TargetSelector(context, targets, loads, directory, backoffs::restsElsewhere);
+        new TargetSelector(context, targets, loads, directory, backoffs::isBackingOffElsewhere);
     this.budgets = new RetryBudgets(context, policy.retryLimit(), directory, tokenPort);
     this.shutdownPolicy = new ShutdownPolicy(context);
-    this.prompts = new PromptLocator(context, targets, this.port, backoffs::isResting);
+    this.prompts = new PromptLocator(context, targets, this.port, backoffs::isBackingOff);
     this.poison = poison;
     this.exitDetector =
         new TargetExitDetector(context, this.port, poison, policy.probeTimeoutMillis());
     this.overload =
-        new OverloadControl(context, targets, loads, limits.book()::perSecond, backoffs::isResting);
+        new OverloadControl(
+            context, targets, loads, limits.announced()::perSecond, backoffs::isBackingOff);
     loads.exchangeTargetFacts(facts);
-    facts.onNews(this::onTargetFact);
+    facts.onChange(this::onTargetFact);
     poison.onHeld(this::onQuarantined);
   }
 
   /** Handles an announcement of a target, received by this host or by another one. */
   private void onTargetFact(TargetFact fact) {
     if (fact.kind() == FactKind.LEAVING) {
-      targets.leaving(fact.target());
+      targets.recordLeaving(fact.target());
     }
     loads.changed();
   }
@@ -183,7 +184,7 @@
         result -> {
           probing.remove(id);
           if (result.isResponse()) {
-            targets.answered(target);
+            targets.recordResponse(target);
           } else {
             onTargetUnreachable(target, probedAt);
           }
@@ -193,7 +194,7 @@
   /** Moves every stream from the target that has received no data since the probe was sent. */
   private void onTargetUnreachable(TargetState target, long probedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
-    targets.failed(target, TargetFailure.TIMEOUT);
+    targets.recordFailure(target, TargetFailure.TIMEOUT);
     loads.changed();
     for (Exchange exchange : List.copyOf(exchanges)) {
       boolean isAffected =
@@ -216,11 +217,11 @@
   }
 
   @Override
-  public void lend(LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
-    if (subject instanceof LoanSubject.Requests requests) {
-      limits.lend(requests, count, callback);
-    } else if (subject instanceof LoanSubject.Repeats repeats) {
-      callback.accept(Optional.of(new Loan(issueRetries(repeats.service(), count), 0)));
+  public void issue(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> callback) {
+    if (subject instanceof TokenRequest.LimitTokens requests) {
+      limits.issue(requests, count, callback);
+    } else if (subject instanceof TokenRequest.RetryTokens repeats) {
+      callback.accept(Optional.of(new TokenGrant(issueRetries(repeats.service(), count), 0)));
     }
   }
 
@@ -295,7 +296,7 @@
     return limits;
   }
 
-  public Rests backoffs() {
+  public TargetBackoffs backoffs() {
     return backoffs;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -13,7 +13,7 @@
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.internal.Rendezvous;
-import org.gatereel.core.limit.LenderDirectory;
+import org.gatereel.core.limit.IssuerDirectory;
 import org.gatereel.core.load.GathererDirectory;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -25,7 +25,7 @@
  * approximate data suffices for both. A host rewrites its entry once a minute. An older entry is
  * soon ignored, and later removed by the next host that writes its own.
  */
-public final class HostDirectory implements GathererDirectory, HostCount, LenderDirectory {
+public final class HostDirectory implements GathererDirectory, HostCount, IssuerDirectory {
   /** Assumed until all hosts that start together have had time to write their entries. */
   private static final int MIN_HOSTS_AT_START = 16;
 
@@ -170,20 +170,20 @@
 
   /** Returns the estimated number of hosts, including this one; at least one. */
   @Override
-  public int hosts() {
+  public int estimatedHosts() {
     int minimum = readings < STARTUP_READINGS ? MIN_HOSTS_AT_START : 1;
     return Math.max(minimum, liveEntries.size());
   }
 
   /** Returns the number of hosts that have an entry; at least one. */
   @Override
-  public int all() {
+  public int allHosts() {
     return Math.max(1, liveEntries.size());
   }
 
   /** Returns the number of hosts in this data centre that have an entry; at least one. */
   @Override
-  public int here() {
+  public int localHosts() {
     return Math.max(1, localReaders.size());
   }
 
@@ -230,7 +230,7 @@
   }
 
   @Override
-  public List<Address> lenders(DataCentre dataCentre, String key) {
+  public List<Address> rankedIssuers(DataCentre dataCentre, String key) {
     List<Entry> all = new ArrayList<>(liveEntries);
     if (all.stream().noneMatch(entry -> entry.address().equals(address))) {
       all.add(new Entry(self, context.dataCentre(), address, 0));
@@ -238,13 +238,13 @@
     Map<Boolean, List<Entry>> byIsLocal =
         Rendezvous.rank(key, all, Entry::host).stream()
             .collect(Collectors.partitioningBy(entry -> entry.dataCentre().equals(dataCentre)));
-    return LenderDirectory.order(byIsLocal.get(true), byIsLocal.get(false)).stream()
+    return IssuerDirectory.order(byIsLocal.get(true), byIsLocal.get(false)).stream()
         .map(Entry::address)
         .toList();
   }
 
   @Override
-  public long changes() {
+  public long version() {
     return changes;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ObservingTargetPort.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.TargetDescription;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /**
  * A {@link TargetPort} that passes the announcements in probe responses to {@link
@@ -36,7 +36,7 @@
         timeoutMillis,
         new ProbeListener() {
           @Override
-          public void onAnnouncements(Statements announcements) {
+          public void onAnnouncements(Announcements announcements) {
             announcementReceiver.receive(target, announcements, sentAt);
           }
 
@@ -51,7 +51,7 @@
   public void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> announcementListener,
+      Consumer<Announcements> announcementListener,
       Consumer<Optional<Set<String>>> callback) {
     long sentAt = context.now();
     port.listPrompts(
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -108,7 +108,7 @@
     TargetState target = choice.target();
     forwarder
         .limits()
-        .take(
+        .acquire(
             target.description().id(),
             target.description().dataCentre(),
             exchange.hasPartialResponse(),
@@ -127,7 +127,7 @@
       return;
     }
     if (granted) {
-      forwarder.limits().giveBack(place.target().description().id());
+      forwarder.limits().release(place.target().description().id());
     }
     if (exchange.isFinished()) {
       return;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PromptLocator.java
@@ -138,7 +138,7 @@
 
   private List<TargetState> engines(ServiceName service, String part) {
     List<TargetState> healthy =
-        targets.listed(service).stream()
+        targets.notLeaving(service).stream()
             .filter(target -> !target.isFailing(context.now()))
             .filter(target -> !isBackingOff.test(target.description().id()))
             .toList();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.forward;
 
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /** The head of a target's response; headers stay with the transport. */
 public interface ResponseHead {
@@ -27,12 +27,12 @@
     if (status() == MISDIRECTED) {
       return TargetFailure.GOODBYE;
     }
-    return announcements().rest() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
+    return announcements().backoffMillisOrZero() > 0 ? TargetFailure.RESTING : TargetFailure.FULL;
   }
 
   /** Returns the target's announcements in this response. */
-  default Statements announcements() {
-    return Statements.NONE;
+  default Announcements announcements() {
+    return Announcements.NONE;
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/RetryBudgets.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
-import org.gatereel.core.limit.WaitingGroup;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
+import org.gatereel.core.limit.TokenWaiters;
 import org.gatereel.core.model.ServiceName;
 
 /**
@@ -32,7 +32,7 @@
   private final CoreContext context;
   private final ForwardPolicy.RetryLimit limit;
   private final HostDirectory directory;
-  private final LoanPort port;
+  private final TokenPort port;
   private final Map<ServiceName, Budget> budgets = new HashMap<>();
 
   /** The budget of one service as this host knows it. */
@@ -40,7 +40,7 @@
     private final ServiceName service;
     private final RetryWindow local;
     private final RetryWindow issued;
-    private final WaitingGroup waiters = new WaitingGroup();
+    private final TokenWaiters waiters = new TokenWaiters();
 
     private Budget(ServiceName service) {
       this.service = service;
@@ -49,7 +49,7 @@
     }
 
     private boolean tryAcquireLocal() {
-      double slack = (1 - ISSUED_RATIO) * SAFETY_RATIO * limit.slack() / directory.hosts();
+      double slack = (1 - ISSUED_RATIO) * SAFETY_RATIO * limit.slack() / directory.estimatedHosts();
       if (!local.hasRoom(context.now(), SAFETY_RATIO * limit.ratio(), slack)) {
         return false;
       }
@@ -58,7 +58,7 @@
     }
 
     private int issue(int count) {
-      double dataCentreRatio = (double) directory.here() / directory.hosts();
+      double dataCentreRatio = (double) directory.localHosts() / directory.estimatedHosts();
       double slack = ISSUED_RATIO * SAFETY_RATIO * limit.slack() * dataCentreRatio;
       int grantedCount = 0;
       while (grantedCount < count && issued.hasRoom(context.now(), 0, slack)) {
@@ -70,7 +70,7 @@
 
     /** Requests one retry for each waiter, unless a request is already pending. */
     private void requestTokens() {
-      int count = waiters.begin();
+      int count = waiters.startBatch();
       if (count == 0) {
         return;
       }
@@ -78,22 +78,25 @@
           .issuer(context.now())
           .ifPresentOrElse(
               issuer ->
-                  port.borrow(
+                  port.requestTokens(
                       issuer,
-                      new LoanSubject.Repeats(service),
+                      new TokenRequest.RetryTokens(service),
                       count,
-                      grant -> onTokensGranted(count, grant.orElse(Loan.NONE).granted())),
+                      grant -> onTokensGranted(count, grant.orElse(TokenGrant.NONE).granted())),
               () -> onTokensGranted(count, issue(count)));
     }
 
     private void onTokensGranted(int requested, int grantedCount) {
-      waiters.settle(requested, grantedCount);
+      waiters.completeBatch(requested, grantedCount);
       requestTokens();
     }
   }
 
   RetryBudgets(
-      CoreContext context, ForwardPolicy.RetryLimit limit, HostDirectory directory, LoanPort port) {
+      CoreContext context,
+      ForwardPolicy.RetryLimit limit,
+      HostDirectory directory,
+      TokenPort port) {
     this.context = context;
     this.limit = limit;
     this.directory = directory;
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
@@ -48,9 +48,9 @@
     }
     lastQueryAt = queriedAt;
     if (queriedAt - recoveredAt < REREGISTRATION_PERIOD_MILLIS) {
-      targets.seePartial(list);
+      targets.applyPartialList(list);
     } else {
-      targets.see(list);
+      targets.applyList(list);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetPort.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.model.TargetDescription;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 
 /** Sends requests and probes to targets. */
 public interface TargetPort {
@@ -25,7 +25,7 @@
   void listPrompts(
       TargetDescription target,
       long timeoutMillis,
-      Consumer<Statements> announcementListener,
+      Consumer<Announcements> announcementListener,
       Consumer<Optional<Set<String>>> callback);
 
   /** A request in progress at a target. */
@@ -58,7 +58,7 @@
   /** Receives the result of a probe. */
   interface ProbeListener {
     /** Receives the target's announcements, before or after the result, if there are any. */
-    default void onAnnouncements(Statements announcements) {}
+    default void onAnnouncements(Announcements announcements) {}
 
     void onResult(ProbeResult result);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -68,7 +68,7 @@
    * Returns whether the target is known to have the prompt cached, so that no prefill is needed.
    */
   boolean hasPromptCached(TargetState target) {
-    return query.readAt().equals(Optional.of(target.description().id()));
+    return query.promptCachedAt().equals(Optional.of(target.description().id()));
   }
 
   /** Finds the engine that has the prompt cached and prefers it in later choices. */
@@ -79,7 +79,7 @@
             service,
             request.promptPart().orElseThrow(),
             found -> {
-              found.target().ifPresent(target -> query = query.readAt(target));
+              found.target().ifPresent(target -> query = query.promptCachedAt(target));
               callback.accept(found);
             });
   }
@@ -96,12 +96,12 @@
     VersionRule rule = rollouts.rule(service);
     if (isFirstAttempt()) {
       VersionRule drawnRule = rollouts.ruleForNew(service, route.name());
-      Optional<TargetChoice> chosen = choose(query.among(drawnRule), unavailable, false);
+      Optional<TargetChoice> chosen = choose(query.withVersions(drawnRule), unavailable, false);
       if (chosen.isPresent()) {
         return chosen;
       }
     }
-    query = query.among(rule);
+    query = query.withVersions(rule);
     return choose(query, unavailable, allowTried);
   }
 
@@ -118,21 +118,21 @@
   /** Returns the targets without tokens and those backing off. */
   private Set<TargetId> unavailableTargets(boolean urgent) {
     Set<TargetId> unavailable = targetsWithoutTokens(urgent);
-    Set<TargetId> backingOff = forwarder.backoffs().barred();
+    Set<TargetId> backingOff = forwarder.backoffs().blockedTargets();
     return backingOff.isEmpty() ? unavailable : Sets.union(unavailable, backingOff);
   }
 
   private Set<TargetId> targetsWithoutTokens(boolean urgent) {
     return skipsLimitedTargets
-        ? forwarder.limits().book().limited()
-        : forwarder.limits().spent(urgent);
+        ? forwarder.limits().announced().limitedTargets()
+        : forwarder.limits().exhausted(urgent);
   }
 
   /** Returns whether a suitable target exists that has no token now. */
   boolean hasTargetWithoutToken(boolean urgent) {
     Set<TargetId> unavailable = targetsWithoutTokens(urgent);
     return !unavailable.isEmpty()
-        && query.versions().among(forwarder.targets().listed(service)).stream()
+        && query.versions().among(forwarder.targets().notLeaving(service)).stream()
             .anyMatch(target -> unavailable.contains(target.description().id()));
   }
 
@@ -143,9 +143,9 @@
    * @param allowTried whether targets that were tried count
    */
   OptionalLong millisToFirstBackoffEnd(boolean allowTried) {
-    return query.versions().among(forwarder.targets().listed(service)).stream()
+    return query.versions().among(forwarder.targets().notLeaving(service)).stream()
         .filter(target -> allowTried || !triedTargets.contains(target.description().id()))
-        .mapToLong(target -> forwarder.backoffs().millisTo(target.description().id()))
+        .mapToLong(target -> forwarder.backoffs().millisUntilAllowed(target.description().id()))
         .filter(millis -> millis > 0)
         .min();
   }
@@ -155,7 +155,7 @@
    * drain or to back off, or its version may have been rolled back.
    */
   boolean mayReceive(TargetState target) {
-    return forwarder.backoffs().millisTo(target.description().id()) == 0
+    return forwarder.backoffs().millisUntilAllowed(target.description().id()) == 0
         && mayReceive(target, isFirstAttempt());
   }
 
@@ -164,7 +164,7 @@
    * request.
    */
   boolean mayStillReceive(TargetState target) {
-    return !forwarder.backoffs().isResting(target.description().id())
+    return !forwarder.backoffs().isBackingOff(target.description().id())
         && mayReceive(target, currentAttemptIsFirst);
   }
 
@@ -197,18 +197,18 @@
   Optional<Address> beginAttempt(TargetState target) {
     currentAttemptIsFirst = isFirstAttempt();
     triedTargets.add(target.description().id());
-    forwarder.backoffs().sent(target.description().id());
+    forwarder.backoffs().recordSent(target.description().id());
     return copiesMemory
-        ? copies.chooseHolder(target, query.among(forwarder.rollouts().rule(service)))
+        ? copies.chooseHolder(target, query.withVersions(forwarder.rollouts().rule(service)))
         : Optional.empty();
   }
 
   /** Updates the target's health from a complete response. */
   void recordResponse(Attempt from, TargetResponse response) {
     if (response.isError()) {
-      forwarder.targets().answeredWithError(from.target());
+      forwarder.targets().recordErrorResponse(from.target());
     } else {
-      forwarder.targets().answered(from.target());
+      forwarder.targets().recordResponse(from.target());
     }
   }
 
@@ -218,9 +218,9 @@
       // The copy is missing, which does not mean that the target is overloaded.
       triedTargets.remove(from.target().description().id());
     } else if (failure == TargetFailure.WITHDRAWN) {
-      forwarder.limits().giveBack(from.target().description().id());
+      forwarder.limits().release(from.target().description().id());
     } else {
-      forwarder.targets().failed(from.target(), failure);
+      forwarder.targets().recordFailure(from.target(), failure);
     }
   }
 }
--- /dev/null
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/TokenRequest.java
@@ -0,0 +1,27 @@
+package org.gatereel.core.limit;
+
+import org.gatereel.core.model.DataCentre;
+import org.gatereel.core.model.ServiceName;
+import org.gatereel.core.statement.LimitFact;
+
+/** A request of one host to another for tokens, each of which allows one request to a target. */
+public sealed interface TokenRequest {
+  /** Tokens for retries, out of the data centre's part of a service's retry budget. */
+  record RetryTokens(ServiceName service) implements TokenRequest {}
+
+  /**
+   * Tokens for requests to a target, out of its limit.
+   *
+   * @param limit the target and its limit as the requesting host knows it
+   * @param dataCentre the data centre of the target
+   * @param urgent whether the requests resume streams
+   * @param forwarded whether another host forwards the request, so that it must not be forwarded
+   *     again
+   */
+  record LimitTokens(LimitFact limit, DataCentre dataCentre, boolean urgent, boolean forwarded)
+      implements TokenRequest {
+    LimitTokens asForwarded() {
+      return new LimitTokens(limit, dataCentre, urgent, true);
+    }
+  }
+}
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -13,8 +13,8 @@
 import java.util.function.IntConsumer;
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Address;
@@ -29,7 +29,7 @@
 import org.gatereel.core.poison.PoisonControl;
 import org.gatereel.core.rollout.RolloutBounds;
 import org.gatereel.core.rollout.RolloutControl;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
@@ -117,21 +117,24 @@
 
   /** A question to an engine which parts of prompts it keeps. */
   record PromptQuestion(
-      String target, Consumer<Statements> heard, Consumer<Optional<Set<String>>> answer) {}
+      String target, Consumer<Announcements> heard, Consumer<Optional<Set<String>>> answer) {}
 
   /** A question to another host for requests to a target that takes only so many. */
   record TokenQuestion(
-      Address lender, LoanSubject.Requests asked, int count, Consumer<Optional<Loan>> answer) {}
+      Address lender,
+      TokenRequest.LimitTokens asked,
+      int count,
+      Consumer<Optional<TokenGrant>> answer) {}
 
   record Head(
       int status,
       boolean declaresNotExecuted,
       boolean isAuthentic,
       boolean isEventStream,
-      Statements announcements)
+      Announcements announcements)
       implements ResponseHead {
     Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
-      this(status, declaresNotRun, isAuthentic, isEventStream, Statements.NONE);
+      this(status, declaresNotRun, isAuthentic, isEventStream, Announcements.NONE);
     }
   }
 
@@ -237,7 +240,7 @@
           public void listPrompts(
               TargetDescription target,
               long millis,
-              Consumer<Statements> heard,
+              Consumer<Announcements> heard,
               Consumer<Optional<Set<String>>> answer) {
             promptQuestions.add(new PromptQuestion(target.id().value(), heard, answer));
           }
@@ -271,11 +274,11 @@
   }
 
   private void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
-    if (subject instanceof LoanSubject.Requests requests) {
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
+    if (subject instanceof TokenRequest.LimitTokens requests) {
       tokenQuestions.add(new TokenQuestion(lender, requests, count, answer));
     } else {
-      borrowing.add(given -> answer.accept(Optional.of(new Loan(given, 0))));
+      borrowing.add(given -> answer.accept(Optional.of(new TokenGrant(given, 0))));
     }
   }
 
@@ -352,7 +355,7 @@
   }
 
   void list(TargetDescription... descriptions) {
-    targets.see(new HostList(listVersion++, List.of(), List.of(descriptions)));
+    targets.applyList(new HostList(listVersion++, List.of(), List.of(descriptions)));
   }
 
   Optional<Exchange> ask(String path, Caller caller) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.limit.Loan;
+import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostList;
@@ -53,7 +53,7 @@
     }
     HostList list = new HostList(world.context.now(), List.of(), targets);
     world.rollouts.learnTargets(list);
-    world.targets.see(list);
+    world.targets.applyList(list);
   }
 
   private void order(ServiceName service, RolloutState state) {
@@ -95,7 +95,7 @@
     list(ForwardWorld.COUNTERS, "old1", "new1", "new2", "new3");
     knowAnotherHost();
     for (String target : new String[] {"new1", "new2", "new3"}) {
-      world.forwarder.limits().book().hear(new TargetId(target), 5, 0);
+      world.forwarder.limits().announced().observe(new TargetId(target), 5, 0);
     }
     while (world.tokenQuestions.isEmpty()) {
       world.ask("/safe/x", new ForwardWorld.Caller());
@@ -104,7 +104,7 @@
     world.pass(5);
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
 
-    world.tokenQuestions.get(0).answer().accept(Optional.of(new Loan(1, 0)));
+    world.tokenQuestions.get(0).answer().accept(Optional.of(new TokenGrant(1, 0)));
 
     assertEquals(before + 1, world.sent.size());
     assertEquals("old1", world.last().target());
@@ -225,7 +225,7 @@
                   target("new1", ForwardWorld.COUNTERS, "v2"),
                   target("new2", ForwardWorld.COUNTERS, "v3")));
       fresh.rollouts.learnTargets(list);
-      fresh.targets.see(list);
+      fresh.targets.applyList(list);
       long now = fresh.context.now();
       fresh.rollouts.learnOrders(
           List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION, 5)), now);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -23,29 +23,30 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetDescription;
 import org.gatereel.core.model.TargetId;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.LeavingFact;
-import org.gatereel.core.statement.RestFact;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
 /** What targets say of leaving and of rest, on each way by which a request may reach them. */
 class StatementForwardingTest {
-  private static final Statements LEAVES = Statements.NONE.withLeaving(new Statement.Said<>(true));
+  private static final Announcements LEAVES =
+      Announcements.NONE.withLeaving(new Announcement.Announced<>(true));
   private static final long REST_MILLIS = 3_000;
-  private static final Statements RESTS =
-      Statements.NONE.withRestMillis(new Statement.Said<>(REST_MILLIS));
+  private static final Announcements RESTS =
+      Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(REST_MILLIS));
   private static final int REQUESTS = 40;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
 
-  private static ForwardWorld.Head head(int status, boolean notRun, Statements said) {
+  private static ForwardWorld.Head head(int status, boolean notRun, Announcements said) {
     return new ForwardWorld.Head(status, notRun, !notRun, false, said);
   }
 
-  private static ForwardWorld.Head stream(Statements said) {
+  private static ForwardWorld.Head stream(Announcements said) {
     return new ForwardWorld.Head(200, false, true, true, said);
   }
 
@@ -122,16 +123,16 @@
   void whoeverAnswersInPlaceOfTheTargetSaysNothingOfItsRest() {
     String gone = told(head(421, true, RESTS));
 
-    assertEquals(0, world.forwarder.backoffs().millisTo(new TargetId(gone)));
+    assertEquals(0, world.forwarder.backoffs().millisUntilAllowed(new TargetId(gone)));
   }
 
   @Test
   void whatCannotBeReadIsLoggedOnceASecondAndChangesNothing() {
-    Statements odd =
-        new Statements(
-            new Statement.Unreadable<>("many"),
-            new Statement.Unreadable<>("soon"),
-            new Statement.Unreadable<>("later"),
+    Announcements odd =
+        new Announcements(
+            new Announcement.Unreadable<>("many"),
+            new Announcement.Unreadable<>("soon"),
+            new Announcement.Unreadable<>("later"),
             Map.of());
     events();
     Set<String> chosen = new HashSet<>();
@@ -139,7 +140,7 @@
       chosen.add(told(head(200, false, odd)));
     }
 
-    assertEquals(Set.of(told(head(200, false, Statements.NONE))), chosen);
+    assertEquals(Set.of(told(head(200, false, Announcements.NONE))), chosen);
     assertEquals(1, events().stream().filter(EventCode.STATEMENT_UNREADABLE::equals).count());
   }
 
@@ -185,7 +186,7 @@
     events();
     early.answer(200, "ok");
     assertFalse(events().contains(EventCode.LEAVING_CONTRADICTED), "it was sent before");
-    world.forwarder.announcements().receive(description("c1"), Statements.NONE, 0);
+    world.forwarder.announcements().receive(description("c1"), Announcements.NONE, 0);
     assertFalse(
         events().contains(EventCode.LEAVING_CONTRADICTED), "nobody says whose answer it is");
     late.answer(200, "ok");
@@ -238,7 +239,7 @@
   void aTargetThatRestsForAnotherHostIsAskedLast() {
     TargetId target = new TargetId("c1");
     long now = world.context.now();
-    world.loads.take(report(new RestFact(target, now, now + REST_MILLIS)));
+    world.loads.take(report(new BackoffFact(target, now, now + REST_MILLIS)));
     assertFalse(chosen("/safe/x").contains("c1"));
 
     listOnly("c1");
@@ -250,7 +251,7 @@
   void aRequestThatWaitsForItsConnectionGoesElsewhere() {
     world.ask("/safe/x", caller);
     SentCall waiting = world.last();
-    world.targets.leaving(new TargetId(waiting.target()));
+    world.targets.recordLeaving(new TargetId(waiting.target()));
 
     assertFalse(waiting.listener.maySend());
     waiting.listener.onFailure(TargetFailure.WITHDRAWN);
@@ -275,7 +276,7 @@
             .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.targets.leaving(holder.id());
+    world.targets.recordLeaving(holder.id());
 
     world.fail(run, TargetFailure.RESET);
 
@@ -354,7 +355,7 @@
 
     world.pass(REST_MILLIS - 1);
 
-    assertTrue(world.forwarder.backoffs().isResting(new TargetId(early.target())));
+    assertTrue(world.forwarder.backoffs().isBackingOff(new TargetId(early.target())));
   }
 
   @Test
@@ -399,7 +400,8 @@
   void aCallThatTheOnlyTargetRefusedForRestIsRefusedAtOnce() {
     listOnly("c1");
     world.ask("/safe/x", caller);
-    Statements shortRest = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
+    Announcements shortRest =
+        Announcements.NONE.withBackoffMillis(new Announcement.Announced<>(1L));
 
     world.last().accepted().listener.onHead(head(503, true, shortRest));
 
@@ -435,7 +437,7 @@
             .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.forwarder.backoffs().hear(holder.id(), REST_MILLIS);
+    world.forwarder.backoffs().observe(holder.id(), REST_MILLIS);
 
     world.fail(run, TargetFailure.RESET);
 
@@ -446,8 +448,8 @@
   @Test
   void noTokenIsAskedForATargetThatRests() {
     for (String counter : new String[] {"c1", "c2", "c3"}) {
-      world.forwarder.limits().book().hear(new TargetId(counter), 5, 0);
-      world.forwarder.backoffs().hear(new TargetId(counter), REST_MILLIS);
+      world.forwarder.limits().announced().observe(new TargetId(counter), 5, 0);
+      world.forwarder.backoffs().observe(new TargetId(counter), REST_MILLIS);
     }
 
     world.ask("/safe/x", caller);
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
@@ -28,10 +28,10 @@
   }
 
   @Test
-  void eachNameIsLoggedOnceForEachService() {
-    for (int answer = 0; answer < 3; answer++) {
-      unknown.note(SERVICE, TARGET, Map.of("x-new", "value " + answer));
-      unknown.note(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
+  void logsEachHeaderOnceForEachService() {
+    for (int response = 0; response < 3; response++) {
+      unknown.log(SERVICE, TARGET, Map.of("x-new", "value " + response));
+      unknown.log(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
     }
 
     List<Action.Note> notes = notes();
@@ -41,9 +41,9 @@
   }
 
   @Test
-  void aTargetThatMakesNamesUpFillsNoLog() {
+  void boundsTheNumberAndLengthOfLogLines() {
     for (int name = 0; name < 10_000; name++) {
-      unknown.note(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
+      unknown.log(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
     }
 
     List<Action.Note> notes = notes();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -16,7 +16,7 @@
 import org.gatereel.core.forward.HostDirectory;
 import org.gatereel.core.forward.TargetListUpdater;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
+import org.gatereel.core.limit.TokenIssuer;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.load.LoadReport;
 import org.gatereel.core.model.Address;
@@ -134,12 +134,12 @@
     metrics.gauge("caller_connections", callers::openConnections);
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
-    metrics.gauge("hosts", directory::hosts);
+    metrics.gauge("hosts", directory::estimatedHosts);
     metrics.gauge("load_sources", loadExchange::sources);
     metrics.gauge("load_age_millis", loadExchange::ageMillis);
     metrics.gauge("poison_requests_suspected", poison::suspected);
     metrics.gauge("poison_requests_held", poison::held);
-    metrics.gauge("limited_targets", forwarder.limits().book()::size);
+    metrics.gauge("limited_targets", forwarder.limits().announced()::size);
     metrics.gauge("resting_targets", forwarder.backoffs()::size);
     metrics.gauge("leaving_targets", () -> targets.leavingTargets().size());
     metrics.gauge("limit_tokens_granted", forwarder.limits()::granted);
@@ -185,9 +185,9 @@
   }
 
   /** Returns the issuer of tokens for other hosts. */
-  public Lender tokenIssuer() {
+  public TokenIssuer tokenIssuer() {
     return (subject, count, callback) ->
-        control.run(() -> forwarder.lend(subject, count, callback));
+        control.run(() -> forwarder.issue(subject, count, callback));
   }
 
   /** Returns the exchange of load reports between hosts. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/AnnouncementHeaders.java
@@ -7,33 +7,33 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.StatementReader;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.AnnouncementParser;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.HeaderNames;
 
 /** Reads what a target announces about itself in the head of a response. */
 final class AnnouncementHeaders {
   private AnnouncementHeaders() {}
 
-  static Statements read(HttpResponse head, HeaderNames names) {
+  static Announcements read(HttpResponse head, HeaderNames names) {
     HttpHeaders headers = head.headers();
-    return new Statements(
-        StatementReader.limit(headers.getAll(names.limit())),
-        StatementReader.leaving(headers.getAll(names.leaving())),
+    return new Announcements(
+        AnnouncementParser.limit(headers.getAll(names.limit())),
+        AnnouncementParser.leaving(headers.getAll(names.leaving())),
         backoff(head),
         unknownHeaders(headers, names));
   }
 
   /** {@code Retry-After} announces a backoff only in a response with status 429 or 503. */
-  private static Statement<Long> backoff(HttpResponse head) {
+  private static Announcement<Long> backoff(HttpResponse head) {
     int status = head.status().code();
     boolean isRejection =
         status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
             || status == HttpResponseStatus.TOO_MANY_REQUESTS.code();
     return isRejection
-        ? StatementReader.restMillis(head.headers().getAll(HttpHeaderNames.RETRY_AFTER))
-        : Statement.none();
+        ? AnnouncementParser.backoffMillis(head.headers().getAll(HttpHeaderNames.RETRY_AFTER))
+        : Announcement.none();
   }
 
   private static Map<String, String> unknownHeaders(HttpHeaders headers, HeaderNames names) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -12,8 +12,8 @@
 import org.gatereel.core.forward.ResponseEnd;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.model.TargetId;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.TargetDialect;
 import org.gatereel.forward.TargetReport;
@@ -34,7 +34,7 @@
   private final TargetDialect dialect;
   private final TargetPort.ProbeListener listener;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private Statements announcements = Statements.NONE;
+  private Announcements announcements = Announcements.NONE;
   private boolean connectionRefused;
   private boolean headReceived;
 
@@ -92,10 +92,10 @@
     TargetReport report = dialect.readReport(body.toByteArray());
     boolean isSameIncarnation = report.startedAtMillis().equals(OptionalLong.of(target.born()));
     if (isSameIncarnation) {
-      Statements allAnnouncements = announcements.withUnknownFields(report.unknown());
+      Announcements allAnnouncements = announcements.withUnknownFields(report.unknown());
       listener.onAnnouncements(
           report.leaving()
-              ? allAnnouncements.withLeaving(new Statement.Said<>(true))
+              ? allAnnouncements.withLeaving(new Announcement.Announced<>(true))
               : allAnnouncements);
     }
     if (report.startedAtMillis().isEmpty()) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/TargetResponseHead.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 import org.gatereel.core.forward.ResponseHead;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.forward.HeaderNames;
 
 /** The head of a target's response. */
@@ -16,7 +16,7 @@
     boolean declaresNotExecuted,
     boolean isAuthentic,
     boolean isEventStream,
-    Statements announcements)
+    Announcements announcements)
     implements ResponseHead {
   private static final String EVENT_STREAM = "text/event-stream";
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -187,7 +187,7 @@
           fact.kind().name(),
           TargetIdCodec.encode(fact.target()),
           fact.value().isPresent() ? fact.value().getAsDouble() : null,
-          Math.max(0, nowMillis - fact.since()));
+          Math.max(0, nowMillis - fact.announcedAt()));
     }
 
     /** Returns the fact; empty if its kind is unknown or its value is invalid. */
@@ -198,7 +198,7 @@
           .filter(factKind -> target != null)
           .flatMap(
               factKind ->
-                  factKind.make(
+                  factKind.create(
                       TargetIdCodec.decode(target), factValue, nowMillis - Math.max(0, agoMillis)));
     }
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -4,8 +4,8 @@
 import java.util.function.Predicate;
 import org.gatereel.core.forward.DocumentCache;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Lender;
-import org.gatereel.core.limit.Loan;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenIssuer;
 import org.gatereel.core.load.LoadReport;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.ControlThread;
@@ -31,7 +31,7 @@
   private final ControlThread control;
   private final DocumentCache documentCache;
   private final CoreContext context;
-  private final Lender issuer;
+  private final TokenIssuer issuer;
   private final Predicate<LoadReport> loadReceiver;
   private final StatusServer server;
 
@@ -46,7 +46,7 @@
       ControlThread control,
       DocumentCache documentCache,
       CoreContext context,
-      Lender issuer,
+      TokenIssuer issuer,
       Predicate<LoadReport> loadReceiver) {
     this.control = control;
     this.documentCache = documentCache;
@@ -75,14 +75,14 @@
     TokenMessages.readQuery(requestTarget, ControlThread.nowMillis())
         .ifPresentOrElse(
             query ->
-                issuer.lend(
+                issuer.issue(
                     query.subject(),
                     query.count(),
                     grant -> callback.accept(grant.map(PeerServer::page).orElse(NOT_ISSUED_HERE))),
             () -> callback.accept(MALFORMED));
   }
 
-  private static StatusServer.Page page(Loan grant) {
+  private static StatusServer.Page page(TokenGrant grant) {
     return new StatusServer.Page(OK, TokenMessages.writeResponse(grant));
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenClient.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenClient.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 import java.util.Queue;
 import java.util.function.Consumer;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanPort;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenPort;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.Address;
 import org.gatereel.forward.ControlThread;
 import org.gatereel.forward.http.DocumentClient;
@@ -19,7 +19,7 @@
  *
  * <p>Requests to one host are sent one at a time over one connection, which is closed when unused.
  */
-public final class TokenClient implements LoanPort, AutoCloseable {
+public final class TokenClient implements TokenPort, AutoCloseable {
   /** A caller's request waits for the response, which usually takes a few milliseconds. */
   private static final long TIMEOUT_MILLIS = 150;
 
@@ -35,9 +35,11 @@
   private final ControlThread control;
   private final Map<Address, Connection> connections = new HashMap<>();
 
-  private record PendingRequest(LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
+  private record PendingRequest(
+      TokenRequest subject, int count, Consumer<Optional<TokenGrant>> callback) {
     long timeoutMillis() {
-      boolean forwarded = subject instanceof LoanSubject.Requests requests && requests.passedOn();
+      boolean forwarded =
+          subject instanceof TokenRequest.LimitTokens requests && requests.forwarded();
       return forwarded ? FORWARDED_TIMEOUT_MILLIS : TIMEOUT_MILLIS;
     }
   }
@@ -99,15 +101,15 @@
   }
 
   @Override
-  public void borrow(
-      Address issuer, LoanSubject subject, int count, Consumer<Optional<Loan>> callback) {
+  public void requestTokens(
+      Address issuer, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> callback) {
     closeIdleConnections();
     connections
         .computeIfAbsent(issuer, Connection::new)
         .enqueue(new PendingRequest(subject, count, callback));
   }
 
-  private static Optional<Loan> read(DocumentClient.Document document) {
+  private static Optional<TokenGrant> read(DocumentClient.Document document) {
     return document.status() == OK && document.isSelfDelimited()
         ? TokenMessages.readResponse(document.body())
         : Optional.empty();
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TokenMessages.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.statement.AnnouncedLimit;
@@ -44,21 +44,21 @@
    *
    * @param count the number of tokens, at least 1
    */
-  record Query(LoanSubject subject, int count) {}
+  record Query(TokenRequest subject, int count) {}
 
   /** Returns the request target of a request sent at {@code nowMillis}. */
-  static String writeQuery(LoanSubject subject, int count, long nowMillis) {
+  static String writeQuery(TokenRequest subject, int count, long nowMillis) {
     QueryStringEncoder query = new QueryStringEncoder(PATH);
-    if (subject instanceof LoanSubject.Repeats retryTokens) {
+    if (subject instanceof TokenRequest.RetryTokens retryTokens) {
       query.addParam(SERVICE, retryTokens.service().value());
-    } else if (subject instanceof LoanSubject.Requests limitTokens) {
+    } else if (subject instanceof TokenRequest.LimitTokens limitTokens) {
       AnnouncedLimit limit = limitTokens.limit().limit();
       query.addParam(TARGET, TargetIdCodec.encode(limitTokens.limit().target()));
       query.addParam(PER_SECOND, Double.toString(limit.perSecond()));
-      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, nowMillis - limit.since())));
+      query.addParam(AGE_MILLIS, Long.toString(Math.max(0, nowMillis - limit.announcedAt())));
       query.addParam(DATA_CENTRE, limitTokens.dataCentre().value());
       query.addParam(URGENT, Boolean.toString(limitTokens.urgent()));
-      query.addParam(PASSED_ON, Boolean.toString(limitTokens.passedOn()));
+      query.addParam(PASSED_ON, Boolean.toString(limitTokens.forwarded()));
     }
     query.addParam(COUNT, Integer.toString(count));
     return query.toString();
@@ -67,7 +67,7 @@
   /** Reads a request received at {@code nowMillis}; empty if it is malformed. */
   static Optional<Query> readQuery(String requestTarget, long nowMillis) {
     Map<String, List<String>> parameters = new QueryStringDecoder(requestTarget).parameters();
-    Optional<LoanSubject> subject =
+    Optional<TokenRequest> subject =
         parameters.containsKey(TARGET)
             ? limitTokens(parameters, nowMillis)
             : retryTokens(parameters);
@@ -77,11 +77,12 @@
         .flatMap(count -> subject.map(found -> new Query(found, count)));
   }
 
-  private static Optional<LoanSubject> retryTokens(Map<String, List<String>> parameters) {
-    return text(parameters, SERVICE).map(name -> new LoanSubject.Repeats(new ServiceName(name)));
+  private static Optional<TokenRequest> retryTokens(Map<String, List<String>> parameters) {
+    return text(parameters, SERVICE)
+        .map(name -> new TokenRequest.RetryTokens(new ServiceName(name)));
   }
 
-  private static Optional<LoanSubject> limitTokens(
+  private static Optional<TokenRequest> limitTokens(
       Map<String, List<String>> parameters, long nowMillis) {
     Optional<String> target = text(parameters, TARGET);
     Optional<String> dataCentre = text(parameters, DATA_CENTRE);
@@ -94,7 +95,7 @@
     }
     AnnouncedLimit limit = new AnnouncedLimit(perSecond.get(), nowMillis - age.get());
     return Optional.of(
-        new LoanSubject.Requests(
+        new TokenRequest.LimitTokens(
             new LimitFact(TargetIdCodec.decode(target.get()), limit),
             new DataCentre(dataCentre.get()),
             flag(parameters, URGENT),
@@ -111,17 +112,17 @@
     return text(parameters, name).map(Boolean::parseBoolean).orElse(false);
   }
 
-  static String writeResponse(Loan grant) {
-    return grant.granted() + SEPARATOR + grant.againMillis();
+  static String writeResponse(TokenGrant grant) {
+    return grant.granted() + SEPARATOR + grant.retryAfterMillis();
   }
 
   /** Reads the response to a request for tokens; empty if it is malformed. */
-  static Optional<Loan> readResponse(byte[] body) {
+  static Optional<TokenGrant> readResponse(byte[] body) {
     String[] parts = new String(body, StandardCharsets.UTF_8).strip().split(SEPARATOR, 2);
     Integer granted = Ints.tryParse(parts[0]);
     Long retryAfterMillis = parts.length < 2 ? null : Longs.tryParse(parts[1]);
     boolean valid =
         granted != null && retryAfterMillis != null && granted >= 0 && retryAfterMillis >= 0;
-    return valid ? Optional.of(new Loan(granted, retryAfterMillis)) : Optional.empty();
+    return valid ? Optional.of(new TokenGrant(granted, retryAfterMillis)) : Optional.empty();
   }
 }
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -27,9 +27,9 @@
 import org.gatereel.core.rollout.Signal;
 import org.gatereel.core.rollout.Tally;
 import org.gatereel.core.statement.AnnouncedLimit;
+import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.LimitFact;
-import org.gatereel.core.statement.RestFact;
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
@@ -242,13 +242,13 @@
             withFacts(
                 minimal,
                 new LeavingFact(target, SENT_AT - 300),
-                new RestFact(target, SENT_AT - 200, SENT_AT + 2_800)),
+                new BackoffFact(target, SENT_AT - 200, SENT_AT + 2_800)),
             SENT_AT);
 
     assertEquals(
         List.of(
             new LeavingFact(target, RECEIVED_AT - 300),
-            new RestFact(target, RECEIVED_AT - 200, RECEIVED_AT + 2_800)),
+            new BackoffFact(target, RECEIVED_AT - 200, RECEIVED_AT + 2_800)),
         LoadMessages.read(json, RECEIVED_AT).orElseThrow().targetFacts());
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenClientTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenClientTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
@@ -47,16 +47,16 @@
         TokenClient client = new TokenClient(new ControlThread(group.next(), context, log))) {
       Address address = new Address("127.0.0.1", issuer.getLocalPort());
       CompletableFuture<Integer> granted = new CompletableFuture<>();
-      LoanSubject retryTokens = new LoanSubject.Repeats(new ServiceName("s"));
+      TokenRequest retryTokens = new TokenRequest.RetryTokens(new ServiceName("s"));
       group
           .next()
           .execute(
               () ->
-                  client.borrow(
+                  client.requestTokens(
                       address,
                       retryTokens,
                       12,
-                      grant -> granted.complete(grant.map(Loan::granted).orElse(0))));
+                      grant -> granted.complete(grant.map(TokenGrant::granted).orElse(0))));
       try (Socket socket = issuer.accept()) {
         readRequest(socket);
         String bytes = ("HTTP/1.1 200 OK|" + response).replace("|", "\r\n");
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/TokenMessagesTest.java
@@ -4,8 +4,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.model.TargetId;
@@ -17,15 +17,15 @@
   private static final long SENT_AT = 50_000;
   private static final long RECEIVED_AT = 900;
 
-  private static LoanSubject.Requests limitTokens(double perSecond, long announcedAt) {
+  private static TokenRequest.LimitTokens limitTokens(double perSecond, long announcedAt) {
     LimitFact limit =
         new LimitFact(new TargetId("a b&c", 77), new AnnouncedLimit(perSecond, announcedAt));
-    return new LoanSubject.Requests(limit, new DataCentre("north hall"), true, true);
+    return new TokenRequest.LimitTokens(limit, new DataCentre("north hall"), true, true);
   }
 
   @Test
   void readsARequestForRetryTokensAsWritten() {
-    LoanSubject retryTokens = new LoanSubject.Repeats(new ServiceName("a b&c=d"));
+    TokenRequest retryTokens = new TokenRequest.RetryTokens(new ServiceName("a b&c=d"));
 
     assertEquals(
         Optional.of(new TokenMessages.Query(retryTokens, 12)),
@@ -66,7 +66,7 @@
 
   @Test
   void readsAResponseAsWritten() {
-    Loan grant = new Loan(3, 250);
+    TokenGrant grant = new TokenGrant(3, 250);
 
     assertEquals(Optional.of(grant), readResponse(TokenMessages.writeResponse(grant)));
   }
@@ -78,7 +78,7 @@
     }
   }
 
-  private static Optional<Loan> readResponse(String text) {
+  private static Optional<TokenGrant> readResponse(String text) {
     return TokenMessages.readResponse(text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -25,8 +25,8 @@
 import org.gatereel.core.forward.Route;
 import org.gatereel.core.forward.TargetPort;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.limit.Loan;
-import org.gatereel.core.limit.LoanSubject;
+import org.gatereel.core.limit.TokenGrant;
+import org.gatereel.core.limit.TokenRequest;
 import org.gatereel.core.load.LoadExchange;
 import org.gatereel.core.load.LoadPort;
 import org.gatereel.core.load.LoadReport;
@@ -38,8 +38,8 @@
 import org.gatereel.core.poison.PoisonControl;
 import org.gatereel.core.rollout.RolloutBounds;
 import org.gatereel.core.rollout.RolloutControl;
-import org.gatereel.core.statement.Statement;
-import org.gatereel.core.statement.Statements;
+import org.gatereel.core.statement.Announcement;
+import org.gatereel.core.statement.Announcements;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.target.TargetRegistry;
 
@@ -110,13 +110,13 @@
           for (int reading = 0; reading < 3; reading++) {
             directory.update(hosts, context.now());
           }
-          targets.see(list);
+          targets.applyList(list);
           loads.start();
         });
   }
 
   void see(HostList list) {
-    step(() -> targets.see(list));
+    step(() -> targets.applyList(list));
   }
 
   /** Takes a request of a caller. */
@@ -185,7 +185,7 @@
   }
 
   private void borrow(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
     world.report().borrowed();
     Optional<HostModel> to = world.host(lender);
     if (to.isEmpty() || !world.network().reaches(dataCentre(), to.get().dataCentre())) {
@@ -199,7 +199,7 @@
         () ->
             host.step(
                 () ->
-                    host.forwarder.lend(
+                    host.forwarder.issue(
                         subject,
                         count,
                         loan -> time.after(delay, () -> step(() -> answer.accept(loan))))));
@@ -256,14 +256,14 @@
     public void listPrompts(
         TargetDescription target,
         long timeoutMillis,
-        Consumer<Statements> heard,
+        Consumer<Announcements> heard,
         Consumer<Optional<Set<String>>> answer) {
       time.after(CONNECT_MICROS, () -> step(() -> answer.accept(Optional.empty())));
     }
   }
 
   private record Head(
-      int status, boolean declaresNotExecuted, boolean isEventStream, Statements announcements)
+      int status, boolean declaresNotExecuted, boolean isEventStream, Announcements announcements)
       implements ResponseHead {
     @Override
     public boolean isAuthentic() {
@@ -271,15 +271,17 @@
     }
   }
 
-  private static Statements statements(Optional<TargetSaying> saying) {
+  private static Announcements statements(Optional<TargetSaying> saying) {
     if (saying.isEmpty()) {
-      return Statements.NONE;
+      return Announcements.NONE;
     }
     TargetSaying said = saying.get();
-    Statements leaving =
-        said.leaves() ? Statements.NONE.withLeaving(new Statement.Said<>(true)) : Statements.NONE;
+    Announcements leaving =
+        said.leaves()
+            ? Announcements.NONE.withLeaving(new Announcement.Announced<>(true))
+            : Announcements.NONE;
     return said.refuses()
-        ? leaving.withRestMillis(new Statement.Said<>(said.restMillis()))
+        ? leaving.withBackoffMillis(new Announcement.Announced<>(said.restMillis()))
         : leaving;
   }
 
@@ -405,10 +407,10 @@
     public void head(int status, boolean notRun, boolean stream) {
       Optional<TargetLimit> limit = engine.limit();
       limit.ifPresent(named -> named.named(time.millis()));
-      Statement<Double> takes =
-          limit.map(named -> Statement.number(named.perSecond())).orElse(Statement.none());
+      Announcement<Double> takes =
+          limit.map(named -> Announcement.number(named.perSecond())).orElse(Announcement.none());
       Optional<TargetSaying> saying = engine.saying();
-      Statements said = statements(saying).withLimit(takes);
+      Announcements said = statements(saying).withLimit(takes);
       saying.ifPresent(word -> word.answered(address, time.millis()));
       back(
           () -> {
