--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -334,7 +334,7 @@
   }
 
   private void dispatch() {
-    if (dispatchRequested || admission.waiting() > 0) {
+    if (dispatchRequested || admission.waitingRequests() > 0) {
       dispatchRequested = false;
       admission.dispatch();
     }
@@ -342,7 +342,7 @@
 
   /** Returns how many callers wait for an answer. */
   public int open() {
-    return owner.open() + admission.waiting() + calls.open() + edits.open();
+    return owner.open() + admission.waitingRequests() + calls.open() + edits.open();
   }
 
   /** Returns whether callers are served: there is a table, and no planned stop. */
@@ -373,7 +373,7 @@
         owner.open(),
         owner.size(),
         copies.size(),
-        admission.waiting(),
+        admission.waitingRequests(),
         calls.open(),
         peers,
         shown);
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
@@ -38,14 +38,14 @@
 
   /** One request's place; closing it gives the account's share back. */
   public final class Permit {
-    private final Applicant applicant;
+    private final PendingRequest applicant;
     private final Lane lane;
     private final long askedAt;
     private FairQueue.Entry<Permit> entry;
     private TimerQueue.Timer patience;
     private boolean closed;
 
-    private Permit(Applicant applicant, Lane lane) {
+    private Permit(PendingRequest applicant, Lane lane) {
       this.applicant = applicant;
       this.lane = lane;
       this.askedAt = context.now();
@@ -71,7 +71,7 @@
 
     private void refuse(Problem problem) {
       close();
-      applicant.refuse(problem);
+      applicant.reject(problem);
     }
 
     private void patienceEnded(long patienceMillis) {
@@ -103,7 +103,7 @@
   }
 
   /** Starts a request, lets it wait, or refuses it; returns its permit. */
-  public Permit apply(Applicant applicant, Row account, Row service) {
+  public Permit submit(PendingRequest applicant, Row account, Row service) {
     Lane lane = lanes.computeIfAbsent(applicant.service(), name -> new Lane());
     Permit permit = new Permit(applicant, lane);
     int weight = account.number(Column.ACCOUNT_WEIGHT);
@@ -180,7 +180,7 @@
   }
 
   /** Returns how many requests wait, over all services. */
-  public int waiting() {
+  public int waitingRequests() {
     return lanes.values().stream().mapToInt(lane -> lane.queue.size()).sum();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Applicant.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/PendingRequest.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.model.ServiceName;
 
 /** A request that wants a target. */
-public interface Applicant {
+public interface PendingRequest {
   AccountId account();
 
   ServiceName service();
@@ -21,5 +21,5 @@
   boolean tryStart(boolean overShare);
 
   /** Tells the caller that the request will not run. */
-  void refuse(Problem problem);
+  void reject(Problem problem);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/RetryBudget.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/RetryBudget.java
@@ -23,12 +23,12 @@
   }
 
   /** Notes a request of a service that allows {@code percent} retries for each 100 requests. */
-  public void earn(int percent) {
+  public void recordRequest(int percent) {
     allowed = Math.min(inHand, allowed + percent / PERCENT);
   }
 
   /** Takes one retry out of the budget; returns whether there was one. */
-  public boolean spend() {
+  public boolean tryAcquire() {
     if (allowed < 1) {
       return false;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.admission.Applicant;
+import org.gatereel.core.admission.PendingRequest;
 import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
@@ -72,7 +72,7 @@
   /** What is to be sent. */
   record Call(AccountId account, ServiceName service, String executionId, String body) {}
 
-  private final class Run implements Applicant {
+  private final class Run implements PendingRequest {
     private final Call call;
     private final boolean repeatable;
     private final int priority;
@@ -156,7 +156,7 @@
       closeTarget();
       targets.failed(target, failure);
       boolean allowed = failure.provesNotRun() || repeatable;
-      boolean again = allowed && tries < MOST_TRIES && budgets.of(call.service()).spend();
+      boolean again = allowed && tries < MOST_TRIES && budgets.of(call.service()).tryAcquire();
       if (again && tryStart(false)) {
         context.note(EventCode.CALL_RETRIED, call.executionId(), "try " + tries);
       } else {
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void refuse(Problem problem) {
+    public void reject(Problem problem) {
       context.note(
           EventCode.REQUEST_REFUSED, call.executionId(), problem.type() + " for " + account());
       listener.failed(problem);
@@ -193,9 +193,9 @@
   /** Sends a call once a target is free for it. */
   void run(Call call, Row account, Row service, Listener listener) {
     boolean repeatable = service.truth(Column.REPEATABLE);
-    budgets.of(call.service()).earn(service.number(Column.RETRY_PERCENT));
+    budgets.of(call.service()).recordRequest(service.number(Column.RETRY_PERCENT));
     Run run = new Run(call, repeatable, account.number(Column.PRIORITY), listener);
-    run.permit = admission.apply(run, account, service);
+    run.permit = admission.submit(run, account, service);
   }
 
   void answered(Event.CallAnswered event) {
--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -111,12 +111,12 @@
   }
 
   private double errors(TargetState target) {
-    return target.errorsHere(context.now()) + loads.othersAt(target.description().id()).errors();
+    return target.errorsHere(context.now()) + loads.othersLoad(target.description().id()).errors();
   }
 
   private Candidate candidate(TargetState target, Situation situation) {
     TargetId id = target.description().id();
-    return new Candidate(target, loads.othersAt(id), restsElsewhere.test(id), situation);
+    return new Candidate(target, loads.othersLoad(id), restsElsewhere.test(id), situation);
   }
 
   /**
@@ -161,7 +161,7 @@
   private DataCentreDoubts doubts(ServiceName service) {
     return DataCentreDoubts.of(
         targets.known(service),
-        target -> Evidence.of(target, loads.othersAt(target.description().id()), context.now()),
+        target -> Evidence.of(target, loads.othersLoad(target.description().id()), context.now()),
         context.now());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -9,7 +9,7 @@
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.ServiceName;
-import org.gatereel.core.overload.Arrival;
+import org.gatereel.core.overload.ArrivingRequest;
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.target.TargetState;
 
@@ -84,7 +84,7 @@
             forwarder,
             this,
             log,
-            new Arrival(service, route.priority(), account, route.aimMillis(), deadline));
+            new ArrivingRequest(service, route.priority(), account, route.aimMillis(), deadline));
   }
 
   /** Begins to look for a target. */
@@ -220,7 +220,7 @@
             from,
             reply.hasBegun());
     log.forwarded(route, dispatch, choice, tries.begun());
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
     attempt.started(forwarder.port().send(dispatch, attempt));
     silence.watch(attempt);
   }
@@ -261,9 +261,9 @@
   void firstEvent(Attempt from) {
     witness.firstEvent(from, context.now());
     silence.watch(from);
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
     if (!from.isContinuation()) {
-      forwarder.overload().learn(service, context.now() - from.startedAt());
+      forwarder.overload().recordServiceTime(service, context.now() - from.startedAt());
     }
     log.note(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
   }
@@ -277,7 +277,7 @@
     settle(from);
     tries.ran();
     if (route.kind() != RouteKind.STREAM) {
-      forwarder.overload().learn(service, from.endedAt() - from.startedAt());
+      forwarder.overload().recordServiceTime(service, from.endedAt() - from.startedAt());
     }
     Answer answer = from.takeAnswer();
     search.answered(from, answer);
@@ -378,7 +378,7 @@
     silence.stop();
     search.copies().stop();
     forwarder.targets().closed(ended.target());
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
   }
 
   private void finish() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -48,7 +48,7 @@
             + " costs="
             + choice.reasons()
             + " loadsAgeMillis="
-            + forwarder.loads().ageMillis()
+            + forwarder.loads().oldestReportAgeMillis()
             + " copyAt="
             + dispatch.copyTo().map(Address::toString).orElse("-")
             + " fromCopy="
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -93,7 +93,7 @@
     this.targetEnds = new TargetEnds(context, this.port, poison, policy.unreachableMillis());
     this.overload =
         new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
-    loads.exchangeTargetFacts(facts);
+    loads.setTargetFacts(facts);
     facts.onNews(this::hear);
     poison.onHeld(this::hold);
   }
@@ -103,7 +103,7 @@
     if (fact.kind() == FactKind.LEAVING) {
       targets.leaving(fact.target());
     }
-    loads.changed();
+    loads.scheduleReports();
   }
 
   /** Takes a whole request in; it is answered through {@code caller}, perhaps at once. */
@@ -188,7 +188,7 @@
   private void lost(TargetState target, long askedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.failed(target, TargetFailure.TIMEOUT);
-    loads.changed();
+    loads.scheduleReports();
     for (Exchange exchange : List.copyOf(open)) {
       boolean concerned =
           exchange.mayMove()
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -201,7 +201,7 @@
    * store for them; empty if that is this one. Hosts that were found not to answer are passed over.
    */
   public Optional<Address> lender(long now) {
-    return before().stream().filter(address -> !isAvoided(address, now)).findFirst();
+    return higherRankedHosts().stream().filter(address -> !isAvoided(address, now)).findFirst();
   }
 
   private boolean isAvoided(Address address, long now) {
@@ -209,7 +209,7 @@
   }
 
   @Override
-  public List<Address> before() {
+  public List<Address> higherRankedHosts() {
     return readers.stream()
         .takeWhile(entry -> !entry.host().equals(self))
         .map(Entry::address)
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public List<List<Address>> elsewhere() {
+  public List<List<Address>> hostsOfOtherDataCentres() {
     return readersElsewhere;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -159,7 +159,7 @@
     if (usable.isPresent() && forwarder.context().now() + usable.getAsLong() <= waitUntil) {
       forwarder.context().after(usable.getAsLong(), this::chooseIfOpen);
     } else if (first.isPresent()) {
-      long again = forwarder.overload().returnMillisAfter(first.getAsLong());
+      long again = forwarder.overload().drawRetryAfterRestMillis(first.getAsLong());
       refuse(again, "restMillis=" + first.getAsLong());
     } else {
       exchange.giveUp(exchange.unserved(Refusal.NO_TARGET));
@@ -169,7 +169,7 @@
   private void waitForTokens() {
     denials = 0;
     if (hasWaitedEnough()) {
-      refuse(forwarder.overload().returnMillis(search.service(), deadline), "limits=spent");
+      refuse(forwarder.overload().drawRetryAfterMillis(search.service(), deadline), "limits=spent");
       return;
     }
     long left = waitUntil - forwarder.context().now();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
@@ -2,20 +2,20 @@
 
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.TimerQueue;
-import org.gatereel.core.overload.Arrival;
+import org.gatereel.core.overload.ArrivingRequest;
 import org.gatereel.core.overload.OverloadControl;
-import org.gatereel.core.overload.Verdict;
+import org.gatereel.core.overload.OverloadDecision;
 
 /** One request's way through the {@link OverloadControl}, before anything of it is sent. */
 final class Turn {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final ExchangeLog log;
-  private final Arrival arrival;
+  private final ArrivingRequest arrival;
   private TimerQueue.Timer timer;
   private boolean waiting;
 
-  Turn(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
+  Turn(Forwarder forwarder, Exchange exchange, ExchangeLog log, ArrivingRequest arrival) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.log = log;
@@ -28,21 +28,21 @@
    * @param resumed whether the caller has part of the answer; such a request goes before all others
    */
   void begin(boolean resumed) {
-    Verdict verdict = forwarder.overload().arrive(arrival);
-    if (verdict instanceof Verdict.Wait wait) {
+    OverloadDecision verdict = forwarder.overload().decide(arrival);
+    if (verdict instanceof OverloadDecision.Wait wait) {
       waiting = true;
       log.note(EventCode.REQUEST_QUEUED, wait.inputs());
     }
-    follow(resumed ? new Verdict.Send() : verdict);
+    follow(resumed ? new OverloadDecision.Send() : verdict);
   }
 
-  private void follow(Verdict verdict) {
-    if (verdict instanceof Verdict.Wait wait) {
+  private void follow(OverloadDecision verdict) {
+    if (verdict instanceof OverloadDecision.Wait wait) {
       timer = forwarder.context().after(wait.retryMillis(), this::askAgain);
       return;
     }
     end();
-    if (verdict instanceof Verdict.Refuse refuse) {
+    if (verdict instanceof OverloadDecision.Reject refuse) {
       exchange.refuse(Refusal.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
     } else {
       exchange.admitted();
@@ -54,7 +54,7 @@
       end();
       exchange.stop();
     } else {
-      follow(forwarder.overload().askAgain(arrival));
+      follow(forwarder.overload().decideWaiting(arrival));
     }
   }
 
@@ -62,7 +62,7 @@
   void end() {
     if (waiting) {
       waiting = false;
-      forwarder.overload().waitedEnough(arrival);
+      forwarder.overload().endWaiting(arrival);
     }
     if (timer != null) {
       timer.cancel();
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -246,7 +246,7 @@
     RetryBudget budget = budgets.of(generation.spec.service());
     Optional<TargetState> other = chooseForResume(generation, Optional.empty(), without);
     boolean possible = generation.attempts.size() < MOST_LIVE_ATTEMPTS && other.isPresent();
-    if (possible && budget.spend()) {
+    if (possible && budget.tryAcquire()) {
       long silence = context.now() - attempt.lastSign();
       String detail = attempt.target().description().id() + " silent for " + silence + " ms";
       note(EventCode.ATTEMPT_SUSPECTED, generation, detail);
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.admission.Applicant;
+import org.gatereel.core.admission.PendingRequest;
 import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
@@ -54,7 +54,7 @@
   }
 
   /** A generation that was asked for and has no target yet. */
-  private final class Application implements Applicant {
+  private final class Application implements PendingRequest {
     private final GenerationSpec spec;
     private final long caller;
     private final long askedAt = context.now();
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void refuse(Problem problem) {
+    public void reject(Problem problem) {
       waiting.remove(caller);
       context.emit(new Action.Refuse(caller, problem));
       context.note(
@@ -154,9 +154,9 @@
             event.maximumTokens(),
             Math.min(LAST_PRIORITY, account.number(Column.PRIORITY) + behind));
     Application application = new Application(spec, event.caller());
-    budgets.of(event.service()).earn(service.number(Column.RETRY_PERCENT));
+    budgets.of(event.service()).recordRequest(service.number(Column.RETRY_PERCENT));
     waiting.put(event.caller(), application);
-    application.permit = admission.apply(application, account, service);
+    application.permit = admission.submit(application, account, service);
     application.begin();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/DemandKey.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/DemandKey.java
@@ -7,10 +7,10 @@
 /**
  * Whose requests for a service are counted together.
  *
- * @param rank the priority of their route, 0 first; negative where requests of all are counted
+ * @param priority the priority of their route, 0 first; negative where requests of all are counted
  * @param account the client account, if they showed one
  */
-public record DemandKey(ServiceName service, int rank, Optional<AccountId> account) {
+public record DemandKey(ServiceName service, int priority, Optional<AccountId> account) {
   /** The rank under which all requests of a service are counted. */
   private static final int ALL = -1;
 
@@ -30,7 +30,7 @@
   }
 
   /** Returns whether this counts requests of one account and rank, and not of all together. */
-  public boolean isOfOne() {
-    return rank >= 0;
+  public boolean isPerAccount() {
+    return priority >= 0;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/FactSources.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/FactSources.java
@@ -14,7 +14,7 @@
   static final FactSources NONE = new FactSources(SharedFacts.none(), SharedFacts.none());
 
   /** Takes in what a report carries. */
-  void learn(LoadReport report) {
+  void merge(LoadReport report) {
     poison.learn(report.poison());
     targets.learn(report.targetFacts());
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -79,22 +79,22 @@
   }
 
   /** Has reports say how many requests a second come to this host. */
-  public void tellDemand(Supplier<Map<DemandKey, Double>> told) {
+  public void setDemandSource(Supplier<Map<DemandKey, Double>> told) {
     demand = told;
   }
 
   /** Has reports say which answers this host counted during the roll-outs that run. */
-  public void tellEvidence(Supplier<Map<EvidenceKey, Tally>> told) {
+  public void setEvidenceSource(Supplier<Map<EvidenceKey, Tally>> told) {
     evidence = told;
   }
 
   /** Has reports carry what hosts have seen of requests under which targets end. */
-  public void exchangePoison(SharedFacts<PoisonFact> told) {
+  public void setPoisonFacts(SharedFacts<PoisonFact> told) {
     facts = new FactSources(told, facts.targets());
   }
 
   /** Has reports carry what targets have said. */
-  public void exchangeTargetFacts(SharedFacts<TargetFact> told) {
+  public void setTargetFacts(SharedFacts<TargetFact> told) {
     facts = new FactSources(facts.poison(), told);
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** Notes that what this host has at some engine has changed. */
-  public void changed() {
+  public void scheduleReports() {
     flushBy(context.now() + GATHER_MILLIS);
   }
 
@@ -128,18 +128,18 @@
   }
 
   /** Takes another host's report in; returns false if that host has to send a whole one. */
-  public boolean take(LoadReport report) {
-    boolean taken = table.take(report);
-    facts.learn(report);
+  public boolean receive(LoadReport report) {
+    boolean taken = table.receive(report);
+    facts.merge(report);
     if (taken && report.scope() != LoadScope.EVERYONE_ELSE) {
-      changed();
+      scheduleReports();
     }
     return taken;
   }
 
   /** Returns what all other hosts have at a target, as far as it is known here. */
-  public TargetLoad othersAt(TargetId target) {
-    return table.othersAt(target);
+  public TargetLoad othersLoad(TargetId target) {
+    return table.othersLoad(target);
   }
 
   /** Returns how many requests a second come to all other hosts, as far as it is known here. */
@@ -153,13 +153,13 @@
   }
 
   /** Returns the age of the oldest word of others that counts, in milliseconds. */
-  public long ageMillis() {
-    return table.ageMillis();
+  public long oldestReportAgeMillis() {
+    return table.oldestReportAgeMillis();
   }
 
   /** Returns how many hosts, or data centres, are heard from. */
-  public int sources() {
-    return table.sources();
+  public int sourceCount() {
+    return table.sourceCount();
   }
 
   private void flush() {
@@ -174,7 +174,7 @@
     // A link that leads to a failing host is kept, so that its backoff is not forgotten.
     links.forEach(
         (receiver, link) -> {
-          if (link.isFailing(context.now()) || link.isUnderWay()) {
+          if (link.isFailing(context.now()) || link.isAwaitingReceipt()) {
             present.putIfAbsent(receiver, link);
           }
         });
@@ -183,12 +183,12 @@
   }
 
   private List<LoadLink.Receiver> receivers() {
-    Optional<Address> gatherer = directory.before().stream().filter(this::isReachable).findFirst();
+    Optional<Address> gatherer = directory.higherRankedHosts().stream().filter(this::isReachable).findFirst();
     List<LoadLink.Receiver> receivers = new ArrayList<>();
     if (gatherer.isPresent()) {
       receivers.add(new LoadLink.Receiver(gatherer.get(), LoadScope.HOST, Optional.empty()));
     } else {
-      directory.elsewhere().stream()
+      directory.hostsOfOtherDataCentres().stream()
           .flatMap(ranked -> ranked.stream().filter(this::isReachable).limit(1))
           .map(address -> new LoadLink.Receiver(address, LoadScope.DATA_CENTRE, Optional.empty()))
           .forEach(receivers::add);
@@ -213,11 +213,11 @@
       // Two links may lead to one host; what comes of the report under way flushes again.
       return;
     }
-    if (context.now() < link.nextAt()) {
-      flushBy(link.nextAt());
+    if (context.now() < link.nextReportAt()) {
+      flushBy(link.nextReportAt());
       return;
     }
-    link.next(sumsFor(link.receiver(), own), facts, sender, ++sequence, context.now())
+    link.nextReport(sumsFor(link.receiver(), own), facts, sender, ++sequence, context.now())
         .ifPresent(report -> send(link, report));
   }
 
@@ -230,14 +230,14 @@
   private void settled(LoadLink link, LoadReport report, LoadPort.Receipt receipt) {
     busy.remove(link.receiver().address());
     boolean wasFailing = link.isFailing(context.now());
-    link.settled(receipt, context.now());
+    link.onReceipt(receipt, context.now());
     if (receipt == LoadPort.Receipt.LOST && !wasFailing) {
       context.note(
           EventCode.LOADS_UNDELIVERED,
           link.receiver().address().toString(),
           "scope=" + report.scope() + " targets=" + report.loads().size());
     }
-    changed();
+    scheduleReports();
   }
 
   private LoadSums sumsFor(LoadLink.Receiver receiver, LoadSums own) {
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
@@ -52,10 +52,10 @@
   private Map<TargetId, TargetLoad> told = new HashMap<>();
   private OptionalLong lastSequence = OptionalLong.empty();
   private long badTold;
-  private final ToldFacts<PoisonFact> poisonTold = new ToldFacts<>();
-  private final ToldFacts<TargetFact> targetsTold = new ToldFacts<>();
+  private final SentFacts<PoisonFact> poisonTold = new SentFacts<>();
+  private final SentFacts<TargetFact> targetsTold = new SentFacts<>();
   private long sentAt = Long.MIN_VALUE / 2;
-  private long nextAt = Long.MIN_VALUE / 2;
+  private long nextReportAt = Long.MIN_VALUE / 2;
   private long backoffMillis = FIRST_BACKOFF_MILLIS;
   private boolean underWay;
 
@@ -68,30 +68,30 @@
   }
 
   /** Returns when a report may be sent again. */
-  long nextAt() {
-    return nextAt;
+  long nextReportAt() {
+    return nextReportAt;
   }
 
-  boolean isUnderWay() {
+  boolean isAwaitingReceipt() {
     return underWay;
   }
 
   /** Returns whether the last report was lost, so that this receiver is better not relied on. */
   boolean isFailing(long now) {
-    return backoffMillis > FIRST_BACKOFF_MILLIS && now < nextAt;
+    return backoffMillis > FIRST_BACKOFF_MILLIS && now < nextReportAt;
   }
 
   /** Makes the next report out of the present loads; empty if there is no need of one. */
-  Optional<LoadReport> next(
+  Optional<LoadReport> nextReport(
       LoadSums sums, FactSources facts, LoadExchange.Sender sender, long sequence, long now) {
     Map<TargetId, TargetLoad> loads = sums.loads();
     boolean whole = lastSequence.isEmpty();
     Map<TargetId, TargetLoad> changed = whole ? loads : changes(loads);
     boolean beat = now - sentAt >= LoadExchange.HEARTBEAT_MILLIS;
     // A version that turns bad must be known everywhere long before the next heartbeat.
-    boolean alarm = sums.badAnswers() > badTold;
-    List<PoisonFact> poison = poisonTold.next(facts.poison(), whole, MOST_FACTS);
-    List<TargetFact> targetFacts = targetsTold.next(facts.targets(), whole, MOST_FACTS);
+    boolean alarm = sums.badResponses() > badTold;
+    List<PoisonFact> poison = poisonTold.nextToSend(facts.poison(), whole, MOST_FACTS);
+    List<TargetFact> targetFacts = targetsTold.nextToSend(facts.targets(), whole, MOST_FACTS);
     boolean news = !poison.isEmpty() || !targetFacts.isEmpty();
     if (changed.isEmpty() && !news && !beat && !whole && !alarm) {
       return Optional.empty();
@@ -109,11 +109,11 @@
             sums.evidence(),
             poison,
             targetFacts);
-    badTold = sums.badAnswers();
+    badTold = sums.badResponses();
     told = new HashMap<>(loads);
     sentAt = now;
     int entries = changed.size() + sums.demand().size() + sums.evidence().size();
-    nextAt = now + pauseMillis(entries, poison.size(), targetFacts.size());
+    nextReportAt = now + pauseMillis(entries, poison.size(), targetFacts.size());
     lastSequence = OptionalLong.of(sequence);
     underWay = true;
     return Optional.of(report);
@@ -140,14 +140,14 @@
   }
 
   /** Notes what became of the report that was under way. */
-  void settled(LoadPort.Receipt receipt, long now) {
+  void onReceipt(LoadPort.Receipt receipt, long now) {
     underWay = false;
     switch (receipt) {
       case TAKEN -> backoffMillis = FIRST_BACKOFF_MILLIS;
       case WHOLE_NEEDED -> lastSequence = OptionalLong.empty();
       case LOST -> {
         lastSequence = OptionalLong.empty();
-        nextAt = now + backoffMillis;
+        nextReportAt = now + backoffMillis;
         backoffMillis = Math.min(LONGEST_BACKOFF_MILLIS, 2 * backoffMillis);
       }
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
@@ -18,7 +18,7 @@
  * @param replyTo where the sender takes reports itself
  * @param session drawn at random by each process, so that a restarted sender is told apart
  * @param sequence rises with each report of a session
- * @param builtOn the sequence of the report that this one changes; if there is none, this one is
+ * @param baseSequence the sequence of the report that this one changes; if there is none, this one is
  *     whole, and targets that it does not name have no load
  * @param loads the present load of each target that is named
  * @param demand how many requests a second come, whole in each report; of single accounts only
@@ -33,7 +33,7 @@
     LoadScope scope,
     long session,
     long sequence,
-    OptionalLong builtOn,
+    OptionalLong baseSequence,
     Map<TargetId, TargetLoad> loads,
     Map<DemandKey, Double> demand,
     Map<EvidenceKey, Tally> evidence,
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadSums.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadSums.java
@@ -31,7 +31,7 @@
     return new LoadSums(loads, demand, evidence);
   }
 
-  void add(Contribution more) {
+  void add(SourceState more) {
     more.loads().forEach((target, load) -> loads.merge(target, load, TargetLoad::plus));
     more.demand().forEach((key, rate) -> demand.merge(key, rate, Double::sum));
     more.evidence().forEach((key, tally) -> evidence.merge(key, tally, Tally::plus));
@@ -52,7 +52,7 @@
   }
 
   /** Returns how many of those answers were bad. */
-  long badAnswers() {
+  long badResponses() {
     return evidence.values().stream().mapToLong(Tally::bad).sum();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
@@ -18,7 +18,7 @@
   static final long LEASE_MILLIS = 2_500;
 
   private final CoreContext context;
-  private final Map<Source, Contribution> contributions = new LinkedHashMap<>();
+  private final Map<Source, SourceState> contributions = new LinkedHashMap<>();
   private LoadSums others = new LoadSums();
   private boolean summed;
 
@@ -29,11 +29,11 @@
   }
 
   /** Takes a report in; returns false if it builds on one that is not known here. */
-  boolean take(LoadReport report) {
+  boolean receive(LoadReport report) {
     Source source = new Source(report.sender(), report.scope());
-    Contribution known = contributions.get(source);
-    Contribution contribution = known == null ? new Contribution() : known;
-    if (!contribution.take(report, context.now())) {
+    SourceState known = contributions.get(source);
+    SourceState contribution = known == null ? new SourceState() : known;
+    if (!contribution.update(report, context.now())) {
       return false;
     }
     if (known == null) {
@@ -49,12 +49,12 @@
     long since = context.now() - LEASE_MILLIS;
     boolean dropped = false;
     for (var entry : Map.copyOf(contributions).entrySet()) {
-      if (entry.getValue().heardAt() < since) {
+      if (entry.getValue().receivedAt() < since) {
         contributions.remove(entry.getKey());
         note(
             EventCode.LOADS_LAPSED,
             entry.getKey(),
-            "ageMillis=" + (context.now() - entry.getValue().heardAt()));
+            "ageMillis=" + (context.now() - entry.getValue().receivedAt()));
         dropped = true;
       }
     }
@@ -79,7 +79,7 @@
   }
 
   /** Returns what all other hosts have at a target, as far as it is known. */
-  TargetLoad othersAt(TargetId target) {
+  TargetLoad othersLoad(TargetId target) {
     return others().loads().getOrDefault(target, TargetLoad.NONE);
   }
 
@@ -106,10 +106,10 @@
     return sums;
   }
 
-  private Optional<Contribution> latest(LoadScope scope) {
-    Contribution latest = null;
+  private Optional<SourceState> latest(LoadScope scope) {
+    SourceState latest = null;
     for (var entry : contributions.entrySet()) {
-      boolean later = latest == null || entry.getValue().heardAt() > latest.heardAt();
+      boolean later = latest == null || entry.getValue().receivedAt() > latest.receivedAt();
       if (entry.getKey().scope() == scope && later) {
         latest = entry.getValue();
       }
@@ -128,19 +128,19 @@
   }
 
   /** Returns the age of the oldest word that counts, in milliseconds; 0 if there is none. */
-  long ageMillis() {
-    Optional<Contribution> gathered = latest(LoadScope.EVERYONE_ELSE);
+  long oldestReportAgeMillis() {
+    Optional<SourceState> gathered = latest(LoadScope.EVERYONE_ELSE);
     long oldest =
         gathered.isPresent()
-            ? gathered.get().heardAt()
+            ? gathered.get().receivedAt()
             : contributions.values().stream()
-                .mapToLong(Contribution::heardAt)
+                .mapToLong(SourceState::receivedAt)
                 .min()
                 .orElse(context.now());
     return context.now() - oldest;
   }
 
-  int sources() {
+  int sourceCount() {
     return contributions.size();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/ToldFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SentFacts.java
@@ -4,7 +4,7 @@
 import org.gatereel.core.internal.SharedFacts;
 
 /** Which facts of one kind a receiver has been told, each of them once. */
-final class ToldFacts<F> {
+final class SentFacts<F> {
   private long told;
 
   /**
@@ -12,7 +12,7 @@
    *
    * @param anew whether all are to be told once more
    */
-  List<F> next(SharedFacts<F> facts, boolean anew, int most) {
+  List<F> nextToSend(SharedFacts<F> facts, boolean anew, int most) {
     List<SharedFacts.Numbered<F>> next = facts.after(anew ? 0 : told, most);
     if (anew) {
       told = 0;
--- a/gatereel-core/src/main/java/org/gatereel/core/load/Contribution.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
@@ -8,24 +8,24 @@
 import org.gatereel.core.rollout.Tally;
 
 /** What one sender has said last, under a lease that each of its reports renews. */
-final class Contribution {
+final class SourceState {
   private final Map<TargetId, TargetLoad> loads = new HashMap<>();
   private Map<DemandKey, Double> demand = Map.of();
   private Map<EvidenceKey, Tally> evidence = Map.of();
   private Address replyTo;
   private long session;
   private long sequence = Long.MIN_VALUE;
-  private long heardAt;
+  private long receivedAt;
 
   /** Takes a report in; returns false if it builds on one that is not known here. */
-  boolean take(LoadReport report, long now) {
+  boolean update(LoadReport report, long now) {
     boolean sameSession = sequence != Long.MIN_VALUE && report.session() == session;
     if (sameSession && report.sequence() <= sequence) {
       // Came late, over a connection that was given up; what is known is younger.
       return true;
     }
-    boolean whole = report.builtOn().isEmpty();
-    boolean follows = sameSession && !whole && report.builtOn().getAsLong() == sequence;
+    boolean whole = report.baseSequence().isEmpty();
+    boolean follows = sameSession && !whole && report.baseSequence().getAsLong() == sequence;
     if (!whole && !follows) {
       return false;
     }
@@ -38,7 +38,7 @@
     replyTo = report.replyTo();
     session = report.session();
     sequence = report.sequence();
-    heardAt = now;
+    receivedAt = now;
     return true;
   }
 
@@ -66,7 +66,7 @@
     return replyTo;
   }
 
-  long heardAt() {
-    return heardAt;
+  long receivedAt() {
+    return receivedAt;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Turns.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/AdmissionCredits.java
@@ -11,16 +11,16 @@
  * <p>Each arrival earns its account the part of a turn that its share allows; a whole one sends a
  * request, and one that waits goes before one that arrives.
  */
-final class Turns {
+final class AdmissionCredits {
   private final Map<DemandKey, Double> earned = new HashMap<>();
   private final Map<DemandKey, Integer> waiting = new HashMap<>();
 
-  void earn(DemandKey key, double part) {
+  void addCredit(DemandKey key, double part) {
     earned.merge(key, part, Double::sum);
   }
 
   /** Takes a whole turn; returns whether there was one. */
-  boolean take(DemandKey key) {
+  boolean tryAcquire(DemandKey key) {
     double turns = earned.getOrDefault(key, 0.0);
     if (turns < 1) {
       return false;
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Capacity.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/Capacity.java
@@ -16,9 +16,9 @@
    */
   private static final double LIMITED_PART = 1.15;
 
-  private final boolean engines;
-  private final double workMillis;
-  private int places;
+  private final boolean isEngineService;
+  private final double serviceTimeMillis;
+  private int slots;
   private double perSecond;
   private boolean unlimited;
 
@@ -29,8 +29,8 @@
    * @param workMillis how long a place is taken by one request; 0 as long as that is not known
    */
   Capacity(boolean engines, double workMillis) {
-    this.engines = engines;
-    this.workMillis = workMillis;
+    this.isEngineService = engines;
+    this.serviceTimeMillis = workMillis;
   }
 
   /**
@@ -39,34 +39,34 @@
    * @param more how many requests it begins at the same time
    * @param limit how many requests a second it takes by its own word; infinite if it names none
    */
-  void add(int more, double limit) {
-    double possible = workMillis > 0 ? more * SECOND_MILLIS / workMillis : Double.POSITIVE_INFINITY;
-    places += more;
+  void addTarget(int more, double limit) {
+    double possible = serviceTimeMillis > 0 ? more * SECOND_MILLIS / serviceTimeMillis : Double.POSITIVE_INFINITY;
+    slots += more;
     perSecond += Math.min(possible, limit);
     unlimited |= limit >= possible;
   }
 
-  boolean engines() {
-    return engines;
+  boolean isEngineService() {
+    return isEngineService;
   }
 
   /** Returns how many requests targets begin at the same time. */
-  int places() {
-    return places;
+  int slots() {
+    return slots;
   }
 
-  double workMillis() {
-    return workMillis;
+  double serviceTimeMillis() {
+    return serviceTimeMillis;
   }
 
   /** Returns whether all targets take less, by their own word, than they have time for. */
-  boolean isLimited() {
-    return places > 0 && !unlimited;
+  boolean isRateLimited() {
+    return slots > 0 && !unlimited;
   }
 
   /** Returns how many requests a second can be done; infinite as long as it is not known. */
   double perSecond() {
-    return places == 0 && workMillis == 0 ? Double.POSITIVE_INFINITY : perSecond;
+    return slots == 0 && serviceTimeMillis == 0 ? Double.POSITIVE_INFINITY : perSecond;
   }
 
   /**
@@ -75,11 +75,11 @@
    * <p>By the time that a plain service shows that it is overloaded its queues are full, and at the
    * full rate they stay so: all that is served is late.
    */
-  double sharedPerSecond() {
-    if (isLimited()) {
+  double admittedPerSecond() {
+    if (isRateLimited()) {
       return LIMITED_PART * perSecond;
     }
-    return engines ? perSecond() : DRAINING_PART * perSecond();
+    return isEngineService ? perSecond() : DRAINING_PART * perSecond();
   }
 
   /** Returns how long a number of requests takes, in milliseconds. */
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Demand.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/Demand.java
@@ -36,13 +36,13 @@
    *
    * @param busy the services whose accounts are told one by one
    */
-  Map<DemandKey, Double> told(Predicate<ServiceName> busy, long now) {
+  Map<DemandKey, Double> ratesToReport(Predicate<ServiceName> busy, long now) {
     Map<DemandKey, Double> told = new HashMap<>();
     Map<ServiceName, Boolean> known = new HashMap<>();
     rates.values().removeIf(rate -> rate.perSecond(now) < LEAST_PER_SECOND);
     rates.forEach(
         (key, rate) -> {
-          if (!key.isOfOne() || known.computeIfAbsent(key.service(), busy::test)) {
+          if (!key.isPerAccount() || known.computeIfAbsent(key.service(), busy::test)) {
             told.put(key, Math.round(rate.perSecond(now) * PARTS) / PARTS);
           }
         });
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/FairShares.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/FairShares.java
@@ -25,7 +25,7 @@
         demand.entrySet().stream()
             .collect(
                 Collectors.groupingBy(
-                    entry -> entry.getKey().rank(),
+                    entry -> entry.getKey().priority(),
                     TreeMap::new,
                     Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)));
     double left = perSecond;
@@ -52,8 +52,8 @@
   }
 
   /** Returns the part of somebody's requests that is served, from 0 to 1. */
-  double part(DemandKey key, double asked) {
-    double level = levels.getOrDefault(key.rank(), Double.POSITIVE_INFINITY);
+  double admittedRatio(DemandKey key, double asked) {
+    double level = levels.getOrDefault(key.priority(), Double.POSITIVE_INFINITY);
     return asked <= level ? 1 : level / asked;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -59,9 +59,9 @@
   private final ToDoubleFunction<TargetId> limits;
   private final Predicate<TargetId> isResting;
   private final Demand demand = new Demand();
-  private final Turns turns = new Turns();
-  private final ReturnTimes returnTimes;
-  private final Map<ServiceName, UsualWork> work = new HashMap<>();
+  private final AdmissionCredits turns = new AdmissionCredits();
+  private final RetryDelays returnTimes;
+  private final Map<ServiceName, ServiceTimeEstimate> work = new HashMap<>();
 
   /**
    * Makes a control that has reports tell what this host is asked for.
@@ -80,33 +80,33 @@
     this.loads = loads;
     this.limits = limits;
     this.isResting = isResting;
-    this.returnTimes = new ReturnTimes(context.random());
-    loads.tellDemand(this::told);
+    this.returnTimes = new RetryDelays(context.random());
+    loads.setDemandSource(this::told);
   }
 
   /** Decides on a request that has just come. */
-  public Verdict arrive(Arrival arrival) {
-    DemandKey key = arrival.key();
+  public OverloadDecision decide(ArrivingRequest arrival) {
+    DemandKey key = arrival.demandKey();
     demand.count(key, context.now());
     Capacity capacity = capacity(arrival.service());
     if (!isOverloaded(arrival, capacity)) {
       turns.clear(arrival.service());
-      return new Verdict.Send();
+      return new OverloadDecision.Send();
     }
     double asked = perSecond(key);
     double part =
-        FairShares.of(capacity.sharedPerSecond(), askedFor(arrival.service())).part(key, asked);
-    turns.earn(key, part);
-    if (!turns.hasWaiting(key) && turns.take(key)) {
-      return new Verdict.Send();
+        FairShares.of(capacity.admittedPerSecond(), askedFor(arrival.service())).admittedRatio(key, asked);
+    turns.addCredit(key, part);
+    if (!turns.hasWaiting(key) && turns.tryAcquire(key)) {
+      return new OverloadDecision.Send();
     }
     String inputs = inputs(arrival, capacity, asked, part);
     if (mayWait(arrival, capacity)) {
       turns.beginWaiting(key);
-      return new Verdict.Wait(retryMillis(), inputs);
+      return new OverloadDecision.Wait(retryMillis(), inputs);
     }
-    long again = returnMillis(arrival.service(), arrival.deadline());
-    return new Verdict.Refuse(again, inputs);
+    long again = drawRetryAfterMillis(arrival.service(), arrival.deadline());
+    return new OverloadDecision.Reject(again, inputs);
   }
 
   /**
@@ -114,9 +114,9 @@
    *
    * @param deadline when its caller waits no longer, in milliseconds
    */
-  public long returnMillis(ServiceName service, long deadline) {
+  public long drawRetryAfterMillis(ServiceName service, long deadline) {
     double excess = perSecond(DemandKey.allOf(service)) / capacity(service).perSecond();
-    return returnTimes.millis(excess, deadline - context.now());
+    return returnTimes.drawMillis(excess, deadline - context.now());
   }
 
   /**
@@ -124,38 +124,38 @@
    *
    * @param restMillis when the first of them takes requests again, in milliseconds from now
    */
-  public long returnMillisAfter(long restMillis) {
+  public long drawRetryAfterRestMillis(long restMillis) {
     return restMillis + context.random().nextLong(RETRY_MILLIS);
   }
 
   /** Decides again on a request that waits. */
-  public Verdict askAgain(Arrival arrival) {
+  public OverloadDecision decideWaiting(ArrivingRequest arrival) {
     Capacity capacity = capacity(arrival.service());
-    if (turns.take(arrival.key()) || drawsRoom(arrival, capacity)) {
-      return new Verdict.Send();
+    if (turns.tryAcquire(arrival.demandKey()) || drawsRoom(arrival, capacity)) {
+      return new OverloadDecision.Send();
     }
     long left = arrival.deadline() - context.now();
-    String inputs = inputs(arrival, capacity, perSecond(arrival.key()), 0);
+    String inputs = inputs(arrival, capacity, perSecond(arrival.demandKey()), 0);
     return left > LEFT_FOR_STREAM_MILLIS
-        ? new Verdict.Wait(retryMillis(), inputs)
-        : new Verdict.Refuse(returnTimes.millis(1, left), inputs);
+        ? new OverloadDecision.Wait(retryMillis(), inputs)
+        : new OverloadDecision.Reject(returnTimes.drawMillis(1, left), inputs);
   }
 
   /** Notes that a request waits no longer, whatever became of it. */
-  public void waitedEnough(Arrival arrival) {
-    turns.endWaiting(arrival.key());
+  public void endWaiting(ArrivingRequest arrival) {
+    turns.endWaiting(arrival.demandKey());
   }
 
   /** Learns how long an engine took to a stream's first event, or a plain service to its answer. */
-  public void learn(ServiceName service, long millis) {
+  public void recordServiceTime(ServiceName service, long millis) {
     if (!isBusy(service)) {
-      work.computeIfAbsent(service, any -> new UsualWork()).learn(millis);
+      work.computeIfAbsent(service, any -> new ServiceTimeEstimate()).record(millis);
     }
   }
 
   /** Only streams have the time to wait; and no more of them than can be done in time. */
-  private boolean mayWait(Arrival arrival, Capacity capacity) {
-    return capacity.engines()
+  private boolean mayWait(ArrivingRequest arrival, Capacity capacity) {
+    return capacity.isEngineService()
         && arrival.deadline() - context.now() > LEFT_FOR_STREAM_MILLIS
         && capacity.millisFor(waiting(arrival.service()) + 1) <= MOST_WAITING_MILLIS;
   }
@@ -164,8 +164,8 @@
    * Draws whether there is room for this one of all that wait: hosts that see the same room must
    * not all send what they have.
    */
-  private boolean drawsRoom(Arrival arrival, Capacity capacity) {
-    double prompts = QUEUED_PART * arrival.aimMillis() / capacity.workMillis() * capacity.places();
+  private boolean drawsRoom(ArrivingRequest arrival, Capacity capacity) {
+    double prompts = QUEUED_PART * arrival.objectiveMillis() / capacity.serviceTimeMillis() * capacity.slots();
     double room = prompts - reading(arrival.service());
     return context.random().nextDouble() * waiting(arrival.service()) < room;
   }
@@ -174,7 +174,7 @@
     return RETRY_MILLIS + context.random().nextLong(RETRY_MILLIS);
   }
 
-  private String inputs(Arrival arrival, Capacity capacity, double asked, double part) {
+  private String inputs(ArrivingRequest arrival, Capacity capacity, double asked, double part) {
     return String.format(
         Locale.ROOT,
         "asked=%.1f share=%.2f allAsked=%.1f canDo=%.1f waiting=%.0f loadsAgeMillis=%d",
@@ -183,21 +183,21 @@
         perSecond(DemandKey.allOf(arrival.service())),
         capacity.perSecond(),
         waiting(arrival.service()),
-        loads.ageMillis());
+        loads.oldestReportAgeMillis());
   }
 
   private Capacity capacity(ServiceName service) {
     List<TargetState> listed = targets.listed(service);
     boolean engines =
         listed.stream().anyMatch(target -> target.description().kind() == TargetKind.ENGINE);
-    UsualWork known = work.get(service);
+    ServiceTimeEstimate known = work.get(service);
     double assumed = engines ? ASSUMED_PROMPT_MILLIS : 0;
     Capacity capacity = new Capacity(engines, known == null ? assumed : known.millis());
     for (TargetState target : listed) {
       TargetId id = target.description().id();
       if (!target.isFailing(context.now()) && !isResting.test(id)) {
         int places = engines ? 1 : target.description().slots();
-        capacity.add(places, limits.applyAsDouble(id));
+        capacity.addTarget(places, limits.applyAsDouble(id));
       }
     }
     return capacity;
@@ -211,17 +211,17 @@
    * Returns whether more is asked for than can be done. Engines show it by the prompts that wait
    * there, which hosts tell each other at once, and plain services by having no room.
    */
-  private boolean isOverloaded(Arrival arrival, Capacity capacity) {
+  private boolean isOverloaded(ArrivingRequest arrival, Capacity capacity) {
     double asked = perSecond(DemandKey.allOf(arrival.service()));
-    if (capacity.places() == 0 || asked <= capacity.perSecond()) {
+    if (capacity.slots() == 0 || asked <= capacity.perSecond()) {
       return false;
     }
-    if (capacity.isLimited()) {
+    if (capacity.isRateLimited()) {
       // Limited targets show no queue that grows, since what is over their limit is not sent there.
       return true;
     }
-    return capacity.engines()
-        ? capacity.millisFor(reading(arrival.service())) > QUEUED_PART * arrival.aimMillis()
+    return capacity.isEngineService()
+        ? capacity.millisFor(reading(arrival.service())) > QUEUED_PART * arrival.objectiveMillis()
         : wasFull(arrival.service());
   }
 
@@ -234,7 +234,7 @@
   private int reading(ServiceName service) {
     int reading = 0;
     for (TargetState target : targets.listed(service)) {
-      reading += target.readingHere() + loads.othersAt(target.description().id()).reading();
+      reading += target.readingHere() + loads.othersLoad(target.description().id()).reading();
     }
     return reading;
   }
@@ -250,7 +250,7 @@
   }
 
   private Map<DemandKey, Double> told() {
-    Map<DemandKey, Double> told = demand.told(this::isBusy, context.now());
+    Map<DemandKey, Double> told = demand.ratesToReport(this::isBusy, context.now());
     turns
         .waitingByService()
         .forEach((service, count) -> told.put(DemandKey.waitingFor(service), (double) count));
@@ -261,7 +261,7 @@
   private Map<DemandKey, Double> askedFor(ServiceName service) {
     Map<DemandKey, Double> asked = new HashMap<>();
     add(loads.othersDemand(), service, asked);
-    add(demand.told(any -> true, context.now()), service, asked);
+    add(demand.ratesToReport(any -> true, context.now()), service, asked);
     return asked;
   }
 
@@ -269,7 +269,7 @@
       Map<DemandKey, Double> more, ServiceName service, Map<DemandKey, Double> asked) {
     more.forEach(
         (key, rate) -> {
-          if (key.isOfOne() && key.service().equals(service)) {
+          if (key.isPerAccount() && key.service().equals(service)) {
             asked.merge(key, rate, Double::sum);
           }
         });
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Verdict.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadDecision.java
@@ -1,9 +1,9 @@
 package org.gatereel.core.overload;
 
 /** What becomes of a request that arrives. */
-public sealed interface Verdict {
+public sealed interface OverloadDecision {
   /** It is sent to a target. */
-  record Send() implements Verdict {}
+  record Send() implements OverloadDecision {}
 
   /**
    * It waits for its turn and asks again.
@@ -11,7 +11,7 @@
    * @param retryMillis when it asks again
    * @param inputs what decided, for the log
    */
-  record Wait(long retryMillis, String inputs) implements Verdict {}
+  record Wait(long retryMillis, String inputs) implements OverloadDecision {}
 
   /**
    * It is refused at once.
@@ -19,5 +19,5 @@
    * @param retryAfterMillis when the caller is to come back
    * @param inputs what decided, for the log
    */
-  record Refuse(long retryAfterMillis, String inputs) implements Verdict {}
+  record Reject(long retryAfterMillis, String inputs) implements OverloadDecision {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/ReturnTimes.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/RetryDelays.java
@@ -9,7 +9,7 @@
  * excess again. So the times are spread over as many seconds as the excess has parts, which leaves
  * in each about as many as can be served.
  */
-final class ReturnTimes {
+final class RetryDelays {
   /** Sooner than this nothing has changed: what hosts know of each other's load is as old. */
   private static final long SOONEST_MILLIS = 500;
 
@@ -21,7 +21,7 @@
 
   private final RandomGenerator random;
 
-  ReturnTimes(RandomGenerator random) {
+  RetryDelays(RandomGenerator random) {
     this.random = random;
   }
 
@@ -31,7 +31,7 @@
    * @param excess how many times as much is asked for as can be done
    * @param remainingMillis how long the caller waits at the most
    */
-  long millis(double excess, long remainingMillis) {
+  long drawMillis(double excess, long remainingMillis) {
     double spread = SOONEST_MILLIS * (1 + 2 * Math.max(1, excess) * random.nextDouble());
     long latest = Math.min(LATEST_MILLIS, remainingMillis / HEEDED_PART);
     return Math.max(1, Math.min(latest, Math.round(spread)));
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/UsualWork.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/ServiceTimeEstimate.java
@@ -7,7 +7,7 @@
  * which a queue has lengthened least: a host that has just started when a burst comes would take
  * targets for slower than they are, and refuse calls that can be served.
  */
-final class UsualWork {
+final class ServiceTimeEstimate {
   /** Follows a change within some 20 requests. */
   private static final double GAIN = 1.0 / 16;
 
@@ -17,7 +17,7 @@
   private double shortest = Double.POSITIVE_INFINITY;
   private int seen;
 
-  void learn(long millis) {
+  void record(long millis) {
     seen++;
     mean += (millis - mean) * Math.max(GAIN, 1.0 / seen);
     shortest = Math.min(shortest, millis);
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/ConsiderationTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/ConsiderationTest.java
@@ -102,7 +102,7 @@
   private void othersHave(Map<String, TargetLoad> told) {
     Map<TargetId, TargetLoad> named = new HashMap<>();
     told.forEach((id, load) -> named.put(new TargetId(id), load));
-    loads.take(
+    loads.receive(
         new LoadReport(
             new HostId("h2"),
             ELSEWHERE,
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
@@ -102,7 +102,7 @@
   void whatOtherHostsToldOfARunDoesNotCountForTheNextOne() {
     world.list(run("e1", SECOND, "north"));
     TargetLoad load = new TargetLoad(5, 1, 0, 0, TargetLoad.NEVER);
-    world.loads.take(
+    world.loads.receive(
         new LoadReport(
             new HostId("h2"),
             new Address("10.0.1.2", 7_215),
@@ -113,8 +113,8 @@
             Map.of(new TargetId("e1", FIRST), load),
             Map.of()));
 
-    assertEquals(load, world.loads.othersAt(new TargetId("e1", FIRST)));
-    assertEquals(TargetLoad.NONE, world.loads.othersAt(new TargetId("e1", SECOND)));
+    assertEquals(load, world.loads.othersLoad(new TargetId("e1", FIRST)));
+    assertEquals(TargetLoad.NONE, world.loads.othersLoad(new TargetId("e1", SECOND)));
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -201,7 +201,7 @@
     listOnly("c1");
     world.pass(100);
     SentCall call = ask("/safe/x").accepted();
-    world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
+    world.loads.receive(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
     events();
 
     call.answer(200, "ok");
@@ -228,7 +228,7 @@
 
   @Test
   void aHostThatIsToldByAnotherOneSendsNothing() {
-    world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
+    world.loads.receive(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
 
     assertFalse(chosen("/safe/x").contains("c1"));
   }
@@ -238,7 +238,7 @@
   void aTargetThatRestsForAnotherHostIsAskedLast() {
     TargetId target = new TargetId("c1");
     long now = world.context.now();
-    world.loads.take(report(new RestFact(target, now, now + REST_MILLIS)));
+    world.loads.receive(report(new RestFact(target, now, now + REST_MILLIS)));
     assertFalse(chosen("/safe/x").contains("c1"));
 
     listOnly("c1");
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -280,7 +280,7 @@
       told.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
     }
     DemandKey asking = new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
-    world.loads.take(
+    world.loads.receive(
         new LoadReport(
             new HostId("h2"),
             new Address("10.0.9.9", 7_200),
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
@@ -57,10 +57,10 @@
     LoadWorld.Host witness = world.member("north");
     witness.targets.failed(witness.engineState(), TargetFailure.TIMEOUT);
     long failedAt = witness.context.now();
-    witness.loads.changed();
+    witness.loads.scheduleReports();
     world.pass(TOLD_MILLIS);
 
-    assertEquals(failedAt, world.host("west-1").loads.othersAt(LoadWorld.ENGINE).failedAt());
+    assertEquals(failedAt, world.host("west-1").loads.othersLoad(LoadWorld.ENGINE).failedAt());
   }
 
   @Test
@@ -97,7 +97,7 @@
     LoadWorld.Host left =
         world.hosts.values().stream()
             .filter(host -> host.dataCentre.equals("north"))
-            .filter(host -> host.directory.before().size() == 2)
+            .filter(host -> host.directory.higherRankedHosts().size() == 2)
             .findFirst()
             .orElseThrow();
     left.open(2);
@@ -137,8 +137,8 @@
     HostId sender = new HostId("north-9");
     Map<TargetId, TargetLoad> three =
         Map.of(LoadWorld.ENGINE, new TargetLoad(3, 0, 0, 0, TargetLoad.NEVER));
-    assertTrue(receiver.loads.take(report(sender, receiver, 5, OptionalLong.empty(), Map.of())));
-    assertTrue(receiver.loads.take(report(sender, receiver, 4, OptionalLong.empty(), three)));
+    assertTrue(receiver.loads.receive(report(sender, receiver, 5, OptionalLong.empty(), Map.of())));
+    assertTrue(receiver.loads.receive(report(sender, receiver, 4, OptionalLong.empty(), three)));
 
     assertEquals(0, receiver.othersOpen());
   }
@@ -149,7 +149,7 @@
     LoadWorld.Host receiver = world.host("west-1");
 
     assertFalse(
-        receiver.loads.take(
+        receiver.loads.receive(
             report(new HostId("north-9"), receiver, 5, OptionalLong.of(4), Map.of())));
   }
 
@@ -178,7 +178,7 @@
             OptionalLong.empty(),
             Map.of(),
             Map.of());
-    assertTrue(member.loads.take(back));
+    assertTrue(member.loads.receive(back));
     member.open(1);
     world.pass(TOLD_MILLIS);
 
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -66,8 +66,8 @@
       directory = new HostDirectory(context, address);
       loads = new LoadExchange(context, targets, directory, address, this::send);
       poison = new PoisonControl(context);
-      loads.exchangePoison(poison);
-      poison.onNews((fact, source) -> loads.changed());
+      loads.setPoisonFacts(poison);
+      poison.onNews((fact, source) -> loads.scheduleReports());
     }
 
     private void send(Address receiver, LoadReport report, Consumer<LoadPort.Receipt> receipt) {
@@ -87,7 +87,7 @@
       deliver(
           DELIVERY_MILLIS,
           () -> {
-            boolean taken = to.loads.take(report);
+            boolean taken = to.loads.receive(report);
             settle(
                 receiver, receipt, taken ? LoadPort.Receipt.TAKEN : LoadPort.Receipt.WHOLE_NEEDED);
           });
@@ -107,18 +107,18 @@
       for (int index = 0; index < count; index++) {
         targets.opened(engineState());
       }
-      loads.changed();
+      loads.scheduleReports();
     }
 
     void close(int count) {
       for (int index = 0; index < count; index++) {
         targets.closed(engineState());
       }
-      loads.changed();
+      loads.scheduleReports();
     }
 
     int othersOpen() {
-      return loads.othersAt(ENGINE).open();
+      return loads.othersLoad(ENGINE).open();
     }
   }
 
@@ -175,7 +175,7 @@
   Host gatherer(String dataCentre) {
     return hosts.values().stream()
         .filter(host -> host.dataCentre.equals(dataCentre))
-        .filter(host -> host.directory.before().isEmpty())
+        .filter(host -> host.directory.higherRankedHosts().isEmpty())
         .findFirst()
         .orElseThrow();
   }
@@ -184,7 +184,7 @@
   Host member(String dataCentre) {
     return hosts.values().stream()
         .filter(host -> host.dataCentre.equals(dataCentre))
-        .filter(host -> !host.directory.before().isEmpty())
+        .filter(host -> !host.directory.higherRankedHosts().isEmpty())
         .findFirst()
         .orElseThrow();
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
@@ -23,7 +23,7 @@
     long now = host.context.now();
     host.poison.ended(PoisonFact.end(FATAL, new TargetId(target), now - 100, now));
     // Ends of other targets are at other moments.
-    host.loads.changed();
+    host.loads.scheduleReports();
   }
 
   private List<String> holders() {
--- a/gatereel-core/src/test/java/org/gatereel/core/overload/FairSharesTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/FairSharesTest.java
@@ -31,9 +31,9 @@
 
     FairShares shares = FairShares.of(42, asked);
 
-    assertEquals(1, shares.part(account(1, "small"), 2));
-    assertEquals(20.0 / 30, shares.part(account(1, "large"), 30), EXACT);
-    assertEquals(20.0 / 100, shares.part(account(1, "hot"), 100), EXACT);
+    assertEquals(1, shares.admittedRatio(account(1, "small"), 2));
+    assertEquals(20.0 / 30, shares.admittedRatio(account(1, "large"), 30), EXACT);
+    assertEquals(20.0 / 100, shares.admittedRatio(account(1, "hot"), 100), EXACT);
   }
 
   @Test
@@ -42,22 +42,22 @@
 
     FairShares shares = FairShares.of(40, asked);
 
-    assertEquals(1, shares.part(account(0, "a"), 30));
-    assertEquals(10.0 / 30, shares.part(account(2, "b"), 30), EXACT);
+    assertEquals(1, shares.admittedRatio(account(0, "a"), 30));
+    assertEquals(10.0 / 30, shares.admittedRatio(account(2, "b"), 30), EXACT);
   }
 
   @Test
   void whereThereIsEnoughAllGetAll() {
     FairShares shares = FairShares.of(10, Map.of(account(1, "a"), 4.0, account(1, "b"), 6.0));
 
-    assertEquals(1, shares.part(account(1, "b"), 6));
+    assertEquals(1, shares.admittedRatio(account(1, "b"), 6));
   }
 
   @Test
   void whoeverWasNotCountedYetIsServed() {
     FairShares shares = FairShares.of(1, Map.of(account(1, "a"), 4.0));
 
-    assertEquals(1, shares.part(account(3, "new"), 1));
+    assertEquals(1, shares.admittedRatio(account(3, "new"), 1));
   }
 
   @Property(tries = 200, seed = "20261202")
@@ -72,7 +72,7 @@
     double served = 0;
     double wanted = 0;
     for (Map.Entry<DemandKey, Double> entry : asked.entrySet()) {
-      served += entry.getValue() * shares.part(entry.getKey(), entry.getValue());
+      served += entry.getValue() * shares.admittedRatio(entry.getKey(), entry.getValue());
       wanted += entry.getValue();
     }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
@@ -103,7 +103,7 @@
           new TargetId("e" + index),
           new TargetLoad(readingEach, readingEach, 0, 0, TargetLoad.NEVER));
     }
-    loads.take(
+    loads.receive(
         new LoadReport(
             new HostId("h2"),
             ELSEWHERE,
@@ -124,17 +124,17 @@
         DemandKey.allOf(service), hot + small, key(service, HOT), hot, key(service, SMALL), small);
   }
 
-  private Arrival stream(AccountId account) {
-    return new Arrival(ENGINES, 1, Optional.of(account), 4_500, context.now() + 25_000);
+  private ArrivingRequest stream(AccountId account) {
+    return new ArrivingRequest(ENGINES, 1, Optional.of(account), 4_500, context.now() + 25_000);
   }
 
-  private Arrival call(AccountId account) {
-    return new Arrival(COUNTERS, 1, Optional.of(account), 200, context.now() + 1_500);
+  private ArrivingRequest call(AccountId account) {
+    return new ArrivingRequest(COUNTERS, 1, Optional.of(account), 200, context.now() + 1_500);
   }
 
   private void learnCalls() {
     for (int index = 0; index < 20; index++) {
-      overload.learn(COUNTERS, 50);
+      overload.recordServiceTime(COUNTERS, 50);
     }
   }
 
@@ -147,12 +147,12 @@
 
     int refused = 0;
     for (int index = 0; index < 100; index++) {
-      refused += overload.arrive(call(HOT)) instanceof Verdict.Refuse ? 1 : 0;
+      refused += overload.decide(call(HOT)) instanceof OverloadDecision.Reject ? 1 : 0;
     }
-    Verdict small = overload.arrive(call(SMALL));
+    OverloadDecision small = overload.decide(call(SMALL));
 
     assertTrue(refused >= 80, "refused " + refused);
-    assertTrue(small instanceof Verdict.Send, "the small account has its share");
+    assertTrue(small instanceof OverloadDecision.Send, "the small account has its share");
   }
 
   @Test
@@ -162,7 +162,7 @@
     othersTell(0, asked(COUNTERS, 90, 2));
 
     for (int index = 0; index < 20; index++) {
-      assertTrue(overload.arrive(call(HOT)) instanceof Verdict.Send);
+      assertTrue(overload.decide(call(HOT)) instanceof OverloadDecision.Send);
     }
   }
 
@@ -171,7 +171,7 @@
     othersTell(1, asked(ENGINES, 9, 0.5));
 
     for (int index = 0; index < 50; index++) {
-      assertInstanceOf(Verdict.Send.class, overload.arrive(stream(HOT)));
+      assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
       context.moveTo(context.now() + 1_000);
       othersTell(1, asked(ENGINES, 9, 0.5));
     }
@@ -181,35 +181,35 @@
   void promptsThatWaitAloneAreNoReasonWhileAskedForIsWhatCanBeDone() {
     othersTell(5, asked(ENGINES, 5, 1));
 
-    assertInstanceOf(Verdict.Send.class, overload.arrive(stream(HOT)));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
   }
 
   @Test
   void anAccountBeyondItsShareWaitsAndTheOthersAreSent() {
     othersTell(4, asked(ENGINES, 90, 2));
 
-    Verdict hot = overload.arrive(stream(HOT));
-    assertInstanceOf(Verdict.Wait.class, hot);
-    assertTrue(((Verdict.Wait) hot).inputs().contains("share=0.09"), hot.toString());
-    assertInstanceOf(Verdict.Send.class, overload.arrive(stream(SMALL)));
+    OverloadDecision hot = overload.decide(stream(HOT));
+    assertInstanceOf(OverloadDecision.Wait.class, hot);
+    assertTrue(((OverloadDecision.Wait) hot).inputs().contains("share=0.09"), hot.toString());
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(SMALL)));
   }
 
   /** What hosts know of the accounts of others is no use to one that hears nobody. */
   @Test
   void aHostThatHearsNobodySendsWhatItSees() {
-    assertInstanceOf(Verdict.Send.class, overload.arrive(stream(HOT)));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
   }
 
   @Test
   void whatWaitsIsSentOnceThereIsRoom() {
     othersTell(4, asked(ENGINES, 90, 2));
-    Arrival waiting = stream(HOT);
-    overload.arrive(waiting);
-    assertInstanceOf(Verdict.Wait.class, overload.askAgain(waiting));
+    ArrivingRequest waiting = stream(HOT);
+    overload.decide(waiting);
+    assertInstanceOf(OverloadDecision.Wait.class, overload.decideWaiting(waiting));
 
     othersTell(0, Map.of());
 
-    assertInstanceOf(Verdict.Send.class, overload.askAgain(waiting));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decideWaiting(waiting));
   }
 
   @Test
@@ -217,14 +217,14 @@
     Map<DemandKey, Double> told = new HashMap<>(asked(ENGINES, 90, 2));
     told.put(DemandKey.waitingFor(ENGINES), 79.0);
     othersTell(4, asked(ENGINES, 90, 2));
-    Arrival waiting = stream(HOT);
-    assertInstanceOf(Verdict.Wait.class, overload.arrive(waiting));
+    ArrivingRequest waiting = stream(HOT);
+    assertInstanceOf(OverloadDecision.Wait.class, overload.decide(waiting));
     // Room for 22 prompts, of which others have 10; 80 wait in all.
     othersTell(1, told);
 
     int sent = 0;
     for (int index = 0; index < 1_000; index++) {
-      sent += overload.askAgain(waiting) instanceof Verdict.Send ? 1 : 0;
+      sent += overload.decideWaiting(waiting) instanceof OverloadDecision.Send ? 1 : 0;
     }
 
     assertTrue(sent > 100 && sent < 220, "sent: " + sent);
@@ -236,40 +236,40 @@
     told.put(DemandKey.waitingFor(ENGINES), 100.0);
     othersTell(4, told);
 
-    Verdict verdict = overload.arrive(stream(HOT));
+    OverloadDecision verdict = overload.decide(stream(HOT));
 
-    assertInstanceOf(Verdict.Refuse.class, verdict);
-    long retryAfter = ((Verdict.Refuse) verdict).retryAfterMillis();
+    assertInstanceOf(OverloadDecision.Reject.class, verdict);
+    long retryAfter = ((OverloadDecision.Reject) verdict).retryAfterMillis();
     assertTrue(retryAfter >= 500 && retryAfter <= 8_000, "retry after: " + retryAfter);
   }
 
   @Test
   void whatHasWaitedUntilTooLittleTimeIsLeftIsRefused() {
     othersTell(4, asked(ENGINES, 90, 2));
-    Arrival waiting = stream(HOT);
-    overload.arrive(waiting);
+    ArrivingRequest waiting = stream(HOT);
+    overload.decide(waiting);
     context.moveTo(context.now() + 16_000);
     othersTell(4, asked(ENGINES, 90, 2));
 
-    assertInstanceOf(Verdict.Refuse.class, overload.askAgain(waiting));
+    assertInstanceOf(OverloadDecision.Reject.class, overload.decideWaiting(waiting));
   }
 
   @Test
   void aCallBeyondItsShareIsRefusedAtOnceWhileTargetsHaveNoRoom() {
     learnCalls();
     othersTell(0, asked(COUNTERS, 3_000, 10));
-    assertInstanceOf(Verdict.Send.class, overload.arrive(call(HOT)));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
     TargetState full = targets.find(new TargetId("c3")).orElseThrow();
     targets.failed(full, TargetFailure.FULL);
 
-    Verdict refused = overload.arrive(call(HOT));
+    OverloadDecision refused = overload.decide(call(HOT));
 
-    assertInstanceOf(Verdict.Refuse.class, refused);
-    assertTrue(((Verdict.Refuse) refused).retryAfterMillis() <= 500);
-    assertInstanceOf(Verdict.Send.class, overload.arrive(call(SMALL)));
+    assertInstanceOf(OverloadDecision.Reject.class, refused);
+    assertTrue(((OverloadDecision.Reject) refused).retryAfterMillis() <= 500);
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(SMALL)));
     context.moveTo(context.now() + 1_001);
     othersTell(0, asked(COUNTERS, 3_000, 10));
-    assertInstanceOf(Verdict.Send.class, overload.arrive(call(HOT)));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
   }
 
   @Test
@@ -280,7 +280,7 @@
 
     int sent = 0;
     for (int index = 0; index < 200; index++) {
-      sent += overload.arrive(call(HOT)) instanceof Verdict.Send ? 1 : 0;
+      sent += overload.decide(call(HOT)) instanceof OverloadDecision.Send ? 1 : 0;
     }
 
     // 1,200 a second can be done, and 10 are others'.
@@ -289,27 +289,27 @@
 
   @Test
   void theShortestOfTheFirstCallsTellsWhatCanBeDone() {
-    UsualWork work = new UsualWork();
-    work.learn(90);
-    work.learn(44);
-    work.learn(300);
+    ServiceTimeEstimate work = new ServiceTimeEstimate();
+    work.record(90);
+    work.record(44);
+    work.record(300);
 
     assertEquals(44, work.millis());
   }
 
   @Test
   void refusedCallersAreSpreadOverMoreTimeTheMoreTheyAre() {
-    ReturnTimes times = new ReturnTimes(new SplittableRandom(3));
+    RetryDelays times = new RetryDelays(new SplittableRandom(3));
     long latestOfFew = 0;
     long latestOfMany = 0;
     for (int index = 0; index < 200; index++) {
-      latestOfFew = Math.max(latestOfFew, times.millis(1, 60_000));
-      latestOfMany = Math.max(latestOfMany, times.millis(5, 60_000));
+      latestOfFew = Math.max(latestOfFew, times.drawMillis(1, 60_000));
+      latestOfMany = Math.max(latestOfMany, times.drawMillis(5, 60_000));
     }
 
     assertTrue(latestOfFew <= 1_500, "few: " + latestOfFew);
     assertTrue(latestOfMany > 4_000 && latestOfMany <= 5_500, "many: " + latestOfMany);
-    assertTrue(times.millis(9, 300) <= 100);
+    assertTrue(times.drawMillis(9, 300) <= 100);
   }
 
   /** What a service can do shrinks with the word of a target, and grows again with its end. */
@@ -321,18 +321,18 @@
     for (int index = 0; index < TARGETS / 2; index++) {
       resting.add(new TargetId("c" + index));
     }
-    assertInstanceOf(Verdict.Refuse.class, refusedAfterItsShare());
+    assertInstanceOf(OverloadDecision.Reject.class, refusedAfterItsShare());
 
     resting.clear();
 
-    assertInstanceOf(Verdict.Send.class, overload.arrive(call(HOT)));
+    assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
   }
 
   /** An account that is beyond its share has saved little, which is used up first. */
-  private Verdict refusedAfterItsShare() {
-    Verdict verdict = overload.arrive(call(HOT));
-    for (int index = 0; index < 100 && verdict instanceof Verdict.Send; index++) {
-      verdict = overload.arrive(call(HOT));
+  private OverloadDecision refusedAfterItsShare() {
+    OverloadDecision verdict = overload.decide(call(HOT));
+    for (int index = 0; index < 100 && verdict instanceof OverloadDecision.Send; index++) {
+      verdict = overload.decide(call(HOT));
     }
     return verdict;
   }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -105,11 +105,11 @@
     loadClient = new LoadClient(control);
     loads = new LoadExchange(context, targets, directory, peerAddress, loadClient);
     poison = new PoisonControl(context);
-    loads.exchangePoison(poison);
-    poison.onNews((fact, source) -> loads.changed());
+    loads.setPoisonFacts(poison);
+    poison.onNews((fact, source) -> loads.scheduleReports());
     rollouts = new RolloutControl(context, bounds.rollouts());
     rollouts.hearOthers(loads::othersEvidence);
-    loads.tellEvidence(rollouts::ownEvidence);
+    loads.setEvidenceSource(rollouts::ownEvidence);
     forwarder =
         new Forwarder(
             context,
@@ -134,8 +134,8 @@
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
     metrics.gauge("hosts", directory::hosts);
-    metrics.gauge("load_sources", loads::sources);
-    metrics.gauge("load_age_millis", loads::ageMillis);
+    metrics.gauge("load_sources", loads::sourceCount);
+    metrics.gauge("load_age_millis", loads::oldestReportAgeMillis);
     metrics.gauge("poison_requests_suspected", poison::suspected);
     metrics.gauge("poison_requests_held", poison::held);
     metrics.gauge("limited_targets", forwarder.limits().book()::size);
@@ -196,7 +196,7 @@
   /** Takes in what another host tells of its load; returns false if it has to tell all of it. */
   public boolean takeLoads(LoadReport report) {
     boolean[] taken = new boolean[1];
-    control.run(() -> taken[0] = loads.take(report));
+    control.run(() -> taken[0] = loads.receive(report));
     return taken[0];
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -104,7 +104,7 @@
   private record Demand(String service, int rank, String account, double perSecond) {
     static Demand of(DemandKey key, double perSecond) {
       String account = key.account().map(AccountId::value).orElse(null);
-      return new Demand(key.service().value(), key.rank(), account, perSecond);
+      return new Demand(key.service().value(), key.priority(), account, perSecond);
     }
 
     DemandKey key() {
@@ -216,7 +216,7 @@
             report.scope(),
             report.session(),
             report.sequence(),
-            report.builtOn(),
+            report.baseSequence(),
             entries,
             demand,
             evidence,
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -74,8 +74,8 @@
             context, new ConfigurationKeeper.Bounds(false, Long.MAX_VALUE, Long.MAX_VALUE));
     loads = new LoadExchange(context, targets, directory, address, this::sendReport);
     PoisonControl poison = new PoisonControl(context);
-    loads.exchangePoison(poison);
-    poison.onNews((fact, source) -> loads.changed());
+    loads.setPoisonFacts(poison);
+    poison.onNews((fact, source) -> loads.scheduleReports());
     forwarder =
         new Forwarder(
             context,
@@ -177,7 +177,7 @@
         () ->
             host.step(
                 () -> {
-                  boolean taken = host.loads.take(report);
+                  boolean taken = host.loads.receive(report);
                   LoadPort.Receipt answer =
                       taken ? LoadPort.Receipt.TAKEN : LoadPort.Receipt.WHOLE_NEEDED;
                   time.after(delay, () -> step(() -> receipt.accept(answer)));
