--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -95,7 +95,7 @@
         new OverloadControl(context, targets, loads, limits.book()::perSecond, rests::isResting);
     loads.setTargetFacts(facts);
     facts.onNews(this::hear);
-    poison.onHeld(this::hold);
+    poison.onQuarantined(this::hold);
   }
 
   /** A target has said something, here or to another host. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonWatch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonWatch.java
@@ -47,12 +47,12 @@
 
   /** Returns whether no target may be sent the request. */
   boolean isHeld() {
-    return poison.isHeld(fingerprint);
+    return poison.isQuarantined(fingerprint);
   }
 
   /** Returns what decided that the request is held back, for the log. */
   String reason() {
-    return "request=" + fingerprint() + " ends=" + poison.ends(fingerprint());
+    return "request=" + fingerprint() + " ends=" + poison.endCount(fingerprint());
   }
 
   /** Notes that an attempt goes on. */
@@ -65,7 +65,7 @@
   /** Notes that a target has run the request to its end. */
   void ranWell() {
     lasted = true;
-    poison.ranWell(fingerprint);
+    poison.recordSuccess(fingerprint);
   }
 
   /**
@@ -82,7 +82,7 @@
   /** Notes that the end of an attempt's connection was the end of its target. */
   void targetGone(Attempt attempt) {
     if (!lasted && ranMillis(attempt, attempt.endedAt()) <= BEGUN_MILLIS) {
-      poison.ended(
+      poison.recordEnd(
           PoisonFact.end(
               fingerprint(),
               attempt.target().description().id(),
@@ -105,7 +105,7 @@
    * whether the target that it was last at has ended.
    */
   void beforeNextTry(Attempt last, Runnable step) {
-    if (poison.isInDoubt(fingerprint)) {
+    if (poison.isNearQuarantine(fingerprint)) {
       forwarder.targetEnds().whenKnown(last.target(), step);
     } else {
       step.run();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetEnds.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetEnds.java
@@ -58,7 +58,7 @@
         open.remove(id());
       }
       if (result == ProbeResult.GONE) {
-        requests.values().forEach(poison::ended);
+        requests.values().forEach(poison::recordEnd);
       }
       release();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -93,7 +93,7 @@
     RolloutControl rollouts = forwarder.rollouts();
     VersionRule rule = rollouts.rule(service);
     if (isNew()) {
-      VersionRule drawn = rollouts.ruleForNew(service, route.name());
+      VersionRule drawn = rollouts.ruleForNewRequest(service, route.name());
       Optional<TargetChoice> chosen = choose(query.among(drawn), spent, false);
       if (chosen.isPresent()) {
         return chosen;
@@ -162,7 +162,7 @@
   }
 
   private boolean mayHave(TargetState target, boolean fresh) {
-    return !target.isLeaving() && forwarder.rollouts().mayHave(service, target, fresh);
+    return !target.isLeaving() && forwarder.rollouts().maySend(service, target, fresh);
   }
 
   /** Only a request that ran nowhere yet may try out a new version; a repeat must not fail. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/VersionWitness.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/VersionWitness.java
@@ -27,7 +27,7 @@
 
   /** An attempt begins. */
   void sent(Attempt attempt) {
-    rollouts.sent(service, route.name(), version(attempt));
+    rollouts.recordSent(service, route.name(), version(attempt));
   }
 
   /** The first event of an attempt is here. */
@@ -77,7 +77,7 @@
   void givenUp(Attempt attempt, long now) {
     if (attempt.mayHaveRun() && !attempt.hasEvents() && !attempt.isContinuation()) {
       Signal signal = isStream() ? Signal.FIRST_EVENT : Signal.WHOLE;
-      rollouts.givenUp(
+      rollouts.recordAbandoned(
           service, route.name(), version(attempt), signal, (double) (now - attempt.startedAt()));
     }
   }
@@ -88,7 +88,7 @@
   }
 
   private void answered(Attempt attempt, Signal signal, double millis, boolean failed) {
-    rollouts.answered(service, route.name(), version(attempt), signal, millis, failed);
+    rollouts.recordResponse(service, route.name(), version(attempt), signal, millis, failed);
   }
 
   private boolean isStream() {
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -18,7 +18,7 @@
 import org.gatereel.core.model.TargetKind;
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.statement.TargetFact;
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
@@ -51,7 +51,7 @@
   private final Map<LoadLink.Receiver, LoadLink> links = new LinkedHashMap<>();
   private final Set<Address> busy = new HashSet<>();
   private Supplier<Map<DemandKey, Double>> demand = Map::of;
-  private Supplier<Map<EvidenceKey, Tally>> evidence = Map::of;
+  private Supplier<Map<EvidenceKey, ResponseTally>> evidence = Map::of;
   private FactSources facts = FactSources.NONE;
   private long flushAt = Long.MAX_VALUE;
   private long sequence;
@@ -84,7 +84,7 @@
   }
 
   /** Has reports say which answers this host counted during the roll-outs that run. */
-  public void setEvidenceSource(Supplier<Map<EvidenceKey, Tally>> told) {
+  public void setEvidenceSource(Supplier<Map<EvidenceKey, ResponseTally>> told) {
     evidence = told;
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Returns what all other hosts counted during roll-outs, as far as it is known here. */
-  public Map<EvidenceKey, Tally> othersEvidence() {
+  public Map<EvidenceKey, ResponseTally> othersEvidence() {
     return table.others().evidence();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.statement.TargetFact;
 
 /**
@@ -36,7 +36,7 @@
     OptionalLong baseSequence,
     Map<TargetId, TargetLoad> loads,
     Map<DemandKey, Double> demand,
-    Map<EvidenceKey, Tally> evidence,
+    Map<EvidenceKey, ResponseTally> evidence,
     List<PoisonFact> poison,
     List<TargetFact> targetFacts) {
   /** Makes a report of a host that has seen no answers during a roll-out, and heard of no facts. */
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadSums.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadSums.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 
 /** What several hosts have at targets, are asked for and have seen, added up. */
 final class LoadSums {
   private final Map<TargetId, TargetLoad> loads;
   private final Map<DemandKey, Double> demand;
-  private final Map<EvidenceKey, Tally> evidence;
+  private final Map<EvidenceKey, ResponseTally> evidence;
 
   /** Begins with what one host has, is asked for and has seen. */
   LoadSums(
       Map<TargetId, TargetLoad> loads,
       Map<DemandKey, Double> demand,
-      Map<EvidenceKey, Tally> evidence) {
+      Map<EvidenceKey, ResponseTally> evidence) {
     this.loads = new HashMap<>(loads);
     this.demand = new HashMap<>(demand);
     this.evidence = new HashMap<>(evidence);
@@ -34,7 +34,7 @@
   void add(SourceState more) {
     more.loads().forEach((target, load) -> loads.merge(target, load, TargetLoad::plus));
     more.demand().forEach((key, rate) -> demand.merge(key, rate, Double::sum));
-    more.evidence().forEach((key, tally) -> evidence.merge(key, tally, Tally::plus));
+    more.evidence().forEach((key, tally) -> evidence.merge(key, tally, ResponseTally::plus));
   }
 
   Map<TargetId, TargetLoad> loads() {
@@ -47,12 +47,12 @@
   }
 
   /** Returns the answers that were counted during roll-outs. */
-  Map<EvidenceKey, Tally> evidence() {
+  Map<EvidenceKey, ResponseTally> evidence() {
     return evidence;
   }
 
   /** Returns how many of those answers were bad. */
   long badResponses() {
-    return evidence.values().stream().mapToLong(Tally::bad).sum();
+    return evidence.values().stream().mapToLong(ResponseTally::bad).sum();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
@@ -5,13 +5,13 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 
 /** What one sender has said last, under a lease that each of its reports renews. */
 final class SourceState {
   private final Map<TargetId, TargetLoad> loads = new HashMap<>();
   private Map<DemandKey, Double> demand = Map.of();
-  private Map<EvidenceKey, Tally> evidence = Map.of();
+  private Map<EvidenceKey, ResponseTally> evidence = Map.of();
   private Address replyTo;
   private long session;
   private long sequence = Long.MIN_VALUE;
@@ -58,7 +58,7 @@
     return demand;
   }
 
-  Map<EvidenceKey, Tally> evidence() {
+  Map<EvidenceKey, ResponseTally> evidence() {
     return evidence;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
@@ -16,39 +16,39 @@
   private static final long TOGETHER_MILLIS = 500;
 
   private final Map<TargetId, PoisonFact> ends = new LinkedHashMap<>();
-  private boolean sound;
+  private boolean clear;
   private boolean held;
-  private long changedAt;
+  private long lastFactAt;
 
   /** Notes an end; returns whether it is news. */
-  boolean end(TargetId target, PoisonFact fact) {
-    if (sound || ends.containsKey(target)) {
+  boolean addEnd(TargetId target, PoisonFact fact) {
+    if (clear || ends.containsKey(target)) {
       return false;
     }
     ends.put(target, fact);
-    changedAt = Math.max(changedAt, fact.at());
+    lastFactAt = Math.max(lastFactAt, fact.at());
     return true;
   }
 
   /** Notes that the request runs as it should; returns whether that is news. */
-  boolean sound(long at) {
-    changedAt = Math.max(changedAt, at);
-    boolean news = !sound;
-    sound = true;
+  boolean clear(long at) {
+    lastFactAt = Math.max(lastFactAt, at);
+    boolean news = !clear;
+    clear = true;
     held = false;
     ends.clear();
     return news;
   }
 
-  void hold() {
+  void quarantine() {
     held = true;
   }
 
-  boolean isSound() {
-    return sound;
+  boolean isCleared() {
+    return clear;
   }
 
-  boolean isHeld() {
+  boolean isQuarantined() {
     return held;
   }
 
@@ -60,7 +60,7 @@
    * Returns how often targets of a set ended under the request, where ends that came together count
    * once: in the same moment, and each of a run that had been sent before the others' end.
    */
-  int occasions(Set<TargetId> among) {
+  int countOccasions(Set<TargetId> among) {
     List<PoisonFact> inOrder =
         ends.entrySet().stream()
             .filter(end -> among.contains(end.getKey()))
@@ -79,7 +79,7 @@
   }
 
   /** Returns when the last fact was seen. */
-  long changedAt() {
-    return changedAt;
+  long lastFactAt() {
+    return lastFactAt;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -19,7 +19,7 @@
   private static final long EXPIRE_MILLIS = 60_000;
 
   /** From so many ends on the next try waits until it is known whether the target ended. */
-  private static final int ENDS_IN_DOUBT = PoisonLedger.ENDS_TO_HOLD - 1;
+  private static final int ENDS_IN_DOUBT = PoisonLedger.QUARANTINE_END_COUNT - 1;
 
   private final CoreContext context;
   private final PoisonLedger ledger = new PoisonLedger();
@@ -42,49 +42,49 @@
   }
 
   /** Has {@code listener} called with each fact that was not known, after it was judged. */
-  public void onNews(BiConsumer<PoisonFact, Source> listener) {
+  public void onNewFact(BiConsumer<PoisonFact, Source> listener) {
     newsListeners.add(listener);
   }
 
   /** Has {@code listener} called once for each request that is held back from now on. */
-  public void onHeld(Consumer<Fingerprint> listener) {
+  public void onQuarantined(Consumer<Fingerprint> listener) {
     heldListeners.add(listener);
   }
 
   /** Returns whether a request must not be sent to any target. */
-  public boolean isHeld(Supplier<Fingerprint> request) {
-    return !ledger.isEmpty() && ledger.isHeld(request.get());
+  public boolean isQuarantined(Supplier<Fingerprint> request) {
+    return !ledger.isEmpty() && ledger.isQuarantined(request.get());
   }
 
   /** Returns whether one end more may be enough to hold a request back. */
-  public boolean isInDoubt(Supplier<Fingerprint> request) {
-    return !ledger.isEmpty() && ledger.ends(request.get()) >= ENDS_IN_DOUBT;
+  public boolean isNearQuarantine(Supplier<Fingerprint> request) {
+    return !ledger.isEmpty() && ledger.endCount(request.get()) >= ENDS_IN_DOUBT;
   }
 
   /** Returns under how many ends of targets a request was. */
-  public int ends(Fingerprint request) {
-    return ledger.ends(request);
+  public int endCount(Fingerprint request) {
+    return ledger.endCount(request);
   }
 
   /** Returns how many requests are held back. */
-  public int held() {
-    return ledger.held();
+  public int quarantinedCount() {
+    return ledger.quarantinedCount();
   }
 
   /** Returns how many requests were under an end, and are not held back. */
-  public int suspected() {
-    return ledger.suspected();
+  public int suspectedCount() {
+    return ledger.suspectedCount();
   }
 
   /** Notes that a target's run ended as a request had begun, or was about to begin, there. */
-  public void ended(PoisonFact end) {
+  public void recordEnd(PoisonFact end) {
     learn(List.of(end), Source.HERE);
   }
 
   /** Notes that a request has run as it should; it matters only if targets ended under it. */
-  public void ranWell(Supplier<Fingerprint> request) {
-    if (!ledger.isEmpty() && ledger.ends(request.get()) > 0) {
-      learn(List.of(PoisonFact.sound(request.get(), context.now())), Source.HERE);
+  public void recordSuccess(Supplier<Fingerprint> request) {
+    if (!ledger.isEmpty() && ledger.endCount(request.get()) > 0) {
+      learn(List.of(PoisonFact.clearing(request.get(), context.now())), Source.HERE);
     }
   }
 
@@ -116,14 +116,14 @@
     expireLater();
     news.forEach(fact -> note(fact, source));
     boolean mayConvict = news.stream().anyMatch(this::mayConvict);
-    List<Fingerprint> held = mayConvict ? ledger.judge() : List.of();
+    List<Fingerprint> held = mayConvict ? ledger.quarantineDue() : List.of();
     news.forEach(fact -> newsListeners.forEach(listener -> listener.accept(fact, source)));
     held.forEach(this::hold);
   }
 
   /** An end of a request that has few of them can only speak for others; a cleared one is gone. */
   private boolean mayConvict(PoisonFact fact) {
-    return fact.isSound() || ledger.ends(fact.request()) >= PoisonLedger.ENDS_TO_HOLD;
+    return fact.isClearing() || ledger.endCount(fact.request()) >= PoisonLedger.QUARANTINE_END_COUNT;
   }
 
   /**
@@ -131,17 +131,17 @@
    * each would be 95 lines.
    */
   private void note(PoisonFact fact, Source source) {
-    if (source != Source.HERE && ledger.ends(fact.request()) < ENDS_IN_DOUBT) {
+    if (source != Source.HERE && ledger.endCount(fact.request()) < ENDS_IN_DOUBT) {
       return;
     }
     String inputs =
         "ends="
-            + ledger.ends(fact.request())
+            + ledger.endCount(fact.request())
             + " source="
             + source
             + " ageMillis="
             + (context.now() - fact.at());
-    if (fact.isSound()) {
+    if (fact.isClearing()) {
       context.note(EventCode.POISON_CLEARED, fact.request().toString(), inputs);
     } else {
       context.note(
@@ -155,7 +155,7 @@
     context.note(
         EventCode.POISON_HELD,
         request.toString(),
-        "ends=" + ledger.ends(request) + " held=" + held());
+        "ends=" + ledger.endCount(request) + " held=" + quarantinedCount());
     heldListeners.forEach(listener -> listener.accept(request));
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonFact.java
@@ -22,11 +22,11 @@
   }
 
   /** Makes the fact that a request has run as it should. */
-  public static PoisonFact sound(Fingerprint request, long at) {
+  public static PoisonFact clearing(Fingerprint request, long at) {
     return new PoisonFact(request, Optional.empty(), at, at);
   }
 
-  boolean isSound() {
+  boolean isClearing() {
     return ended.isEmpty();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
@@ -27,7 +27,7 @@
    * Three ends as its run began, at three targets, and no run that lasted. Of 4,405 requests on a
    * day on which nine in ten targets of a data centre ended each 6.5 s, none had two.
    */
-  static final int ENDS_TO_HOLD = 3;
+  static final int QUARANTINE_END_COUNT = 3;
 
   /** Longer than callers take to come back, shorter than what is worth being remembered. */
   private static final long SUSPECTED_MILLIS = 3_600_000;
@@ -53,11 +53,11 @@
   boolean add(PoisonFact fact) {
     PoisonCase known = cases.computeIfAbsent(fact.request(), any -> new PoisonCase());
     boolean news =
-        fact.ended().map(target -> known.end(target, fact)).orElseGet(() -> known.sound(fact.at()));
+        fact.ended().map(target -> known.addEnd(target, fact)).orElseGet(() -> known.clear(fact.at()));
     if (!news) {
       return false;
     }
-    if (fact.isSound()) {
+    if (fact.isClearing()) {
       facts.values().removeIf(each -> each.request().equals(fact.request()));
     }
     facts.put(++number, fact);
@@ -70,14 +70,14 @@
   private void dropOne() {
     cases.entrySet().stream()
         .min(
-            Comparator.comparing((Map.Entry<Fingerprint, PoisonCase> each) -> isHeld(each))
-                .thenComparing(each -> each.getValue().changedAt()))
+            Comparator.comparing((Map.Entry<Fingerprint, PoisonCase> each) -> isQuarantined(each))
+                .thenComparing(each -> each.getValue().lastFactAt()))
         .map(Map.Entry::getKey)
         .ifPresent(this::drop);
   }
 
-  private static boolean isHeld(Map.Entry<Fingerprint, PoisonCase> each) {
-    return each.getValue().isHeld();
+  private static boolean isQuarantined(Map.Entry<Fingerprint, PoisonCase> each) {
+    return each.getValue().isQuarantined();
   }
 
   private void drop(Fingerprint request) {
@@ -88,19 +88,19 @@
   /** Forgets what is too old to count. */
   void expire(long now) {
     for (var entry : Map.copyOf(cases).entrySet()) {
-      long kept = entry.getValue().isHeld() ? HELD_MILLIS : SUSPECTED_MILLIS;
-      if (now - entry.getValue().changedAt() > kept) {
+      long kept = entry.getValue().isQuarantined() ? HELD_MILLIS : SUSPECTED_MILLIS;
+      if (now - entry.getValue().lastFactAt() > kept) {
         drop(entry.getKey());
       }
     }
   }
 
   /** Returns the requests that are to be held back from now on. */
-  List<Fingerprint> judge() {
+  List<Fingerprint> quarantineDue() {
     List<Fingerprint> found = new ArrayList<>();
     // An end that a held request explains counts against nobody else, which may decide a tie.
     for (Optional<Fingerprint> next = next(); next.isPresent(); next = next()) {
-      cases.get(next.get()).hold();
+      cases.get(next.get()).quarantine();
       found.add(next.get());
     }
     return found;
@@ -109,20 +109,20 @@
   private Optional<Fingerprint> next() {
     Set<TargetId> explained = new HashSet<>();
     cases.values().stream()
-        .filter(PoisonCase::isHeld)
+        .filter(PoisonCase::isQuarantined)
         .forEach(held -> explained.addAll(held.ends()));
     Map<Fingerprint, Set<TargetId>> open = new HashMap<>();
     cases.forEach(
         (request, known) -> openEnds(known, explained).ifPresent(e -> open.put(request, e)));
     return open.entrySet().stream()
-        .filter(each -> each.getValue().size() >= ENDS_TO_HOLD)
-        .filter(each -> charged(each.getKey(), each.getValue(), open) >= ENDS_TO_HOLD)
+        .filter(each -> each.getValue().size() >= QUARANTINE_END_COUNT)
+        .filter(each -> charged(each.getKey(), each.getValue(), open) >= QUARANTINE_END_COUNT)
         .map(Map.Entry::getKey)
         .findFirst();
   }
 
   private static Optional<Set<TargetId>> openEnds(PoisonCase known, Set<TargetId> explained) {
-    if (known.isHeld() || known.ends().isEmpty()) {
+    if (known.isQuarantined() || known.ends().isEmpty()) {
       return Optional.empty();
     }
     Set<TargetId> ends = new HashSet<>(known.ends());
@@ -139,31 +139,31 @@
             charged.removeAll(itsEnds);
           }
         });
-    return cases.get(request).occasions(charged);
+    return cases.get(request).countOccasions(charged);
   }
 
-  boolean isHeld(Fingerprint request) {
+  boolean isQuarantined(Fingerprint request) {
     PoisonCase known = cases.get(request);
-    return known != null && known.isHeld();
+    return known != null && known.isQuarantined();
   }
 
   /** Returns under how many ends of targets a request was, 0 if it was seen to run well. */
-  int ends(Fingerprint request) {
+  int endCount(Fingerprint request) {
     PoisonCase known = cases.get(request);
     return known == null ? 0 : known.ends().size();
   }
 
-  boolean isSound(Fingerprint request) {
+  boolean isCleared(Fingerprint request) {
     PoisonCase known = cases.get(request);
-    return known != null && known.isSound();
+    return known != null && known.isCleared();
   }
 
-  int held() {
-    return (int) cases.values().stream().filter(PoisonCase::isHeld).count();
+  int quarantinedCount() {
+    return (int) cases.values().stream().filter(PoisonCase::isQuarantined).count();
   }
 
-  int suspected() {
-    return (int) cases.values().stream().filter(known -> !known.ends().isEmpty()).count() - held();
+  int suspectedCount() {
+    return (int) cases.values().stream().filter(known -> !known.ends().isEmpty()).count() - quarantinedCount();
   }
 
   List<PoisonFact> factsOf(Fingerprint request) {
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
@@ -48,7 +48,7 @@
     this.context = context;
     this.control = control;
     this.writer = writer;
-    control.onNews(this::learnt);
+    control.onNewFact(this::learnt);
   }
 
   /**
@@ -67,21 +67,21 @@
    *
    * @param provenAt when the question was sent that the store answered with them
    */
-  public void learn(List<PoisonFact> rows, long provenAt) {
+  public void onRowsRead(List<PoisonFact> rows, long provenAt) {
     readAt = Math.max(readAt, provenAt);
     rows.forEach(row -> recorded.add(row.request()));
     control.learn(rows, PoisonControl.Source.STORE);
   }
 
   private void learnt(PoisonFact fact, PoisonControl.Source source) {
-    boolean known = control.ends(fact.request()) >= ENDS_THAT_ARE_WRITTEN;
+    boolean known = control.endCount(fact.request()) >= ENDS_THAT_ARE_WRITTEN;
     if (known && source != PoisonControl.Source.STORE) {
       newsAt = context.knowledgeTime();
     }
     if (source != PoisonControl.Source.HERE) {
       return;
     }
-    if (fact.isSound()) {
+    if (fact.isClearing()) {
       if (recorded.contains(fact.request())) {
         add(List.of(fact));
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/KnownVersions.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/ApprovedVersions.java
@@ -16,22 +16,22 @@
  * operators' documents were read after it was seen. Where as many new targets start as there were
  * (arithmetic, no measurement), it would have half of all requests until then.
  */
-final class KnownVersions {
+final class ApprovedVersions {
   private final Map<ServiceName, Set<String>> vouched = new HashMap<>();
   private final Map<ServiceName, Map<String, Long>> pending = new HashMap<>();
   private Map<ServiceName, Set<String>> listed = Map.of();
 
   /** Takes in the versions of a list that came now. */
-  void learn(HostList list, long now) {
+  void update(HostList list, long now) {
     Map<ServiceName, Set<String>> latest = new HashMap<>();
     for (TargetDescription target : list.targets()) {
       latest.computeIfAbsent(target.service(), any -> new HashSet<>()).add(target.version());
     }
     listed = latest;
-    latest.forEach((service, versions) -> learn(service, versions, now));
+    latest.forEach((service, versions) -> update(service, versions, now));
   }
 
-  private void learn(ServiceName service, Set<String> versions, long now) {
+  private void update(ServiceName service, Set<String> versions, long now) {
     Set<String> known = vouched.get(service);
     if (known == null) {
       vouched.put(service, new HashSet<>(versions));
@@ -45,7 +45,7 @@
   }
 
   /** The operators' documents were read at a time: what was seen before then has no order. */
-  void proved(long provenAt) {
+  void approveSeenBefore(long provenAt) {
     pending.forEach(
         (service, waiting) -> {
           Set<String> known = vouched.get(service);
@@ -56,12 +56,12 @@
   }
 
   /** Returns whether all listed targets of a service have a version. */
-  boolean isOnly(ServiceName service, String version) {
+  boolean isOnlyListed(ServiceName service, String version) {
     return Set.of(version).equals(listed.get(service));
   }
 
   /** Returns the versions of a service that are to be held back for now. */
-  Set<String> heldBack(ServiceName service) {
+  Set<String> unapproved(ServiceName service) {
     return pending.getOrDefault(service, Map.of()).keySet();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/CanaryDraw.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/CanarySampler.java
@@ -10,14 +10,14 @@
  * has few, and off by less than one, so that all hosts together stay near the share without a word
  * between them, however their first requests come together.
  */
-final class CanaryDraw {
+final class CanarySampler {
   private double sum;
 
-  CanaryDraw(RandomGenerator random) {
+  CanarySampler(RandomGenerator random) {
     this.sum = random.nextDouble();
   }
 
-  boolean next(double share) {
+  boolean sample(double share) {
     sum += share;
     if (sum < 1) {
       return false;
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/Tally.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/ResponseTally.java
@@ -3,27 +3,27 @@
 /**
  * Answers of one version, counted by one or more hosts.
  *
- * @param answers all that came
+ * @param responses all that came
  * @param bad those of them that were failures, or several times slower than is usual
  * @param timed those whose time was taken
  * @param logMillis the sum of the natural logarithms of those times in milliseconds
  */
-public record Tally(long answers, long bad, long timed, double logMillis) {
+public record ResponseTally(long responses, long bad, long timed, double logMillis) {
   /** Nothing was counted. */
-  public static final Tally NONE = new Tally(0, 0, 0, 0);
+  public static final ResponseTally NONE = new ResponseTally(0, 0, 0, 0);
 
   /** Adds what other hosts counted. */
-  public Tally plus(Tally other) {
-    return new Tally(
-        answers + other.answers, bad + other.bad, timed + other.timed, logMillis + other.logMillis);
+  public ResponseTally plus(ResponseTally other) {
+    return new ResponseTally(
+        responses + other.responses, bad + other.bad, timed + other.timed, logMillis + other.logMillis);
   }
 
   /** Returns the geometric mean of the times in milliseconds; 0 if none was taken. */
-  double usualMillis() {
+  double meanMillis() {
     return timed == 0 ? 0 : Math.exp(logMillis / timed);
   }
 
-  double badShare() {
-    return answers == 0 ? 0 : (double) bad / answers;
+  double badRatio() {
+    return responses == 0 ? 0 : (double) bad / responses;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/Rollout.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/Rollout.java
@@ -25,11 +25,11 @@
   private final RandomGenerator random;
   private final RolloutOrder order;
   private final long knownAt;
-  private final Map<String, CanaryDraw> draws = new HashMap<>();
+  private final Map<String, CanarySampler> draws = new HashMap<>();
   private Optional<RolloutRecord> record = Optional.empty();
   private long storeOffset;
   private long provenAt = Long.MIN_VALUE / 2;
-  private Verdict verdict = Verdict.UNKNOWN;
+  private VersionVerdict verdict = VersionVerdict.UNKNOWN;
   private Optional<SentRequests> atShift = Optional.empty();
   private boolean loaded;
 
@@ -48,12 +48,12 @@
     return record;
   }
 
-  Verdict verdict() {
+  VersionVerdict verdict() {
     return verdict;
   }
 
   /** Takes the row in; an end is never left, whoever says so. */
-  void learn(RolloutRecord latest, long offset, long readAt) {
+  void updateRecord(RolloutRecord latest, long offset, long readAt) {
     boolean older = record.isPresent() && latest.revision() < record.get().revision();
     if (older || isEnded()) {
       return;
@@ -80,16 +80,16 @@
   }
 
   /** Takes the evidence of all hosts in; what was found bad stays bad for this order. */
-  void judge(Map<EvidenceKey, Tally> evidence, long now) {
-    if (verdict.kind() != Verdict.Kind.BAD) {
-      verdict = VersionComparison.judge(evidence);
+  void evaluate(Map<EvidenceKey, ResponseTally> evidence, long now) {
+    if (verdict.kind() != VersionVerdict.Kind.BAD) {
+      verdict = VersionComparison.compare(evidence);
     }
     if (stage(now) != RolloutSchedule.Stage.CANARY) {
       SentRequests sent = SentRequests.of(evidence);
       if (atShift.isEmpty()) {
         atShift = Optional.of(sent);
       }
-      loaded = sent.hasBorneLoadSince(atShift.get());
+      loaded = sent.tookLoadSince(atShift.get());
     }
   }
 
@@ -111,26 +111,26 @@
   }
 
   /** Returns whether some requests, or all, go to a version because it is tried out now. */
-  boolean triesOut(String version, long now) {
-    return order.version().equals(version) && triesOut(now);
+  boolean isTryingOut(String version, long now) {
+    return order.version().equals(version) && isTryingOut(now);
   }
 
-  private boolean triesOut(long now) {
-    if (!isTrusted(now) || verdict.kind() == Verdict.Kind.BAD) {
+  private boolean isTryingOut(long now) {
+    if (!isTrusted(now) || verdict.kind() == VersionVerdict.Kind.BAD) {
       return false;
     }
-    return bearsAll(now) || storeMillis(now) < schedule().deadline();
+    return takesAllRequests(now) || storeMillis(now) < schedule().deadline();
   }
 
   /** Returns the part of a route's requests that goes to the new version now. */
-  double share(long now, RouteTraffic traffic) {
-    if (!triesOut(now)) {
+  double newVersionRatio(long now, RouteTraffic traffic) {
+    if (!isTryingOut(now)) {
       return 0;
     }
-    if (bearsAll(now)) {
+    if (takesAllRequests(now)) {
       return 1;
     }
-    double base = CANARY_PART * bounds.exposureShare();
+    double base = CANARY_PART * bounds.exposureRatio();
     return Math.min(MOST_OF_ROUTE, base * traffic.boost());
   }
 
@@ -139,14 +139,14 @@
    * versions before, targets stop at once when it is written, so nobody goes back to them for not
    * having heard of it yet.
    */
-  boolean bearsAll(long now) {
+  boolean takesAllRequests(long now) {
     return isTrusted(now)
-        && verdict.kind() == Verdict.Kind.GOOD
+        && verdict.kind() == VersionVerdict.Kind.GOOD
         && stage(now) != RolloutSchedule.Stage.CANARY;
   }
 
-  boolean draw(String route, double share) {
-    return draws.computeIfAbsent(route, any -> new CanaryDraw(random)).next(share);
+  boolean sample(String route, double share) {
+    return draws.computeIfAbsent(route, any -> new CanarySampler(random)).sample(share);
   }
 
   /**
@@ -156,8 +156,8 @@
    *     nothing else is left; without it the service would be refused as a whole
    */
   VersionRule rule(long now, Set<String> heldBack, boolean alone) {
-    boolean inVain = isIn(RolloutState.ROLLED_BACK) || verdict.kind() == Verdict.Kind.BAD;
-    if (isCompleted() || bearsAll(now) || (alone && !inVain)) {
+    boolean inVain = isIn(RolloutState.ROLLED_BACK) || verdict.kind() == VersionVerdict.Kind.BAD;
+    if (isCompleted() || takesAllRequests(now) || (alone && !inVain)) {
       return VersionRule.prefer(order.version());
     }
     Set<String> excluded = new HashSet<>(heldBack);
@@ -177,7 +177,7 @@
    *     readers have left undone
    * @param openBefore whether requests that cannot move are still open at the versions before
    */
-  Optional<RolloutRecord> due(long now, boolean reader, boolean openBefore) {
+  Optional<RolloutRecord> nextRecord(long now, boolean reader, boolean openBefore) {
     if (!isTrusted(now)) {
       return Optional.empty();
     }
@@ -187,24 +187,24 @@
     if (!reader && !overdue) {
       return Optional.empty();
     }
-    if (verdict.kind() == Verdict.Kind.BAD) {
-      return Optional.of(known.become(RolloutState.ROLLED_BACK));
+    if (verdict.kind() == VersionVerdict.Kind.BAD) {
+      return Optional.of(known.withState(RolloutState.ROLLED_BACK));
     }
     if (stage.compareTo(RolloutSchedule.Stage.DECISION) < 0) {
       return Optional.empty();
     }
-    boolean good = verdict.kind() == Verdict.Kind.GOOD && loaded;
-    boolean mayBecomeGood = verdict.kind() == Verdict.Kind.GOOD && (!loaded || openBefore);
+    boolean good = verdict.kind() == VersionVerdict.Kind.GOOD && loaded;
+    boolean mayBecomeGood = verdict.kind() == VersionVerdict.Kind.GOOD && (!loaded || openBefore);
     if (mayBecomeGood && !overdue) {
       return Optional.empty();
     }
     boolean inTime = storeMillis(now) < schedule().deadline();
     return Optional.of(
-        known.become(good && inTime ? RolloutState.COMPLETED : RolloutState.ROLLED_BACK));
+        known.withState(good && inTime ? RolloutState.COMPLETED : RolloutState.ROLLED_BACK));
   }
 
   /** Returns the first row of this order, written where none follows it yet. */
-  RolloutRecord first(long startedAt, long replacedRevision) {
+  RolloutRecord initialRecord(long startedAt, long replacedRevision) {
     return new RolloutRecord(
         order.service(),
         order.version(),
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
@@ -34,8 +34,8 @@
 
   private final CoreContext context;
   private final RolloutBounds bounds;
-  private final KnownVersions versions = new KnownVersions();
-  private final EvidenceBook book = new EvidenceBook();
+  private final ApprovedVersions versions = new ApprovedVersions();
+  private final LocalEvidence book = new LocalEvidence();
   private final Map<ServiceName, Rollout> rollouts = new TreeMap<>(BY_NAME);
   private final Map<ServiceName, RolloutRecord> records = new HashMap<>();
   private final Map<ServiceName, Long> writeAt = new HashMap<>();
@@ -43,7 +43,7 @@
   /** Versions of earlier orders that were not completed: nobody vouches for them. */
   private final Map<ServiceName, Set<String>> abandoned = new HashMap<>();
 
-  private Supplier<Map<EvidenceKey, Tally>> others = Map::of;
+  private Supplier<Map<EvidenceKey, ResponseTally>> others = Map::of;
   private BooleanSupplier reader = () -> false;
   private Predicate<Rollout> openBefore = rollout -> false;
   private Consumer<RolloutWrite> writer = write -> {};
@@ -64,7 +64,7 @@
   }
 
   /** Says where the evidence of all other hosts is found. */
-  public void hearOthers(Supplier<Map<EvidenceKey, Tally>> heard) {
+  public void setOthersEvidence(Supplier<Map<EvidenceKey, ResponseTally>> heard) {
     others = heard;
   }
 
@@ -75,7 +75,7 @@
    * @param open tells whether requests that cannot move are open at other versions of a service
    * @param write writes a row under its condition; it is asked again while the row is not read
    */
-  public void decideBy(
+  public void setRecordWriter(
       BooleanSupplier isReader, Predicate<RolloutOrder> open, Consumer<RolloutWrite> write) {
     reader = isReader;
     openBefore = rollout -> open.test(rollout.order());
@@ -83,8 +83,8 @@
   }
 
   /** Returns what this host counted, to be told to others. */
-  public Map<EvidenceKey, Tally> ownEvidence() {
-    return Map.copyOf(book.own());
+  public Map<EvidenceKey, ResponseTally> ownEvidence() {
+    return Map.copyOf(book.tallies());
   }
 
   /** Returns whether rows have to be read: an order is known whose end is not. */
@@ -93,8 +93,8 @@
   }
 
   /** Takes in the list of targets that the registry takes in next. */
-  public void learnTargets(HostList list) {
-    versions.learn(list, context.knowledgeTime());
+  public void updateTargets(HostList list) {
+    versions.update(list, context.knowledgeTime());
   }
 
   /**
@@ -102,18 +102,18 @@
    *
    * @param provenAt when the question was sent that the store answered with them
    */
-  public void learnOrders(List<RolloutOrder> orders, long provenAt) {
+  public void updateOrders(List<RolloutOrder> orders, long provenAt) {
     for (RolloutOrder order : orders) {
       learnOrder(order);
     }
     ordersProvenAt = Math.max(ordersProvenAt, provenAt);
-    versions.proved(provenAt);
+    versions.approveSeenBefore(provenAt);
   }
 
   /** Notes that the operators' documents still were as known at a time. */
   public void confirmOrders(long provenAt) {
     ordersProvenAt = Math.max(ordersProvenAt, provenAt);
-    versions.proved(provenAt);
+    versions.approveSeenBefore(provenAt);
   }
 
   private void learnOrder(RolloutOrder order) {
@@ -124,7 +124,7 @@
     abandon(known, order);
     long notBefore = Math.max(ordersProvenAt, context.knowledgeTime() - order.durationMillis());
     rollouts.put(order.service(), new Rollout(bounds, context.random(), order, notBefore));
-    book.keepOnly(order.service(), order.revision());
+    book.retainOrder(order.service(), order.revision());
     context.note(
         EventCode.ROLLOUT_ORDERED,
         order.service().value(),
@@ -148,7 +148,7 @@
    * @param storeMillis the store's clock when it was read
    * @param provenAt when the question was sent that the store answered
    */
-  public void learnRecords(List<RolloutRecord> rows, long storeMillis, long provenAt) {
+  public void updateRecords(List<RolloutRecord> rows, long storeMillis, long provenAt) {
     reading = Optional.of(new Reading(storeMillis, provenAt));
     for (RolloutRecord row : rows) {
       records.put(row.service(), row);
@@ -163,7 +163,7 @@
       return;
     }
     Optional<RolloutState> before = rollout.record().map(RolloutRecord::state);
-    rollout.learn(row, reading.get().offset(), reading.get().provenAt());
+    rollout.updateRecord(row, reading.get().offset(), reading.get().provenAt());
     Optional<RolloutState> after = rollout.record().map(RolloutRecord::state);
     if (!before.equals(after)) {
       context.note(
@@ -175,12 +175,12 @@
   }
 
   /** Returns which versions a new request may go to; some are drawn for the new one. */
-  public VersionRule ruleForNew(ServiceName service, String route) {
+  public VersionRule ruleForNewRequest(ServiceName service, String route) {
     Rollout rollout = rollouts.get(service);
     if (rollout != null && rollout.isRunning()) {
       RouteTraffic traffic = RouteTraffic.of(route, evidence(rollout));
-      double share = rollout.share(context.knowledgeTime(), traffic);
-      if (share > 0 && share < 1 && rollout.draw(route, share)) {
+      double share = rollout.newVersionRatio(context.knowledgeTime(), traffic);
+      if (share > 0 && share < 1 && rollout.sample(route, share)) {
         return VersionRule.only(rollout.order().version());
       }
     }
@@ -189,13 +189,13 @@
 
   /** Returns which versions repeats, continuations and copies may go to. */
   public VersionRule rule(ServiceName service) {
-    Set<String> heldBack = new HashSet<>(versions.heldBack(service));
+    Set<String> heldBack = new HashSet<>(versions.unapproved(service));
     heldBack.addAll(abandoned.getOrDefault(service, Set.of()));
     Rollout rollout = rollouts.get(service);
     if (rollout == null) {
       return VersionRule.except(heldBack);
     }
-    boolean alone = versions.isOnly(service, rollout.order().version());
+    boolean alone = versions.isOnlyListed(service, rollout.order().version());
     return rollout.rule(context.knowledgeTime(), heldBack, alone);
   }
 
@@ -204,21 +204,21 @@
    *
    * @param fresh whether the request ran nowhere yet, so that it may try out a new version
    */
-  public boolean mayHave(ServiceName service, TargetState target, boolean fresh) {
+  public boolean maySend(ServiceName service, TargetState target, boolean fresh) {
     Rollout rollout = rollouts.get(service);
     String version = target.description().version();
     boolean triedOut =
-        fresh && rollout != null && rollout.triesOut(version, context.knowledgeTime());
+        fresh && rollout != null && rollout.isTryingOut(version, context.knowledgeTime());
     return triedOut || rule(service).admits(target);
   }
 
   /** Counts a request that is sent to a target of a version. */
-  public void sent(ServiceName service, String route, String version) {
-    counted(service, route, version, Signal.SENT).ifPresent(book::sent);
+  public void recordSent(ServiceName service, String route, String version) {
+    counted(service, route, version, Signal.SENT).ifPresent(book::recordSent);
   }
 
   /** Counts an answer of a target. */
-  public void answered(
+  public void recordResponse(
       ServiceName service,
       String route,
       String version,
@@ -226,14 +226,14 @@
       double millis,
       boolean failed) {
     counted(service, route, version, signal)
-        .ifPresent(key -> book.answered(key, millis, failed, usual(key)));
+        .ifPresent(key -> book.recordResponse(key, millis, failed, usual(key)));
   }
 
   /** Counts an answer that did not come for a time and was given up. */
-  public void givenUp(
+  public void recordAbandoned(
       ServiceName service, String route, String version, Signal signal, double millis) {
     counted(service, route, version, signal)
-        .ifPresent(key -> book.givenUp(key, millis, usual(key)));
+        .ifPresent(key -> book.recordAbandoned(key, millis, usual(key)));
   }
 
   private Optional<EvidenceKey> counted(
@@ -247,21 +247,21 @@
                     service, order.revision(), route, signal, version.equals(order.version())));
   }
 
-  private Tally usual(EvidenceKey key) {
-    EvidenceKey before = key.of(false);
-    return book.own()
-        .getOrDefault(before, Tally.NONE)
-        .plus(others.get().getOrDefault(before, Tally.NONE));
+  private ResponseTally usual(EvidenceKey key) {
+    EvidenceKey before = key.withNewVersion(false);
+    return book.tallies()
+        .getOrDefault(before, ResponseTally.NONE)
+        .plus(others.get().getOrDefault(before, ResponseTally.NONE));
   }
 
-  private Map<EvidenceKey, Tally> evidence(Rollout rollout) {
+  private Map<EvidenceKey, ResponseTally> evidence(Rollout rollout) {
     RolloutOrder order = rollout.order();
-    Map<EvidenceKey, Tally> sums = new HashMap<>();
-    for (Map<EvidenceKey, Tally> part : List.of(book.own(), others.get())) {
+    Map<EvidenceKey, ResponseTally> sums = new HashMap<>();
+    for (Map<EvidenceKey, ResponseTally> part : List.of(book.tallies(), others.get())) {
       part.forEach(
           (key, tally) -> {
             if (key.service().equals(order.service()) && key.orderRevision() == order.revision()) {
-              sums.merge(key, tally, Tally::plus);
+              sums.merge(key, tally, ResponseTally::plus);
             }
           });
     }
@@ -286,9 +286,9 @@
   }
 
   private void tick(Rollout rollout) {
-    Verdict.Kind before = rollout.verdict().kind();
+    VersionVerdict.Kind before = rollout.verdict().kind();
     if (rollout.isRunning()) {
-      rollout.judge(evidence(rollout), context.knowledgeTime());
+      rollout.evaluate(evidence(rollout), context.knowledgeTime());
     }
     if (rollout.verdict().kind() != before) {
       context.note(
@@ -302,14 +302,14 @@
   private Optional<RolloutRecord> due(Rollout rollout) {
     if (rollout.record().isPresent()) {
       boolean open = openBefore.test(rollout);
-      return rollout.due(context.knowledgeTime(), reader.getAsBoolean(), open);
+      return rollout.nextRecord(context.knowledgeTime(), reader.getAsBoolean(), open);
     }
     if (reading.isEmpty() || !reader.getAsBoolean()) {
       return Optional.empty();
     }
     long startedAt = rollout.knownAt() + reading.get().offset();
     RolloutRecord replaced = records.get(rollout.order().service());
-    return Optional.of(rollout.first(startedAt, replaced == null ? 0 : replaced.revision()));
+    return Optional.of(rollout.initialRecord(startedAt, replaced == null ? 0 : replaced.revision()));
   }
 
   /** Writes at once if this host reads for others, else a little later if nobody has by then. */
@@ -359,14 +359,14 @@
         + inputs(rollout);
   }
 
-  private static String describe(EvidenceKey key, Tally tally) {
+  private static String describe(EvidenceKey key, ResponseTally tally) {
     return "  route=%s signal=%s version=%s answers=%d bad=%d usualMillis=%.0f"
         .formatted(
             key.route(),
             key.signal(),
-            key.fresh() ? "new" : "before",
-            tally.answers(),
+            key.newVersion() ? "new" : "before",
+            tally.responses(),
             tally.bad(),
-            tally.usualMillis());
+            tally.meanMillis());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutRecord.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutRecord.java
@@ -19,7 +19,7 @@
     RolloutState state,
     long revision) {
   /** Returns the row that follows this one. */
-  RolloutRecord become(RolloutState next) {
+  RolloutRecord withState(RolloutState next) {
     return new RolloutRecord(
         service, version, orderRevision, startedAt, durationMillis, next, revision);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutSchedule.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutSchedule.java
@@ -60,6 +60,6 @@
   }
 
   long shiftAt() {
-    return decideAt() - (long) (SHIFT_PART * bounds.exposureShare() * durationMillis);
+    return decideAt() - (long) (SHIFT_PART * bounds.exposureRatio() * durationMillis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RouteTraffic.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RouteTraffic.java
@@ -7,19 +7,19 @@
  * How a route's requests stand among those of its service.
  *
  * @param routes how many routes the service has requests on
- * @param requests those of the route
- * @param all those of all routes
+ * @param routeRequests those of the route
+ * @param serviceRequests those of all routes
  */
-record RouteTraffic(int routes, long requests, long all) {
+record RouteTraffic(int routes, long routeRequests, long serviceRequests) {
   /** Below so many requests shares of routes are chance. */
   private static final long ENOUGH_REQUESTS = 30;
 
-  static RouteTraffic of(String route, Map<EvidenceKey, Tally> evidence) {
+  static RouteTraffic of(String route, Map<EvidenceKey, ResponseTally> evidence) {
     Map<String, Long> byRoute = new HashMap<>();
     evidence.forEach(
         (key, tally) -> {
           if (key.signal() == Signal.SENT) {
-            byRoute.merge(key.route(), tally.answers(), Long::sum);
+            byRoute.merge(key.route(), tally.responses(), Long::sum);
           }
         });
     long all = byRoute.values().stream().mapToLong(Long::longValue).sum();
@@ -32,9 +32,9 @@
    * same.
    */
   double boost() {
-    if (all < ENOUGH_REQUESTS || routes == 0) {
+    if (serviceRequests < ENOUGH_REQUESTS || routes == 0) {
       return 1;
     }
-    return (double) all / (routes * Math.max(1, requests));
+    return (double) serviceRequests / (routes * Math.max(1, routeRequests));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
@@ -38,25 +38,25 @@
   private VersionComparison() {}
 
   /** Judges a version by all that was counted during one order: by the worst that it shows. */
-  static Verdict judge(Map<EvidenceKey, Tally> evidence) {
-    Verdict worst = new Verdict(Verdict.Kind.GOOD, "no worse on any route");
+  static VersionVerdict compare(Map<EvidenceKey, ResponseTally> evidence) {
+    VersionVerdict worst = new VersionVerdict(VersionVerdict.Kind.GOOD, "no worse on any route");
     boolean enough = false;
     for (EvidenceKey key : evidence.keySet()) {
       if (key.signal() == Signal.SENT) {
         continue;
       }
-      Tally before = evidence.getOrDefault(key.of(false), Tally.NONE);
-      Tally fresh = evidence.getOrDefault(key.of(true), Tally.NONE);
-      enough |= fresh.answers() >= ENOUGH_ANSWERS;
-      Verdict verdict = judge(key, before, fresh);
+      ResponseTally before = evidence.getOrDefault(key.withNewVersion(false), ResponseTally.NONE);
+      ResponseTally fresh = evidence.getOrDefault(key.withNewVersion(true), ResponseTally.NONE);
+      enough |= fresh.responses() >= ENOUGH_ANSWERS;
+      VersionVerdict verdict = compare(key, before, fresh);
       if (verdict.kind().compareTo(worst.kind()) < 0) {
         worst = verdict;
       }
     }
-    return worst.kind() == Verdict.Kind.GOOD && !enough ? Verdict.UNKNOWN : worst;
+    return worst.kind() == VersionVerdict.Kind.GOOD && !enough ? VersionVerdict.UNKNOWN : worst;
   }
 
-  private static Verdict judge(EvidenceKey key, Tally before, Tally fresh) {
+  private static VersionVerdict compare(EvidenceKey key, ResponseTally before, ResponseTally fresh) {
     double chance = chance(before, fresh);
     String reason =
         "route=%s signal=%s bad=%d of=%d before=%d of=%d chance=%.5f"
@@ -64,33 +64,33 @@
                 key.route(),
                 key.signal(),
                 fresh.bad(),
-                fresh.answers(),
+                fresh.responses(),
                 before.bad(),
-                before.answers(),
+                before.responses(),
                 chance);
-    boolean worse = fresh.badShare() > before.badShare() + LEAST_DIFFERENCE;
+    boolean worse = fresh.badRatio() > before.badRatio() + LEAST_DIFFERENCE;
     if (worse && chance < BAD_CHANCE && fresh.bad() >= LEAST_BAD) {
-      return new Verdict(Verdict.Kind.BAD, reason);
+      return new VersionVerdict(VersionVerdict.Kind.BAD, reason);
     }
     if (worse && chance < SUSPECT_CHANCE) {
-      return new Verdict(Verdict.Kind.SUSPECT, reason);
+      return new VersionVerdict(VersionVerdict.Kind.SUSPECT, reason);
     }
-    long all = before.answers() + fresh.answers();
+    long all = before.responses() + fresh.responses();
     long needed = Math.min(ENOUGH_ANSWERS, (long) Math.ceil(ENOUGH_PART * all));
-    return fresh.answers() < needed
-        ? new Verdict(Verdict.Kind.UNKNOWN, reason)
-        : new Verdict(Verdict.Kind.GOOD, reason);
+    return fresh.responses() < needed
+        ? new VersionVerdict(VersionVerdict.Kind.UNKNOWN, reason)
+        : new VersionVerdict(VersionVerdict.Kind.GOOD, reason);
   }
 
   /** Returns the chance of as many bad answers or more if both versions are alike. */
-  private static double chance(Tally before, Tally fresh) {
-    long all = before.answers() + fresh.answers();
+  private static double chance(ResponseTally before, ResponseTally fresh) {
+    long all = before.responses() + fresh.responses();
     long bad = before.bad() + fresh.bad();
     if (fresh.bad() == 0 || all > Integer.MAX_VALUE) {
       return 1;
     }
     HypergeometricDistribution alike =
-        HypergeometricDistribution.of((int) all, (int) bad, (int) fresh.answers());
+        HypergeometricDistribution.of((int) all, (int) bad, (int) fresh.responses());
     return alike.survivalProbability((int) fresh.bad() - 1);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/Verdict.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionVerdict.java
@@ -5,8 +5,8 @@
  *
  * @param reason for people: the route and figures that settled it
  */
-record Verdict(Kind kind, String reason) {
-  static final Verdict UNKNOWN = new Verdict(Kind.UNKNOWN, "too few answers");
+record VersionVerdict(Kind kind, String reason) {
+  static final VersionVerdict UNKNOWN = new VersionVerdict(Kind.UNKNOWN, "too few answers");
 
   /** What may be concluded, the worst first. */
   enum Kind {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -149,7 +149,7 @@
     int probes = world.probes.size();
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
-    assertEquals(1, world.poison.suspected());
+    assertEquals(1, world.poison.suspectedCount());
     assertEquals(probes, world.probes.size());
   }
 
@@ -160,7 +160,7 @@
       world.fail(world.last(), TargetFailure.NOT_CONNECTED);
     }
 
-    assertEquals(0, world.poison.suspected());
+    assertEquals(0, world.poison.suspectedCount());
     assertEquals(1, sentFor("/stream/x", "sound"));
   }
 
@@ -177,7 +177,7 @@
       breaks(call, ProbeResult.GONE);
     }
 
-    assertEquals(0, world.poison.suspected());
+    assertEquals(0, world.poison.suspectedCount());
     assertFalse(caller.isOver());
   }
 
@@ -185,18 +185,18 @@
   void aRunThatLastsClearsItsRequest() {
     endsTarget(ask("/stream/x", "sound"));
     endsTarget(world.last());
-    assertEquals(1, world.poison.suspected());
+    assertEquals(1, world.poison.suspectedCount());
     SentCall third = world.last().accepted().head(200, true).event(1);
     for (long id = 2; id <= 9; id++) {
       world.pass(150);
       third.event(id);
     }
 
-    assertEquals(0, world.poison.suspected());
+    assertEquals(0, world.poison.suspectedCount());
     breaks(third, ProbeResult.GONE);
     endsTarget(world.last());
     assertFalse(caller.isOver());
-    assertEquals(0, world.poison.held());
+    assertEquals(0, world.poison.quarantinedCount());
   }
 
   @Test
@@ -241,7 +241,7 @@
     assertEquals(probes + 1, world.probes.size());
     world.lastProbe().listener().probed(ProbeResult.GONE);
 
-    assertEquals(1, world.poison.suspected());
+    assertEquals(1, world.poison.suspectedCount());
   }
 
   /** Tries that have been sent, but of which nothing has come, are called back by the verdict. */
@@ -283,7 +283,7 @@
       running.event(id);
     }
 
-    assertEquals(0, world.poison.held());
+    assertEquals(0, world.poison.quarantinedCount());
     assertEquals(1, sentFor("/stream/x", "same"));
   }
 
@@ -309,7 +309,7 @@
         List.of(
             PoisonFact.end(fingerprint("sound"), third, world.context.now(), world.context.now())));
 
-    assertEquals(1, world.poison.held());
+    assertEquals(1, world.poison.quarantinedCount());
     assertFalse(sound.cancelled);
     assertFalse(fellow.isOver());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -23,7 +23,7 @@
 import org.gatereel.core.rollout.RolloutRecord;
 import org.gatereel.core.rollout.RolloutState;
 import org.gatereel.core.rollout.Signal;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 import org.junit.jupiter.api.Test;
 
 /** Where requests, repeats and continuations go while a service moves to another version. */
@@ -52,14 +52,14 @@
       targets.add(target(id, service, id.startsWith("new") ? "v2" : "v1"));
     }
     HostList list = new HostList(world.context.now(), List.of(), targets);
-    world.rollouts.learnTargets(list);
+    world.rollouts.updateTargets(list);
     world.targets.see(list);
   }
 
   private void order(ServiceName service, RolloutState state) {
     long now = world.context.knowledgeTime();
-    world.rollouts.learnOrders(List.of(new RolloutOrder(service, "v2", DURATION, 5)), now);
-    world.rollouts.learnRecords(
+    world.rollouts.updateOrders(List.of(new RolloutOrder(service, "v2", DURATION, 5)), now);
+    world.rollouts.updateRecords(
         List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
         STORE_MILLIS,
         now);
@@ -224,17 +224,17 @@
                   target("old1", ForwardWorld.COUNTERS, "v1"),
                   target("new1", ForwardWorld.COUNTERS, "v2"),
                   target("new2", ForwardWorld.COUNTERS, "v3")));
-      fresh.rollouts.learnTargets(list);
+      fresh.rollouts.updateTargets(list);
       fresh.targets.see(list);
       long now = fresh.context.now();
-      fresh.rollouts.learnOrders(
+      fresh.rollouts.updateOrders(
           List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION, 5)), now);
-      fresh.rollouts.learnRecords(
+      fresh.rollouts.updateRecords(
           List.of(
               new RolloutRecord(ForwardWorld.COUNTERS, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
           STORE_MILLIS,
           now);
-      fresh.rollouts.learnOrders(
+      fresh.rollouts.updateOrders(
           List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION, 10)), now);
 
       for (int request = 0; request < 20; request++) {
@@ -270,10 +270,10 @@
       call.text("");
     }
 
-    Map<EvidenceKey, Tally> counted = world.rollouts.ownEvidence();
+    Map<EvidenceKey, ResponseTally> counted = world.rollouts.ownEvidence();
     for (Signal signal : new Signal[] {Signal.SENT, Signal.FIRST_EVENT, Signal.EVENT_GAP}) {
       EvidenceKey key = new EvidenceKey(ForwardWorld.ENGINES, 5, "route/stream/", signal, false);
-      assertEquals(1, counted.getOrDefault(key, Tally.NONE).answers(), signal.toString());
+      assertEquals(1, counted.getOrDefault(key, ResponseTally.NONE).responses(), signal.toString());
     }
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -67,7 +67,7 @@
       loads = new LoadExchange(context, targets, directory, address, this::send);
       poison = new PoisonControl(context);
       loads.setPoisonFacts(poison);
-      poison.onNews((fact, source) -> loads.scheduleReports());
+      poison.onNewFact((fact, source) -> loads.scheduleReports());
     }
 
     private void send(Address receiver, LoadReport report, Consumer<LoadPort.Receipt> receipt) {
--- a/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
@@ -21,14 +21,14 @@
 
   private static void sees(LoadWorld.Host host, String target) {
     long now = host.context.now();
-    host.poison.ended(PoisonFact.end(FATAL, new TargetId(target), now - 100, now));
+    host.poison.recordEnd(PoisonFact.end(FATAL, new TargetId(target), now - 100, now));
     // Ends of other targets are at other moments.
     host.loads.scheduleReports();
   }
 
   private List<String> holders() {
     return world.hosts.values().stream()
-        .filter(host -> host.poison.held() == 1)
+        .filter(host -> host.poison.quarantinedCount() == 1)
         .map(host -> host.name)
         .toList();
   }
@@ -58,7 +58,7 @@
     LoadWorld.Host fresh = world.restart(world.member("south"));
     world.pass(2_000);
 
-    assertEquals(1, fresh.poison.held());
+    assertEquals(1, fresh.poison.quarantinedCount());
   }
 
   @Test
@@ -72,7 +72,7 @@
     assertEquals(world.hosts.size() - 1, holders().size(), holders().toString());
     world.heal();
     world.pass(6_000);
-    assertTrue(gatherer.poison.held() == 1, "the gatherer was not told");
+    assertTrue(gatherer.poison.quarantinedCount() == 1, "the gatherer was not told");
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
@@ -32,7 +32,7 @@
     List<Fingerprint> held = new ArrayList<>();
     for (String target : targets) {
       ledger.add(end(request, target));
-      held.addAll(ledger.judge());
+      held.addAll(ledger.quarantineDue());
     }
     return held;
   }
@@ -41,7 +41,7 @@
   void theThirdEndHoldsARequestBack() {
     assertEquals(List.of(), ended(FATAL, "a", "b"));
     assertEquals(List.of(FATAL), ended(FATAL, "c"));
-    assertTrue(ledger.isHeld(FATAL));
+    assertTrue(ledger.isQuarantined(FATAL));
   }
 
   @Test
@@ -57,7 +57,7 @@
           PoisonFact.end(SOUND, new TargetId("t" + number), 900 + number, 1_000 + 40 * number));
     }
 
-    assertEquals(List.of(), ledger.judge());
+    assertEquals(List.of(), ledger.quarantineDue());
   }
 
   @Test
@@ -68,7 +68,7 @@
               FATAL, new TargetId("t" + number), 1_000 + 5 * number, 1_004 + 5 * number));
     }
 
-    assertEquals(List.of(FATAL), ledger.judge());
+    assertEquals(List.of(FATAL), ledger.quarantineDue());
   }
 
   @Test
@@ -77,7 +77,7 @@
       ledger.add(PoisonFact.end(FATAL, new TargetId("t" + number), 1_000, 2_000 + 600 * number));
     }
 
-    assertEquals(List.of(FATAL), ledger.judge());
+    assertEquals(List.of(FATAL), ledger.quarantineDue());
   }
 
   @Test
@@ -86,7 +86,7 @@
       ledger.add(PoisonFact.end(FATAL, new TargetId("a", born), 900 * born, 1_000 * born));
     }
 
-    assertEquals(List.of(FATAL), ledger.judge());
+    assertEquals(List.of(FATAL), ledger.quarantineDue());
   }
 
   /** Streams move from a target that ends to the same next one as the request that ended it. */
@@ -96,11 +96,11 @@
     for (String target : List.of("b", "c", "d")) {
       ledger.add(end(FATAL, target));
       ledger.add(end(SOUND, target));
-      ledger.judge();
+      ledger.quarantineDue();
     }
 
-    assertTrue(ledger.isHeld(FATAL));
-    assertFalse(ledger.isHeld(SOUND));
+    assertTrue(ledger.isQuarantined(FATAL));
+    assertFalse(ledger.isQuarantined(SOUND));
   }
 
   @Test
@@ -109,7 +109,7 @@
       ledger.add(end(FATAL, target));
       ledger.add(end(SOUND, target));
     }
-    assertEquals(List.of(), ledger.judge());
+    assertEquals(List.of(), ledger.quarantineDue());
 
     assertEquals(List.of(FATAL), ended(FATAL, "e"));
     assertEquals(List.of(), ended(SOUND, "a", "b", "c", "d"));
@@ -132,16 +132,16 @@
     ended(FATAL, "c", "d");
     ended(other, "e", "f");
 
-    assertTrue(ledger.isHeld(FATAL));
-    assertTrue(ledger.isHeld(other));
+    assertTrue(ledger.isQuarantined(FATAL));
+    assertTrue(ledger.isQuarantined(other));
   }
 
   @Test
   void aRunThatLastedOutweighsAllEnds() {
     ended(SOUND, "a", "b", "c");
-    ledger.add(PoisonFact.sound(SOUND, 2_000));
+    ledger.add(PoisonFact.clearing(SOUND, 2_000));
 
-    assertFalse(ledger.isHeld(SOUND));
+    assertFalse(ledger.isQuarantined(SOUND));
     assertEquals(List.of(), ended(SOUND, "d", "e", "f"));
   }
 
@@ -151,8 +151,8 @@
     ended(SOUND, "d", "e");
 
     ledger.expire(2 * HOUR + 200_000);
-    assertEquals(0, ledger.ends(SOUND));
-    assertTrue(ledger.isHeld(FATAL));
+    assertEquals(0, ledger.endCount(SOUND));
+    assertTrue(ledger.isQuarantined(FATAL));
 
     ledger.expire(25 * HOUR + 200_000);
     assertTrue(ledger.isEmpty());
@@ -167,8 +167,8 @@
               new Fingerprint("r" + number), new TargetId("t" + number), 1_900_000, 2_000_000));
     }
 
-    assertTrue(ledger.isHeld(FATAL));
-    assertEquals(1_000, ledger.held() + ledger.suspected());
+    assertTrue(ledger.isQuarantined(FATAL));
+    assertEquals(1_000, ledger.quarantinedCount() + ledger.suspectedCount());
     assertEquals(1_002, ledger.after(0, 5_000).size());
   }
 
@@ -202,6 +202,6 @@
   private static List<Fingerprint> held(List<PoisonFact> facts) {
     PoisonLedger fresh = new PoisonLedger();
     facts.forEach(fresh::add);
-    return fresh.judge().stream().map(Fingerprint::value).sorted().map(Fingerprint::new).toList();
+    return fresh.quarantineDue().stream().map(Fingerprint::value).sorted().map(Fingerprint::new).toList();
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
@@ -38,7 +38,7 @@
   }
 
   private void ended(String target) {
-    control.ended(end(target));
+    control.recordEnd(end(target));
   }
 
   private void pass(long millis) {
@@ -86,7 +86,7 @@
   void rowsAreReadAfterAStartAndOnceAfterEachFurtherEndOfARequest() {
     assertTrue(records.needsReading());
     pass(1_000);
-    records.learn(List.of(), context.now());
+    records.onRowsRead(List.of(), context.now());
     assertFalse(records.needsReading());
 
     pass(1_000);
@@ -95,18 +95,18 @@
     control.learn(List.of(end("b")));
     assertTrue(records.needsReading());
     long askedBefore = context.now() - 10;
-    records.learn(List.of(), askedBefore);
+    records.onRowsRead(List.of(), askedBefore);
     assertTrue(records.needsReading());
     pass(10);
-    records.learn(List.of(end("c")), context.now());
+    records.onRowsRead(List.of(end("c")), context.now());
     assertFalse(records.needsReading());
   }
 
   @Test
   void whatTheStoreHoldsIsHeldBackAfterAStart() {
-    records.learn(List.of(end("a"), end("b"), end("c")), context.now());
+    records.onRowsRead(List.of(end("a"), end("b"), end("c")), context.now());
 
-    assertTrue(control.isHeld(() -> FATAL));
+    assertTrue(control.isQuarantined(() -> FATAL));
     assertEquals(List.of(), written);
   }
 
@@ -115,9 +115,9 @@
     ended("a");
     ended("b");
     settled.get(0).accept(true);
-    control.ranWell(() -> FATAL);
+    control.recordSuccess(() -> FATAL);
 
     assertEquals(1, written.get(1).size());
-    assertTrue(written.get(1).get(0).isSound());
+    assertTrue(written.get(1).get(0).isClearing());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/CanaryDrawTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/CanaryDrawTest.java
@@ -11,9 +11,9 @@
     SplittableRandom random = new SplittableRandom(seed);
     int drawn = 0;
     for (int host = 0; host < hosts; host++) {
-      CanaryDraw draw = new CanaryDraw(random);
+      CanarySampler draw = new CanarySampler(random);
       for (int request = 0; request < requests; request++) {
-        drawn += draw.next(share) ? 1 : 0;
+        drawn += draw.sample(share) ? 1 : 0;
       }
     }
     return drawn;
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
@@ -87,7 +87,7 @@
     final TargetRegistry targets;
     final RolloutControl control;
     final boolean reader;
-    final Map<String, Map<EvidenceKey, Tally>> heard = new HashMap<>();
+    final Map<String, Map<EvidenceKey, ResponseTally>> heard = new HashMap<>();
     boolean cutOff;
     boolean dead;
 
@@ -100,15 +100,15 @@
       context.moveTo(now);
       targets = new TargetRegistry(context, new PolicyTable());
       control = new RolloutControl(context, bounds);
-      control.hearOthers(this::others);
-      control.decideBy(() -> this.reader, order -> false, this::write);
+      control.setOthersEvidence(this::others);
+      control.setRecordWriter(() -> this.reader, order -> false, this::write);
     }
 
-    private Map<EvidenceKey, Tally> others() {
-      Map<EvidenceKey, Tally> sums = new HashMap<>();
+    private Map<EvidenceKey, ResponseTally> others() {
+      Map<EvidenceKey, ResponseTally> sums = new HashMap<>();
       heard.forEach(
           (from, evidence) ->
-              evidence.forEach((key, tally) -> sums.merge(key, tally, Tally::plus)));
+              evidence.forEach((key, tally) -> sums.merge(key, tally, ResponseTally::plus)));
       return sums;
     }
 
@@ -139,11 +139,11 @@
             () ->
                 step(
                     () -> {
-                      control.learnTargets(list);
+                      control.updateTargets(list);
                       targets.see(list);
-                      control.learnOrders(orders, askedAt);
+                      control.updateOrders(orders, askedAt);
                       if (control.needsRecords()) {
-                        control.learnRecords(rows, storeMillis, askedAt);
+                        control.updateRecords(rows, storeMillis, askedAt);
                       }
                     }));
       }
@@ -157,7 +157,7 @@
         return;
       }
       if (!cutOff) {
-        Map<EvidenceKey, Tally> own = control.ownEvidence();
+        Map<EvidenceKey, ResponseTally> own = control.ownEvidence();
         hosts.stream()
             .filter(other -> other != this && !other.cutOff && !other.dead)
             .forEach(other -> after(20, () -> other.heard.put(name, own)));
@@ -180,7 +180,7 @@
     }
 
     private void send(String route) {
-      VersionRule rule = control.ruleForNew(SERVICE, route);
+      VersionRule rule = control.ruleForNewRequest(SERVICE, route);
       var usable = rule.among(targets.listed(SERVICE));
       if (usable.isEmpty()) {
         usable = control.rule(SERVICE).among(targets.listed(SERVICE));
@@ -191,7 +191,7 @@
       }
       String version = usable.get(random.nextInt(usable.size())).description().version();
       arrived(this, version);
-      control.sent(SERVICE, route, version);
+      control.recordSent(SERVICE, route, version);
       double millis = answer(version, route);
       long took = (long) Math.max(5, Math.abs(millis));
       after(
@@ -200,7 +200,7 @@
               step(
                   () -> {
                     answered(version, millis);
-                    control.answered(
+                    control.recordResponse(
                         SERVICE, route, version, Signal.WHOLE, Math.abs(millis), millis < 0);
                   }));
     }
@@ -309,7 +309,7 @@
     if (record.state().isEnd()) {
       endedAt = now;
     }
-    writer.step(() -> writer.control.learnRecords(List.of(row), STORE_EPOCH + now, now));
+    writer.step(() -> writer.control.updateRecords(List.of(row), STORE_EPOCH + now, now));
   }
 
   void order() {
@@ -352,7 +352,7 @@
 
   /** Returns by how much the requests that a bad version got pass what is allowed. */
   double excessExposure() {
-    return newBeforeDeadline - bounds.exposureShare() * allBeforeDeadline - bounds.exposureSlack();
+    return newBeforeDeadline - bounds.exposureRatio() * allBeforeDeadline - bounds.exposureSlack();
   }
 
   @Override
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/VersionComparisonTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/VersionComparisonTest.java
@@ -32,18 +32,18 @@
   }
 
   private static End play(SplittableRandom random, double before, double fresh) {
-    Map<EvidenceKey, Tally> evidence = new HashMap<>();
-    evidence.put(key(false), Tally.NONE);
-    evidence.put(key(true), Tally.NONE);
+    Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
+    evidence.put(key(false), ResponseTally.NONE);
+    evidence.put(key(true), ResponseTally.NONE);
     for (int request = 0; request < REQUESTS; request++) {
       boolean drawn = random.nextDouble() < SHARE;
       boolean bad = random.nextDouble() < (drawn ? fresh : before);
-      evidence.merge(key(drawn), new Tally(1, bad ? 1 : 0, 1, 4), Tally::plus);
-      if (drawn && VersionComparison.judge(evidence).kind() == Verdict.Kind.BAD) {
+      evidence.merge(key(drawn), new ResponseTally(1, bad ? 1 : 0, 1, 4), ResponseTally::plus);
+      if (drawn && VersionComparison.compare(evidence).kind() == VersionVerdict.Kind.BAD) {
         return End.CALLED_BAD;
       }
     }
-    boolean good = VersionComparison.judge(evidence).kind() == Verdict.Kind.GOOD;
+    boolean good = VersionComparison.compare(evidence).kind() == VersionVerdict.Kind.GOOD;
     return good ? End.COMPLETED : End.NOT_COMPLETED;
   }
 
@@ -85,35 +85,35 @@
 
   @Test
   void nothingIsSaidBeforeThereAreAnswers() {
-    assertEquals(Verdict.Kind.UNKNOWN, VersionComparison.judge(Map.of()).kind());
+    assertEquals(VersionVerdict.Kind.UNKNOWN, VersionComparison.compare(Map.of()).kind());
     assertEquals(
-        Verdict.Kind.UNKNOWN,
-        VersionComparison.judge(Map.of(key(true), new Tally(3, 0, 3, 12))).kind());
+        VersionVerdict.Kind.UNKNOWN,
+        VersionComparison.compare(Map.of(key(true), new ResponseTally(3, 0, 3, 12))).kind());
   }
 
   @Test
   void aVersionThatIsBadOnOneRouteAloneIsBad() {
-    Map<EvidenceKey, Tally> evidence = new HashMap<>();
-    evidence.put(key(false), new Tally(900, 4, 900, 3_600));
-    evidence.put(key(true), new Tally(40, 0, 40, 160));
+    Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
+    evidence.put(key(false), new ResponseTally(900, 4, 900, 3_600));
+    evidence.put(key(true), new ResponseTally(40, 0, 40, 160));
     EvidenceKey rare = new EvidenceKey(new ServiceName("s"), 1, "rare", Signal.WHOLE, true);
-    evidence.put(rare.of(false), new Tally(30, 0, 30, 120));
-    evidence.put(rare, new Tally(8, 6, 8, 40));
+    evidence.put(rare.withNewVersion(false), new ResponseTally(30, 0, 30, 120));
+    evidence.put(rare, new ResponseTally(8, 6, 8, 40));
 
-    Verdict verdict = VersionComparison.judge(evidence);
+    VersionVerdict verdict = VersionComparison.compare(evidence);
 
-    assertEquals(Verdict.Kind.BAD, verdict.kind());
+    assertEquals(VersionVerdict.Kind.BAD, verdict.kind());
     assertTrue(verdict.reason().contains("route=rare"), verdict.reason());
   }
 
   @Test
   void aRouteThatShowedTheNewVersionNothingIsNotCompleted() {
-    Map<EvidenceKey, Tally> evidence = new HashMap<>();
-    evidence.put(key(false), new Tally(900, 4, 900, 3_600));
-    evidence.put(key(true), new Tally(40, 0, 40, 160));
+    Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
+    evidence.put(key(false), new ResponseTally(900, 4, 900, 3_600));
+    evidence.put(key(true), new ResponseTally(40, 0, 40, 160));
     EvidenceKey unseen = new EvidenceKey(new ServiceName("s"), 1, "unseen", Signal.WHOLE, true);
-    evidence.put(unseen.of(false), new Tally(200, 0, 200, 800));
+    evidence.put(unseen.withNewVersion(false), new ResponseTally(200, 0, 200, 800));
 
-    assertEquals(Verdict.Kind.UNKNOWN, VersionComparison.judge(evidence).kind());
+    assertEquals(VersionVerdict.Kind.UNKNOWN, VersionComparison.compare(evidence).kind());
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -106,9 +106,9 @@
     loads = new LoadExchange(context, targets, directory, peerAddress, loadClient);
     poison = new PoisonControl(context);
     loads.setPoisonFacts(poison);
-    poison.onNews((fact, source) -> loads.scheduleReports());
+    poison.onNewFact((fact, source) -> loads.scheduleReports());
     rollouts = new RolloutControl(context, bounds.rollouts());
-    rollouts.hearOthers(loads::othersEvidence);
+    rollouts.setOthersEvidence(loads::othersEvidence);
     loads.setEvidenceSource(rollouts::ownEvidence);
     forwarder =
         new Forwarder(
@@ -136,8 +136,8 @@
     metrics.gauge("hosts", directory::hosts);
     metrics.gauge("load_sources", loads::sourceCount);
     metrics.gauge("load_age_millis", loads::oldestReportAgeMillis);
-    metrics.gauge("poison_requests_suspected", poison::suspected);
-    metrics.gauge("poison_requests_held", poison::held);
+    metrics.gauge("poison_requests_suspected", poison::suspectedCount);
+    metrics.gauge("poison_requests_held", poison::quarantinedCount);
     metrics.gauge("limited_targets", forwarder.limits().book()::size);
     metrics.gauge("resting_targets", forwarder.rests()::size);
     metrics.gauge("leaving_targets", () -> targets.leavingTargets().size());
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -31,7 +31,7 @@
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
 import org.gatereel.core.rollout.Signal;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.TargetFact;
 
@@ -125,14 +125,14 @@
       long bad,
       long timed,
       double logMillis) {
-    static Evidence of(EvidenceKey key, Tally tally) {
+    static Evidence of(EvidenceKey key, ResponseTally tally) {
       return new Evidence(
           key.service().value(),
           key.orderRevision(),
           key.route(),
           key.signal(),
-          key.fresh(),
-          tally.answers(),
+          key.newVersion(),
+          tally.responses(),
           tally.bad(),
           tally.timed(),
           tally.logMillis());
@@ -146,8 +146,8 @@
       return new EvidenceKey(new ServiceName(service), order, route, signal, fresh);
     }
 
-    Tally tally() {
-      return new Tally(answers, bad, timed, logMillis);
+    ResponseTally tally() {
+      return new ResponseTally(answers, bad, timed, logMillis);
     }
   }
 
@@ -257,7 +257,7 @@
     message.loads().forEach(entry -> loads.put(TargetNames.read(entry.target()), load(entry, now)));
     Map<DemandKey, Double> demand = new HashMap<>();
     message.demand().forEach(entry -> demand.put(entry.key(), Math.max(0, entry.perSecond())));
-    Map<EvidenceKey, Tally> evidence = new HashMap<>();
+    Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
     message.evidence().forEach(entry -> evidence.put(entry.key(), entry.tally()));
     return new LoadReport(
         new HostId(message.sender()),
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -25,7 +25,7 @@
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
 import org.gatereel.core.rollout.Signal;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.statement.AnnouncedLimit;
 import org.gatereel.core.statement.LeavingFact;
 import org.gatereel.core.statement.LimitFact;
@@ -129,7 +129,7 @@
             bare.demand(),
             Map.of(
                 new EvidenceKey(ENGINES, 7, "r", Signal.FIRST_EVENT, true),
-                new Tally(5, 1, 4, 12.25)),
+                new ResponseTally(5, 1, 4, 12.25)),
             List.of(),
             List.of());
 
@@ -159,7 +159,7 @@
                     new TargetId("i-9a102b0d4e", 1_790_000_000_000L),
                     SENT_AT - 1_080,
                     SENT_AT),
-                PoisonFact.sound(request, SENT_AT - 3_000)),
+                PoisonFact.clearing(request, SENT_AT - 3_000)),
             List.of());
     byte[] text = LoadMessages.write(sent, SENT_AT);
 
@@ -172,7 +172,7 @@
                 new TargetId("i-9a102b0d4e", 1_790_000_000_000L),
                 CAME_AT - 1_080,
                 CAME_AT),
-            PoisonFact.sound(request, CAME_AT - 3_000)),
+            PoisonFact.clearing(request, CAME_AT - 3_000)),
         read.poison());
     int bytes = text.length - LoadMessages.write(bare, SENT_AT).length;
     assertTrue(bytes <= 2 * 90, "bytes: " + bytes);
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -75,7 +75,7 @@
     loads = new LoadExchange(context, targets, directory, address, this::sendReport);
     PoisonControl poison = new PoisonControl(context);
     loads.setPoisonFacts(poison);
-    poison.onNews((fact, source) -> loads.scheduleReports());
+    poison.onNewFact((fact, source) -> loads.scheduleReports());
     forwarder =
         new Forwarder(
             context,
