--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -123,7 +123,8 @@
 
   /** An end of a request that has few of them can only speak for others; a cleared one is gone. */
   private boolean mayConvict(PoisonFact fact) {
-    return fact.isClearing() || ledger.endCount(fact.request()) >= PoisonLedger.QUARANTINE_END_COUNT;
+    return fact.isClearing()
+        || ledger.endCount(fact.request()) >= PoisonLedger.QUARANTINE_END_COUNT;
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
@@ -53,7 +53,9 @@
   boolean add(PoisonFact fact) {
     PoisonCase known = cases.computeIfAbsent(fact.request(), any -> new PoisonCase());
     boolean news =
-        fact.ended().map(target -> known.addEnd(target, fact)).orElseGet(() -> known.clear(fact.at()));
+        fact.ended()
+            .map(target -> known.addEnd(target, fact))
+            .orElseGet(() -> known.clear(fact.at()));
     if (!news) {
       return false;
     }
@@ -163,7 +165,8 @@
   }
 
   int suspectedCount() {
-    return (int) cases.values().stream().filter(known -> !known.ends().isEmpty()).count() - quarantinedCount();
+    return (int) cases.values().stream().filter(known -> !known.ends().isEmpty()).count()
+        - quarantinedCount();
   }
 
   List<PoisonFact> factsOf(Fingerprint request) {
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/LocalEvidence.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/LocalEvidence.java
@@ -20,7 +20,8 @@
 
   /** Forgets what was counted during other orders of a service. */
   void retainOrder(ServiceName service, long orderRevision) {
-    tallies.keySet()
+    tallies
+        .keySet()
         .removeIf(key -> key.service().equals(service) && key.orderRevision() != orderRevision);
   }
 
@@ -37,7 +38,8 @@
   void recordResponse(EvidenceKey key, double millis, boolean failed, ResponseTally usual) {
     double logMillis = Math.log(Math.max(1, millis));
     boolean bad = failed || isSlow(millis, usual);
-    ResponseTally one = failed ? new ResponseTally(1, 1, 0, 0) : new ResponseTally(1, bad ? 1 : 0, 1, logMillis);
+    ResponseTally one =
+        failed ? new ResponseTally(1, 1, 0, 0) : new ResponseTally(1, bad ? 1 : 0, 1, logMillis);
     tallies.merge(key, one, ResponseTally::plus);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/ResponseTally.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/ResponseTally.java
@@ -15,7 +15,10 @@
   /** Adds what other hosts counted. */
   public ResponseTally plus(ResponseTally other) {
     return new ResponseTally(
-        responses + other.responses, bad + other.bad, timed + other.timed, logMillis + other.logMillis);
+        responses + other.responses,
+        bad + other.bad,
+        timed + other.timed,
+        logMillis + other.logMillis);
   }
 
   /** Returns the geometric mean of the times in milliseconds; 0 if none was taken. */
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
@@ -309,7 +309,8 @@
     }
     long startedAt = rollout.knownAt() + reading.get().offset();
     RolloutRecord replaced = records.get(rollout.order().service());
-    return Optional.of(rollout.initialRecord(startedAt, replaced == null ? 0 : replaced.revision()));
+    return Optional.of(
+        rollout.initialRecord(startedAt, replaced == null ? 0 : replaced.revision()));
   }
 
   /** Writes at once if this host reads for others, else a little later if nobody has by then. */
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
@@ -56,7 +56,8 @@
     return worst.kind() == VersionVerdict.Kind.GOOD && !enough ? VersionVerdict.UNKNOWN : worst;
   }
 
-  private static VersionVerdict compare(EvidenceKey key, ResponseTally before, ResponseTally fresh) {
+  private static VersionVerdict compare(
+      EvidenceKey key, ResponseTally before, ResponseTally fresh) {
     double chance = chance(before, fresh);
     String reason =
         "route=%s signal=%s bad=%d of=%d before=%d of=%d chance=%.5f"
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -19,11 +19,11 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.model.TargetKind;
 import org.gatereel.core.rollout.EvidenceKey;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.rollout.RolloutOrder;
 import org.gatereel.core.rollout.RolloutRecord;
 import org.gatereel.core.rollout.RolloutState;
 import org.gatereel.core.rollout.Signal;
-import org.gatereel.core.rollout.ResponseTally;
 import org.junit.jupiter.api.Test;
 
 /** Where requests, repeats and continuations go while a service moves to another version. */
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
@@ -202,6 +202,10 @@
   private static List<Fingerprint> held(List<PoisonFact> facts) {
     PoisonLedger fresh = new PoisonLedger();
     facts.forEach(fresh::add);
-    return fresh.quarantineDue().stream().map(Fingerprint::value).sorted().map(Fingerprint::new).toList();
+    return fresh.quarantineDue().stream()
+        .map(Fingerprint::value)
+        .sorted()
+        .map(Fingerprint::new)
+        .toList();
   }
 }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/LoadMessages.java
@@ -30,8 +30,8 @@
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Signal;
 import org.gatereel.core.rollout.ResponseTally;
+import org.gatereel.core.rollout.Signal;
 import org.gatereel.core.statement.FactKind;
 import org.gatereel.core.statement.TargetFact;
 
