--- a/gatereel-core/src/main/java/org/gatereel/core/overload/AdmissionCredits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/AdmissionCredits.java
@@ -6,32 +6,32 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * The turns that accounts have at this host while a service is overloaded, and who waits for one.
+ * Admission credits and waiting requests of each account at this host during overload.
  *
- * <p>Each arrival earns its account the part of a turn that its share allows; a whole one sends a
- * request, and one that waits goes before one that arrives.
+ * <p>Each arriving request adds a fraction of a credit to its account, according to its fair share.
+ * Sending a request costs one credit.
  */
 final class AdmissionCredits {
-  private final Map<DemandKey, Double> earned = new HashMap<>();
+  private final Map<DemandKey, Double> credits = new HashMap<>();
   private final Map<DemandKey, Integer> waiting = new HashMap<>();
 
-  void addCredit(DemandKey key, double part) {
-    earned.merge(key, part, Double::sum);
+  void addCredit(DemandKey key, double ratio) {
+    credits.merge(key, ratio, Double::sum);
   }
 
-  /** Takes a whole turn; returns whether there was one. */
+  /** Takes one whole credit; returns false if there is none. */
   boolean tryAcquire(DemandKey key) {
-    double turns = earned.getOrDefault(key, 0.0);
-    if (turns < 1) {
+    double available = credits.getOrDefault(key, 0.0);
+    if (available < 1) {
       return false;
     }
-    earned.put(key, turns - 1);
+    credits.put(key, available - 1);
     return true;
   }
 
-  /** Forgets what was earned in an overload that is over. */
+  /** Drops the credits of a service, once its overload has ended. */
   void clear(ServiceName service) {
-    earned.keySet().removeIf(key -> key.service().equals(service));
+    credits.keySet().removeIf(key -> key.service().equals(service));
   }
 
   void beginWaiting(DemandKey key) {
@@ -46,7 +46,7 @@
     return waiting.containsKey(key);
   }
 
-  /** Returns how many requests wait here, by the service that they wait for. */
+  /** Returns how many requests wait at this host, by service. */
   Map<ServiceName, Integer> waitingByService() {
     Map<ServiceName, Integer> counts = new HashMap<>();
     waiting.forEach((key, count) -> counts.merge(key.service(), count, Integer::sum));
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
@@ -2,13 +2,12 @@
 
 import org.gatereel.core.internal.DecayingCount;
 
-/** How many requests a second came lately. */
+/** The recent arrival rate of requests, as an exponentially weighted average. */
 final class ArrivalRate {
-  /** Short beside the seconds that a burst lasts, long beside the gaps between its requests. */
   private static final long HALF_LIFE_MILLIS = 1_000;
 
-  /** What a count that forgets so holds of one request a second: the half-life over ln 2. */
-  private static final double SECONDS_HELD = HALF_LIFE_MILLIS / 1_000.0 / Math.log(2);
+  /** The steady value of the decaying count at one request per second: half-life / ln 2. */
+  private static final double COUNT_AT_ONE_PER_SECOND = HALF_LIFE_MILLIS / 1_000.0 / Math.log(2);
 
   private final DecayingCount arrivals = new DecayingCount(HALF_LIFE_MILLIS);
 
@@ -17,6 +16,6 @@
   }
 
   double perSecond(long now) {
-    return arrivals.at(now) / SECONDS_HELD;
+    return arrivals.at(now) / COUNT_AT_ONE_PER_SECOND;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Capacity.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/Capacity.java
@@ -1,56 +1,53 @@
 package org.gatereel.core.overload;
 
-/** What the targets of a service can do: each what it has time for, or what it says it takes. */
+/** The request rate that the targets of a service can serve, from service times and rate limits. */
 final class Capacity {
-  private static final double SECOND_MILLIS = 1_000;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
-  /**
-   * Lets full queues empty within some seconds; what is shared out at the full rate keeps them
-   * full, so that all calls are late.
-   */
-  private static final double DRAINING_PART = 0.85;
+  /** Below 1, so that the queues at the targets drain while the service is overloaded. */
+  private static final double PLAIN_SERVICE_ADMITTED_RATIO = 0.85;
 
-  /**
-   * What is shared out of limits: more than they are, since tokens hold what is sent to them, and
-   * what is shared out too little is lost to callers.
-   */
-  private static final double LIMITED_PART = 1.15;
+  /** Above 1, since the limits themselves are enforced when requests are sent. */
+  private static final double RATE_LIMITED_ADMITTED_RATIO = 1.15;
 
-  private final boolean isEngineService;
+  private final boolean engineService;
   private final double serviceTimeMillis;
   private int slots;
   private double perSecond;
-  private boolean unlimited;
+  private boolean hasUnlimitedTarget;
 
   /**
-   * Makes the capacity of no target.
+   * Makes the capacity of a service without targets.
    *
-   * @param engines whether targets are model engines, which read one prompt after another
-   * @param workMillis how long a place is taken by one request; 0 as long as that is not known
+   * @param engineService whether the targets are engines, which read one prompt at a time
+   * @param serviceTimeMillis how long one request occupies a slot; 0 if unknown
    */
-  Capacity(boolean engines, double workMillis) {
-    this.isEngineService = engines;
-    this.serviceTimeMillis = workMillis;
+  Capacity(boolean engineService, double serviceTimeMillis) {
+    this.engineService = engineService;
+    this.serviceTimeMillis = serviceTimeMillis;
   }
 
   /**
    * Adds a target.
    *
-   * @param more how many requests it begins at the same time
-   * @param limit how many requests a second it takes by its own word; infinite if it names none
+   * @param targetSlots how many requests it works on concurrently
+   * @param limitPerSecond its announced rate limit; infinite if it has none
    */
-  void addTarget(int more, double limit) {
-    double possible = serviceTimeMillis > 0 ? more * SECOND_MILLIS / serviceTimeMillis : Double.POSITIVE_INFINITY;
-    slots += more;
-    perSecond += Math.min(possible, limit);
-    unlimited |= limit >= possible;
+  void addTarget(int targetSlots, double limitPerSecond) {
+    double possible =
+        serviceTimeMillis > 0
+            ? targetSlots * MILLIS_PER_SECOND / serviceTimeMillis
+            : Double.POSITIVE_INFINITY;
+    slots += targetSlots;
+    perSecond += Math.min(possible, limitPerSecond);
+    hasUnlimitedTarget |= limitPerSecond >= possible;
   }
 
   boolean isEngineService() {
-    return isEngineService;
+    return engineService;
   }
 
-  /** Returns how many requests targets begin at the same time. */
+  /** Returns how many requests the targets work on concurrently. */
   int slots() {
     return slots;
   }
@@ -59,31 +56,31 @@
     return serviceTimeMillis;
   }
 
-  /** Returns whether all targets take less, by their own word, than they have time for. */
+  /** Returns whether the rate limit of every target is below what its slots allow. */
   boolean isRateLimited() {
-    return slots > 0 && !unlimited;
+    return slots > 0 && !hasUnlimitedTarget;
   }
 
-  /** Returns how many requests a second can be done; infinite as long as it is not known. */
+  /** Returns the requests per second that can be served; infinite if unknown. */
   double perSecond() {
     return slots == 0 && serviceTimeMillis == 0 ? Double.POSITIVE_INFINITY : perSecond;
   }
 
   /**
-   * Returns how many requests a second are shared out while more are asked for.
+   * Returns the requests per second to divide among accounts during overload.
    *
-   * <p>By the time that a plain service shows that it is overloaded its queues are full, and at the
-   * full rate they stay so: all that is served is late.
+   * <p>For plain services this is below the full rate: their queues are already full when overload
+   * is detected, and at the full rate they would stay full.
    */
   double admittedPerSecond() {
     if (isRateLimited()) {
-      return LIMITED_PART * perSecond;
+      return RATE_LIMITED_ADMITTED_RATIO * perSecond;
     }
-    return isEngineService ? perSecond() : DRAINING_PART * perSecond();
+    return engineService ? perSecond() : PLAIN_SERVICE_ADMITTED_RATIO * perSecond();
   }
 
-  /** Returns how long a number of requests takes, in milliseconds. */
+  /** Returns how many milliseconds it takes to serve a number of requests. */
   double millisFor(double requests) {
-    return requests * SECOND_MILLIS / perSecond();
+    return requests * MILLIS_PER_SECOND / perSecond();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/Demand.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/Demand.java
@@ -6,13 +6,13 @@
 import org.gatereel.core.load.DemandKey;
 import org.gatereel.core.model.ServiceName;
 
-/** What this host is asked for, by service, rank and account. */
+/** The arrival rates at this host by service, priority and account. */
 final class Demand {
-  /** One request in twenty seconds: below it, an account asks for nothing that matters. */
-  private static final double LEAST_PER_SECOND = 0.05;
+  /** Lower rates are dropped. */
+  private static final double MIN_PER_SECOND = 0.05;
 
-  /** Rates travel to the hundredth. */
-  private static final double PARTS = 100;
+  /** Reported rates are rounded to hundredths. */
+  private static final double ROUNDING_FACTOR = 100;
 
   private final Map<DemandKey, ArrivalRate> rates = new HashMap<>();
 
@@ -25,27 +25,27 @@
     return rates.computeIfAbsent(key, any -> new ArrivalRate());
   }
 
-  /** Returns how many requests a second come here under a key. */
+  /** Returns the requests per second that arrive at this host under a key. */
   double perSecond(DemandKey key, long now) {
     ArrivalRate rate = rates.get(key);
     return rate == null ? 0 : rate.perSecond(now);
   }
 
   /**
-   * Returns what other hosts are told, in requests a second, and forgets who asks no more.
+   * Returns the rates to report to other hosts, in requests per second, and drops negligible ones.
    *
-   * @param busy the services whose accounts are told one by one
+   * @param isBusy whether the rates of single accounts of a service are included
    */
-  Map<DemandKey, Double> ratesToReport(Predicate<ServiceName> busy, long now) {
-    Map<DemandKey, Double> told = new HashMap<>();
-    Map<ServiceName, Boolean> known = new HashMap<>();
-    rates.values().removeIf(rate -> rate.perSecond(now) < LEAST_PER_SECOND);
+  Map<DemandKey, Double> ratesToReport(Predicate<ServiceName> isBusy, long now) {
+    Map<DemandKey, Double> reported = new HashMap<>();
+    Map<ServiceName, Boolean> busyByService = new HashMap<>();
+    rates.values().removeIf(rate -> rate.perSecond(now) < MIN_PER_SECOND);
     rates.forEach(
         (key, rate) -> {
-          if (!key.isPerAccount() || known.computeIfAbsent(key.service(), busy::test)) {
-            told.put(key, Math.round(rate.perSecond(now) * PARTS) / PARTS);
+          if (!key.isPerAccount() || busyByService.computeIfAbsent(key.service(), isBusy::test)) {
+            reported.put(key, Math.round(rate.perSecond(now) * ROUNDING_FACTOR) / ROUNDING_FACTOR);
           }
         });
-    return told;
+    return reported;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/FairShares.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/FairShares.java
@@ -7,21 +7,20 @@
 import org.gatereel.core.load.DemandKey;
 
 /**
- * Who gets how much of a service that is asked for more than it can do: max-min fairness.
+ * Divides the capacity of an overloaded service among accounts by max-min fairness.
  *
- * <p>The load that it answers: one account sends many times its usual. Who asks for less than an
- * equal part gets all of it; what these leave is shared alike by the others. More urgent ranks come
- * first, so that no request is served in place of a more urgent one.
+ * <p>Capacity is given to higher priorities first. Within a priority, an account that requests less
+ * than an equal share gets all of it, and the others divide the rest equally.
  */
 final class FairShares {
-  private final Map<Integer, Double> levels = new TreeMap<>();
+  private final Map<Integer, Double> maxRateByPriority = new TreeMap<>();
 
   private FairShares() {}
 
-  /** Shares {@code perSecond} requests among those that ask for them. */
+  /** Divides {@code perSecond} among the accounts in {@code demand} (requests per second). */
   static FairShares of(double perSecond, Map<DemandKey, Double> demand) {
     FairShares shares = new FairShares();
-    Map<Integer, Map<DemandKey, Double>> byRank =
+    Map<Integer, Map<DemandKey, Double>> byPriority =
         demand.entrySet().stream()
             .collect(
                 Collectors.groupingBy(
@@ -29,31 +28,31 @@
                     TreeMap::new,
                     Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)));
     double left = perSecond;
-    for (var rank : byRank.entrySet()) {
-      Collection<Double> asked = rank.getValue().values();
-      shares.levels.put(rank.getKey(), level(left, asked));
-      left = Math.max(0, left - asked.stream().mapToDouble(Double::doubleValue).sum());
+    for (var priority : byPriority.entrySet()) {
+      Collection<Double> requested = priority.getValue().values();
+      shares.maxRateByPriority.put(priority.getKey(), maxRate(left, requested));
+      left = Math.max(0, left - requested.stream().mapToDouble(Double::doubleValue).sum());
     }
     return shares;
   }
 
-  /** Returns the most that one of those who ask may get, so that all together get what is there. */
-  private static double level(double available, Collection<Double> asked) {
-    double[] rising = asked.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+  /** Returns the highest rate per account at which all accounts together stay within capacity. */
+  private static double maxRate(double available, Collection<Double> requested) {
+    double[] ascending = requested.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     double left = available;
-    for (int index = 0; index < rising.length; index++) {
-      double equal = left / (rising.length - index);
-      if (rising[index] > equal) {
+    for (int index = 0; index < ascending.length; index++) {
+      double equal = left / (ascending.length - index);
+      if (ascending[index] > equal) {
         return equal;
       }
-      left -= rising[index];
+      left -= ascending[index];
     }
     return Double.POSITIVE_INFINITY;
   }
 
-  /** Returns the part of somebody's requests that is served, from 0 to 1. */
-  double admittedRatio(DemandKey key, double asked) {
-    double level = levels.getOrDefault(key.priority(), Double.POSITIVE_INFINITY);
-    return asked <= level ? 1 : level / asked;
+  /** Returns the ratio of the requests under a key that may be served, from 0 to 1. */
+  double admittedRatio(DemandKey key, double requestedPerSecond) {
+    double maxRate = maxRateByPriority.getOrDefault(key.priority(), Double.POSITIVE_INFINITY);
+    return requestedPerSecond <= maxRate ? 1 : maxRate / requestedPerSecond;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -16,42 +16,37 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * Decides at a request's arrival whether it is sent to a target, waits for its turn or is refused.
+ * Decides whether a request is sent to a target, waits or is rejected.
  *
- * <p>The load that it answers: more requests come than the targets of a service can do, so that all
- * of them would wait longer and longer. Then each account is served up to its fair share, as known
- * over all hosts. What goes beyond waits here if what waits can be done in the time that its
- * callers have, and is refused before it has waited otherwise. A host that hears nobody goes by the
- * requests that it sees itself.
+ * <p>While a service is overloaded, each account is served up to its fair share of the demand at
+ * all hosts. A request beyond that share waits if the waiting requests can be served before their
+ * deadlines; otherwise it is rejected at once. A host without reports of other hosts uses its own
+ * demand only.
  */
 public final class OverloadControl {
-  /** From this part of what a service can do on, hosts tell who asks for it. */
-  private static final double BUSY_PART = 0.5;
+  /** Above this ratio of demand to capacity, hosts report demand by account. */
+  private static final double BUSY_RATIO = 0.5;
 
   /**
-   * How long prompts may wait at engines in the mean before requests wait here, as a part of the
-   * time within which callers want the first event: up to here all are served in time.
+   * The mean time for which prompts may queue at engines before requests wait at this host, as a
+   * ratio of the response time objective.
    */
-  private static final double QUEUED_PART = 0.5;
+  private static final double QUEUED_TIME_RATIO = 0.5;
 
-  /**
-   * A plain service is overloaded for so long after a target said that it has no room. What is
-   * asked for is an estimate, and so is what can be done: by them alone calls would be refused that
-   * can be served.
-   */
+  /** How long a plain service counts as overloaded after one of its targets reported to be full. */
   private static final long FULL_MILLIS = 1_000;
 
-  /** Assumed until streams were seen: some 8,000 tokens at 8 in a millisecond. */
-  private static final double ASSUMED_PROMPT_MILLIS = 1_000;
+  /** The service time of engines before the first stream was observed. */
+  private static final double DEFAULT_PROMPT_MILLIS = 1_000;
 
-  /** What waits at all hosts must be done within this time after the overload, at the full rate. */
-  private static final double MOST_WAITING_MILLIS = 8_000;
+  /** The longest time that serving all waiting requests may take. */
+  private static final double MAX_WAITING_WORK_MILLIS = 8_000;
 
-  /** Left to a stream that has waited: its prompt and some 1,000 tokens beside others. */
-  private static final long LEFT_FOR_STREAM_MILLIS = 10_000;
+  /** The time before its deadline that a waiting stream needs to be served. */
+  private static final long STREAM_RESERVE_MILLIS = 10_000;
 
-  /** As old as what hosts know of each other's load; asking sooner meets the same. */
-  private static final long RETRY_MILLIS = 200;
+  /** The age of load reports; the decision is unlikely to change sooner. */
+  private static final long RETRY_INTERVAL_MILLIS = 200;
 
   private final CoreContext context;
   private final TargetRegistry targets;
@@ -59,15 +54,16 @@
   private final ToDoubleFunction<TargetId> limits;
   private final Predicate<TargetId> isResting;
   private final Demand demand = new Demand();
-  private final AdmissionCredits turns = new AdmissionCredits();
-  private final RetryDelays returnTimes;
-  private final Map<ServiceName, ServiceTimeEstimate> work = new HashMap<>();
+  private final AdmissionCredits credits = new AdmissionCredits();
+  private final RetryDelays retryDelays;
+  private final Map<ServiceName, ServiceTimeEstimate> serviceTimes = new HashMap<>();
 
   /**
-   * Makes a control that has reports tell what this host is asked for.
+   * Makes a control and registers it as the source of demand for load reports.
    *
-   * @param limits tells how many requests a second a target takes; infinite where it names no limit
-   * @param isResting tells whether a target wants nothing from this host for now
+   * @param limits returns the requests per second that a target accepts; infinite if it has no
+   *     limit
+   * @param isResting returns whether a target has asked this host to pause sending
    */
   public OverloadControl(
       CoreContext context,
@@ -80,109 +76,122 @@
     this.loads = loads;
     this.limits = limits;
     this.isResting = isResting;
-    this.returnTimes = new RetryDelays(context.random());
-    loads.setDemandSource(this::told);
+    this.retryDelays = new RetryDelays(context.random());
+    loads.setDemandSource(this::demandToReport);
   }
 
-  /** Decides on a request that has just come. */
-  public OverloadDecision decide(ArrivingRequest arrival) {
-    DemandKey key = arrival.demandKey();
+  /**
+   * Counts an arriving request and decides on it. After a decision to wait, {@link #endWaiting}
+   * must be called once.
+   */
+  public OverloadDecision decide(ArrivingRequest request) {
+    DemandKey key = request.demandKey();
     demand.count(key, context.now());
-    Capacity capacity = capacity(arrival.service());
-    if (!isOverloaded(arrival, capacity)) {
-      turns.clear(arrival.service());
+    Capacity capacity = capacity(request.service());
+    if (!isOverloaded(request, capacity)) {
+      credits.clear(request.service());
       return new OverloadDecision.Send();
     }
-    double asked = perSecond(key);
-    double part =
-        FairShares.of(capacity.admittedPerSecond(), askedFor(arrival.service())).admittedRatio(key, asked);
-    turns.addCredit(key, part);
-    if (!turns.hasWaiting(key) && turns.tryAcquire(key)) {
+    double requested = perSecond(key);
+    double ratio =
+        FairShares.of(capacity.admittedPerSecond(), demandByAccount(request.service()))
+            .admittedRatio(key, requested);
+    credits.addCredit(key, ratio);
+    if (!credits.hasWaiting(key) && credits.tryAcquire(key)) {
       return new OverloadDecision.Send();
     }
-    String inputs = inputs(arrival, capacity, asked, part);
-    if (mayWait(arrival, capacity)) {
-      turns.beginWaiting(key);
-      return new OverloadDecision.Wait(retryMillis(), inputs);
+    String inputs = inputs(request, capacity, requested, ratio);
+    if (mayWait(request, capacity)) {
+      credits.beginWaiting(key);
+      return new OverloadDecision.Wait(drawRetryMillis(), inputs);
     }
-    long again = drawRetryAfterMillis(arrival.service(), arrival.deadline());
-    return new OverloadDecision.Reject(again, inputs);
+    long retryAfter = drawRetryAfterMillis(request.service(), request.deadline());
+    return new OverloadDecision.Reject(retryAfter, inputs);
   }
 
   /**
-   * Draws when a request that is refused is to come back, in milliseconds from now.
+   * Draws the {@code Retry-After} time of a rejected request, in milliseconds.
    *
-   * @param deadline when its caller waits no longer, in milliseconds
+   * @param deadline when the caller stops waiting, in milliseconds
    */
   public long drawRetryAfterMillis(ServiceName service, long deadline) {
-    double excess = perSecond(DemandKey.allOf(service)) / capacity(service).perSecond();
-    return returnTimes.drawMillis(excess, deadline - context.now());
+    double overloadFactor = perSecond(DemandKey.allOf(service)) / capacity(service).perSecond();
+    return retryDelays.drawMillis(overloadFactor, deadline - context.now());
   }
 
   /**
-   * Draws when a request that is refused is to come back, where targets rest.
+   * Draws the {@code Retry-After} time, in milliseconds, of a request rejected because targets are
+   * resting.
    *
-   * @param restMillis when the first of them takes requests again, in milliseconds from now
+   * @param restMillis the time until the first of them accepts requests again
    */
   public long drawRetryAfterRestMillis(long restMillis) {
-    return restMillis + context.random().nextLong(RETRY_MILLIS);
+    return restMillis + context.random().nextLong(RETRY_INTERVAL_MILLIS);
   }
 
-  /** Decides again on a request that waits. */
-  public OverloadDecision decideWaiting(ArrivingRequest arrival) {
-    Capacity capacity = capacity(arrival.service());
-    if (turns.tryAcquire(arrival.demandKey()) || drawsRoom(arrival, capacity)) {
+  /** Decides again on a waiting request. */
+  public OverloadDecision decideWaiting(ArrivingRequest request) {
+    Capacity capacity = capacity(request.service());
+    if (credits.tryAcquire(request.demandKey()) || drawsFreeCapacity(request, capacity)) {
       return new OverloadDecision.Send();
     }
-    long left = arrival.deadline() - context.now();
-    String inputs = inputs(arrival, capacity, perSecond(arrival.demandKey()), 0);
-    return left > LEFT_FOR_STREAM_MILLIS
-        ? new OverloadDecision.Wait(retryMillis(), inputs)
-        : new OverloadDecision.Reject(returnTimes.drawMillis(1, left), inputs);
+    long remainingMillis = request.deadline() - context.now();
+    String inputs = inputs(request, capacity, perSecond(request.demandKey()), 0);
+    return remainingMillis > STREAM_RESERVE_MILLIS
+        ? new OverloadDecision.Wait(drawRetryMillis(), inputs)
+        : new OverloadDecision.Reject(retryDelays.drawMillis(1, remainingMillis), inputs);
   }
 
-  /** Notes that a request waits no longer, whatever became of it. */
-  public void endWaiting(ArrivingRequest arrival) {
-    turns.endWaiting(arrival.demandKey());
+  /** Records that a request no longer waits, whether it was sent, rejected or cancelled. */
+  public void endWaiting(ArrivingRequest request) {
+    credits.endWaiting(request.demandKey());
   }
 
-  /** Learns how long an engine took to a stream's first event, or a plain service to its answer. */
+  /**
+   * Records how long an engine took until a stream's first event, or a plain service until its
+   * response. Times of a busy service are ignored, since they include queueing.
+   */
   public void recordServiceTime(ServiceName service, long millis) {
     if (!isBusy(service)) {
-      work.computeIfAbsent(service, any -> new ServiceTimeEstimate()).record(millis);
+      serviceTimes.computeIfAbsent(service, any -> new ServiceTimeEstimate()).record(millis);
     }
   }
 
-  /** Only streams have the time to wait; and no more of them than can be done in time. */
-  private boolean mayWait(ArrivingRequest arrival, Capacity capacity) {
+  /** Returns whether a request is a stream that can be served in time after waiting. */
+  private boolean mayWait(ArrivingRequest request, Capacity capacity) {
     return capacity.isEngineService()
-        && arrival.deadline() - context.now() > LEFT_FOR_STREAM_MILLIS
-        && capacity.millisFor(waiting(arrival.service()) + 1) <= MOST_WAITING_MILLIS;
+        && request.deadline() - context.now() > STREAM_RESERVE_MILLIS
+        && capacity.millisFor(waiting(request.service()) + 1) <= MAX_WAITING_WORK_MILLIS;
   }
 
   /**
-   * Draws whether there is room for this one of all that wait: hosts that see the same room must
-   * not all send what they have.
+   * Draws whether a waiting request may use free capacity. Hosts observe the same free capacity, so
+   * each waiting request is sent with a probability of free slots per waiting request.
    */
-  private boolean drawsRoom(ArrivingRequest arrival, Capacity capacity) {
-    double prompts = QUEUED_PART * arrival.objectiveMillis() / capacity.serviceTimeMillis() * capacity.slots();
-    double room = prompts - reading(arrival.service());
-    return context.random().nextDouble() * waiting(arrival.service()) < room;
+  private boolean drawsFreeCapacity(ArrivingRequest request, Capacity capacity) {
+    double maxPrompts =
+        QUEUED_TIME_RATIO
+            * request.objectiveMillis()
+            / capacity.serviceTimeMillis()
+            * capacity.slots();
+    double free = maxPrompts - promptsInProgress(request.service());
+    return context.random().nextDouble() * waiting(request.service()) < free;
   }
 
-  private long retryMillis() {
-    return RETRY_MILLIS + context.random().nextLong(RETRY_MILLIS);
+  private long drawRetryMillis() {
+    return RETRY_INTERVAL_MILLIS + context.random().nextLong(RETRY_INTERVAL_MILLIS);
   }
 
-  private String inputs(ArrivingRequest arrival, Capacity capacity, double asked, double part) {
+  private String inputs(
+      ArrivingRequest request, Capacity capacity, double requested, double ratio) {
     return String.format(
         Locale.ROOT,
         "asked=%.1f share=%.2f allAsked=%.1f canDo=%.1f waiting=%.0f loadsAgeMillis=%d",
-        asked,
-        part,
-        perSecond(DemandKey.allOf(arrival.service())),
+        requested,
+        ratio,
+        perSecond(DemandKey.allOf(request.service())),
         capacity.perSecond(),
-        waiting(arrival.service()),
+        waiting(request.service()),
         loads.oldestReportAgeMillis());
   }
 
@@ -190,39 +199,40 @@
     List<TargetState> listed = targets.listed(service);
     boolean engines =
         listed.stream().anyMatch(target -> target.description().kind() == TargetKind.ENGINE);
-    ServiceTimeEstimate known = work.get(service);
-    double assumed = engines ? ASSUMED_PROMPT_MILLIS : 0;
-    Capacity capacity = new Capacity(engines, known == null ? assumed : known.millis());
+    ServiceTimeEstimate estimate = serviceTimes.get(service);
+    double defaultMillis = engines ? DEFAULT_PROMPT_MILLIS : 0;
+    Capacity capacity = new Capacity(engines, estimate == null ? defaultMillis : estimate.millis());
     for (TargetState target : listed) {
       TargetId id = target.description().id();
       if (!target.isFailing(context.now()) && !isResting.test(id)) {
-        int places = engines ? 1 : target.description().slots();
-        capacity.addTarget(places, limits.applyAsDouble(id));
+        int slots = engines ? 1 : target.description().slots();
+        capacity.addTarget(slots, limits.applyAsDouble(id));
       }
     }
     return capacity;
   }
 
   private boolean isBusy(ServiceName service) {
-    return perSecond(DemandKey.allOf(service)) > BUSY_PART * capacity(service).perSecond();
+    return perSecond(DemandKey.allOf(service)) > BUSY_RATIO * capacity(service).perSecond();
   }
 
   /**
-   * Returns whether more is asked for than can be done. Engines show it by the prompts that wait
-   * there, which hosts tell each other at once, and plain services by having no room.
+   * Returns whether demand exceeds capacity and the targets confirm it: engines by queued prompts,
+   * plain services by a recent report that a target is full.
    */
-  private boolean isOverloaded(ArrivingRequest arrival, Capacity capacity) {
-    double asked = perSecond(DemandKey.allOf(arrival.service()));
-    if (capacity.slots() == 0 || asked <= capacity.perSecond()) {
+  private boolean isOverloaded(ArrivingRequest request, Capacity capacity) {
+    double requested = perSecond(DemandKey.allOf(request.service()));
+    if (capacity.slots() == 0 || requested <= capacity.perSecond()) {
       return false;
     }
     if (capacity.isRateLimited()) {
-      // Limited targets show no queue that grows, since what is over their limit is not sent there.
+      // Requests above the limits are not sent, so that no queue grows at these targets.
       return true;
     }
     return capacity.isEngineService()
-        ? capacity.millisFor(reading(arrival.service())) > QUEUED_PART * arrival.objectiveMillis()
-        : wasFull(arrival.service());
+        ? capacity.millisFor(promptsInProgress(request.service()))
+            > QUEUED_TIME_RATIO * request.objectiveMillis()
+        : wasFull(request.service());
   }
 
   private boolean wasFull(ServiceName service) {
@@ -230,18 +240,18 @@
     return targets.listed(service).stream().anyMatch(target -> target.lastFullAt() > since);
   }
 
-  /** Returns how many prompts engines have to read, of all hosts. */
-  private int reading(ServiceName service) {
-    int reading = 0;
+  /** Returns how many prompts of all hosts the engines have not finished reading. */
+  private int promptsInProgress(ServiceName service) {
+    int prompts = 0;
     for (TargetState target : targets.listed(service)) {
-      reading += target.readingHere() + loads.othersLoad(target.description().id()).reading();
+      prompts += target.readingHere() + loads.othersLoad(target.description().id()).reading();
     }
-    return reading;
+    return prompts;
   }
 
-  /** Returns how many requests wait for a turn, at all hosts. */
+  /** Returns how many requests wait at all hosts. */
   private double waiting(ServiceName service) {
-    return turns.waitingByService().getOrDefault(service, 0)
+    return credits.waitingByService().getOrDefault(service, 0)
         + loads.othersDemand().getOrDefault(DemandKey.waitingFor(service), 0.0);
   }
 
@@ -249,28 +259,28 @@
     return demand.perSecond(key, context.now()) + loads.othersDemand().getOrDefault(key, 0.0);
   }
 
-  private Map<DemandKey, Double> told() {
-    Map<DemandKey, Double> told = demand.ratesToReport(this::isBusy, context.now());
-    turns
+  private Map<DemandKey, Double> demandToReport() {
+    Map<DemandKey, Double> reported = demand.ratesToReport(this::isBusy, context.now());
+    credits
         .waitingByService()
-        .forEach((service, count) -> told.put(DemandKey.waitingFor(service), (double) count));
-    return told;
+        .forEach((service, count) -> reported.put(DemandKey.waitingFor(service), (double) count));
+    return reported;
   }
 
-  /** Returns the requests a second of all hosts for a service, by those who ask. */
-  private Map<DemandKey, Double> askedFor(ServiceName service) {
-    Map<DemandKey, Double> asked = new HashMap<>();
-    add(loads.othersDemand(), service, asked);
-    add(demand.ratesToReport(any -> true, context.now()), service, asked);
-    return asked;
+  /** Returns the requests per second at all hosts for a service, by priority and account. */
+  private Map<DemandKey, Double> demandByAccount(ServiceName service) {
+    Map<DemandKey, Double> sums = new HashMap<>();
+    addPerAccount(loads.othersDemand(), service, sums);
+    addPerAccount(demand.ratesToReport(any -> true, context.now()), service, sums);
+    return sums;
   }
 
-  private static void add(
-      Map<DemandKey, Double> more, ServiceName service, Map<DemandKey, Double> asked) {
-    more.forEach(
+  private static void addPerAccount(
+      Map<DemandKey, Double> rates, ServiceName service, Map<DemandKey, Double> sums) {
+    rates.forEach(
         (key, rate) -> {
           if (key.isPerAccount() && key.service().equals(service)) {
-            asked.merge(key, rate, Double::sum);
+            sums.merge(key, rate, Double::sum);
           }
         });
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadDecision.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadDecision.java
@@ -1,23 +1,23 @@
 package org.gatereel.core.overload;
 
-/** What becomes of a request that arrives. */
+/** What to do with a request. */
 public sealed interface OverloadDecision {
-  /** It is sent to a target. */
+  /** Send it to a target. */
   record Send() implements OverloadDecision {}
 
   /**
-   * It waits for its turn and asks again.
+   * Keep it waiting and decide again later.
    *
-   * @param retryMillis when it asks again
-   * @param inputs what decided, for the log
+   * @param retryMillis the time until the next decision
+   * @param inputs what the decision was based on, for the log
    */
   record Wait(long retryMillis, String inputs) implements OverloadDecision {}
 
   /**
-   * It is refused at once.
+   * Reject it.
    *
-   * @param retryAfterMillis when the caller is to come back
-   * @param inputs what decided, for the log
+   * @param retryAfterMillis the {@code Retry-After} time for the caller
+   * @param inputs what the decision was based on, for the log
    */
   record Reject(long retryAfterMillis, String inputs) implements OverloadDecision {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/RetryDelays.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/RetryDelays.java
@@ -3,21 +3,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When refused callers are to come back.
+ * Draws {@code Retry-After} times for rejected requests.
  *
- * <p>The load that it answers: what was refused together comes back together, and meets the same
- * excess again. So the times are spread over as many seconds as the excess has parts, which leaves
- * in each about as many as can be served.
+ * <p>The times are spread at random, over a longer period the larger the overload is, so that
+ * callers rejected together do not all return together.
  */
 final class RetryDelays {
-  /** Sooner than this nothing has changed: what hosts know of each other's load is as old. */
-  private static final long SOONEST_MILLIS = 500;
+  /** The age of load reports; the decision is unlikely to change sooner. */
+  private static final long MIN_DELAY_MILLIS = 500;
 
-  /** Later than this the load is likely to be another one. */
-  private static final long LATEST_MILLIS = 8_000;
+  private static final long MAX_DELAY_MILLIS = 8_000;
 
-  /** The time for which callers heed what they are told, as a part of what they have left. */
-  private static final int HEEDED_PART = 3;
+  /** The delay is at most the caller's remaining time divided by this. */
+  private static final int REMAINING_TIME_DIVISOR = 3;
 
   private final RandomGenerator random;
 
@@ -26,14 +24,14 @@
   }
 
   /**
-   * Draws a time.
+   * Draws a delay in milliseconds.
    *
-   * @param excess how many times as much is asked for as can be done
-   * @param remainingMillis how long the caller waits at the most
+   * @param overloadFactor demand divided by capacity
+   * @param remainingMillis the time until the caller's deadline
    */
-  long drawMillis(double excess, long remainingMillis) {
-    double spread = SOONEST_MILLIS * (1 + 2 * Math.max(1, excess) * random.nextDouble());
-    long latest = Math.min(LATEST_MILLIS, remainingMillis / HEEDED_PART);
+  long drawMillis(double overloadFactor, long remainingMillis) {
+    double spread = MIN_DELAY_MILLIS * (1 + 2 * Math.max(1, overloadFactor) * random.nextDouble());
+    long latest = Math.min(MAX_DELAY_MILLIS, remainingMillis / REMAINING_TIME_DIVISOR);
     return Math.max(1, Math.min(latest, Math.round(spread)));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/ServiceTimeEstimate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/ServiceTimeEstimate.java
@@ -1,30 +1,27 @@
 package org.gatereel.core.overload;
 
 /**
- * How long a target of a service usually has to do with one request before it can do the next.
+ * Estimates how long one request occupies a slot at a target of a service.
  *
- * <p>The mean of what was seen while there was room. Until enough was seen the shortest counts,
- * which a queue has lengthened least: a host that has just started when a burst comes would take
- * targets for slower than they are, and refuse calls that can be served.
+ * <p>The estimate is a moving average of the recorded times. Until there are enough samples it is
+ * their minimum, which queueing delay affects least.
  */
 final class ServiceTimeEstimate {
-  /** Follows a change within some 20 requests. */
-  private static final double GAIN = 1.0 / 16;
-
-  private static final int ENOUGH = 16;
+  private static final double SMOOTHING_RATIO = 1.0 / 16;
+  private static final int MIN_SAMPLES = 16;
 
   private double mean;
   private double shortest = Double.POSITIVE_INFINITY;
-  private int seen;
+  private int samples;
 
   void record(long millis) {
-    seen++;
-    mean += (millis - mean) * Math.max(GAIN, 1.0 / seen);
+    samples++;
+    mean += (millis - mean) * Math.max(SMOOTHING_RATIO, 1.0 / samples);
     shortest = Math.min(shortest, millis);
   }
 
-  /** Returns what is known, in milliseconds. */
+  /** Returns the estimate in milliseconds. */
   double millis() {
-    return seen < ENOUGH ? shortest : mean;
+    return samples < MIN_SAMPLES ? shortest : mean;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which requests are refused at once where a service is asked for more than it can do.
+ * Overload control: which requests to an overloaded service are sent, wait or are rejected.
  *
- * <p>Decisions only. What hosts must know of each other for them travels with the loads ({@link
- * org.gatereel.core.load.LoadExchange}). A service with room feels none of this.
+ * <p>The demand of other hosts is received through {@link org.gatereel.core.load.LoadExchange}.
+ * Requests to a service with spare capacity are always sent.
  */
 package org.gatereel.core.overload;
