--- a/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What one host does with requests, by what it sees and by what others tell. */
+/** Decisions of one host, from its own demand and from the reports of others. */
 class OverloadControlTest {
   private static final ServiceName ENGINES = new ServiceName("engines");
   private static final ServiceName COUNTERS = new ServiceName("counters");
@@ -95,13 +95,13 @@
         LifeState.LIVE);
   }
 
-  /** Has other hosts tell that engines have prompts to read, and what they are asked for. */
-  private void othersTell(int readingEach, Map<DemandKey, Double> demand) {
-    Map<TargetId, TargetLoad> told = new HashMap<>();
+  /** Receives a report of another host with unread prompts at engines and its demand. */
+  private void receiveReport(int readingPerEngine, Map<DemandKey, Double> demand) {
+    Map<TargetId, TargetLoad> reported = new HashMap<>();
     for (int index = 0; index < TARGETS; index++) {
-      told.put(
+      reported.put(
           new TargetId("e" + index),
-          new TargetLoad(readingEach, readingEach, 0, 0, TargetLoad.NEVER));
+          new TargetLoad(readingPerEngine, readingPerEngine, 0, 0, TargetLoad.NEVER));
     }
     loads.receive(
         new LoadReport(
@@ -111,7 +111,7 @@
             1,
             ++sequence,
             OptionalLong.empty(),
-            told,
+            reported,
             demand));
   }
 
@@ -119,7 +119,7 @@
     return new DemandKey(service, 1, Optional.of(account));
   }
 
-  private static Map<DemandKey, Double> asked(ServiceName service, double hot, double small) {
+  private static Map<DemandKey, Double> demand(ServiceName service, double hot, double small) {
     return Map.of(
         DemandKey.allOf(service), hot + small, key(service, HOT), hot, key(service, SMALL), small);
   }
@@ -132,34 +132,33 @@
     return new ArrivingRequest(COUNTERS, 1, Optional.of(account), 200, context.now() + 1_500);
   }
 
-  private void learnCalls() {
+  private void recordCalls() {
     for (int index = 0; index < 20; index++) {
       overload.recordServiceTime(COUNTERS, 50);
     }
   }
 
-  /** Their queues show nothing, since what is over a limit is not sent there. */
   @Test
-  void whereAllTargetsNameLimitsWhatIsOverTheirSumIsRefusedAtOnce() {
-    learnCalls();
+  void requestsAboveTheSumOfAllTargetLimitsAreRejectedAtOnce() {
+    recordCalls();
     limitCounters(TARGETS, 2);
-    othersTell(0, asked(COUNTERS, 180, 2));
+    receiveReport(0, demand(COUNTERS, 180, 2));
 
-    int refused = 0;
+    int rejected = 0;
     for (int index = 0; index < 100; index++) {
-      refused += overload.decide(call(HOT)) instanceof OverloadDecision.Reject ? 1 : 0;
+      rejected += overload.decide(call(HOT)) instanceof OverloadDecision.Reject ? 1 : 0;
     }
     OverloadDecision small = overload.decide(call(SMALL));
 
-    assertTrue(refused >= 80, "refused " + refused);
+    assertTrue(rejected >= 80, "rejected " + rejected);
     assertTrue(small instanceof OverloadDecision.Send, "the small account has its share");
   }
 
   @Test
-  void whereSomeTargetsNameLimitsTheOthersTakeTheRest() {
-    learnCalls();
+  void targetsWithoutLimitServeTheRemainingRequests() {
+    recordCalls();
     limitCounters(TARGETS - 1, 0.2);
-    othersTell(0, asked(COUNTERS, 90, 2));
+    receiveReport(0, demand(COUNTERS, 90, 2));
 
     for (int index = 0; index < 20; index++) {
       assertTrue(overload.decide(call(HOT)) instanceof OverloadDecision.Send);
@@ -167,26 +166,26 @@
   }
 
   @Test
-  void aServiceWithRoomFeelsNothingHoweverMuchOneAccountAsksFor() {
-    othersTell(1, asked(ENGINES, 9, 0.5));
+  void requestsAreSentWhileTheServiceHasCapacityWhateverOneAccountRequests() {
+    receiveReport(1, demand(ENGINES, 9, 0.5));
 
     for (int index = 0; index < 50; index++) {
       assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
       context.moveTo(context.now() + 1_000);
-      othersTell(1, asked(ENGINES, 9, 0.5));
+      receiveReport(1, demand(ENGINES, 9, 0.5));
     }
   }
 
   @Test
-  void promptsThatWaitAloneAreNoReasonWhileAskedForIsWhatCanBeDone() {
-    othersTell(5, asked(ENGINES, 5, 1));
+  void queuedPromptsAloneAreNoOverloadWhileDemandIsWithinCapacity() {
+    receiveReport(5, demand(ENGINES, 5, 1));
 
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
   }
 
   @Test
-  void anAccountBeyondItsShareWaitsAndTheOthersAreSent() {
-    othersTell(4, asked(ENGINES, 90, 2));
+  void requestsOfAnAccountAboveItsShareWaitAndOthersAreSent() {
+    receiveReport(4, demand(ENGINES, 90, 2));
 
     OverloadDecision hot = overload.decide(stream(HOT));
     assertInstanceOf(OverloadDecision.Wait.class, hot);
@@ -194,33 +193,32 @@
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(SMALL)));
   }
 
-  /** What hosts know of the accounts of others is no use to one that hears nobody. */
   @Test
-  void aHostThatHearsNobodySendsWhatItSees() {
+  void aHostWithoutReportsOfOthersSendsItsRequests() {
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
   }
 
   @Test
-  void whatWaitsIsSentOnceThereIsRoom() {
-    othersTell(4, asked(ENGINES, 90, 2));
+  void aWaitingRequestIsSentOnceThereIsCapacity() {
+    receiveReport(4, demand(ENGINES, 90, 2));
     ArrivingRequest waiting = stream(HOT);
     overload.decide(waiting);
     assertInstanceOf(OverloadDecision.Wait.class, overload.decideWaiting(waiting));
 
-    othersTell(0, Map.of());
+    receiveReport(0, Map.of());
 
     assertInstanceOf(OverloadDecision.Send.class, overload.decideWaiting(waiting));
   }
 
   @Test
-  void ofManyThatWaitAtAllHostsOnlyAsManyAreSentAsThereIsRoomFor() {
-    Map<DemandKey, Double> told = new HashMap<>(asked(ENGINES, 90, 2));
-    told.put(DemandKey.waitingFor(ENGINES), 79.0);
-    othersTell(4, asked(ENGINES, 90, 2));
+  void ofTheRequestsWaitingAtAllHostsOnlyAsManyAreSentAsThereIsCapacityFor() {
+    Map<DemandKey, Double> reported = new HashMap<>(demand(ENGINES, 90, 2));
+    reported.put(DemandKey.waitingFor(ENGINES), 79.0);
+    receiveReport(4, demand(ENGINES, 90, 2));
     ArrivingRequest waiting = stream(HOT);
     assertInstanceOf(OverloadDecision.Wait.class, overload.decide(waiting));
-    // Room for 22 prompts, of which others have 10; 80 wait in all.
-    othersTell(1, told);
+    // There is capacity for 22 prompts; 10 are in progress and 80 requests wait.
+    receiveReport(1, reported);
 
     int sent = 0;
     for (int index = 0; index < 1_000; index++) {
@@ -231,51 +229,51 @@
   }
 
   @Test
-  void moreThanCanBeDoneInTimeIsRefusedBeforeItHasWaited() {
-    Map<DemandKey, Double> told = new HashMap<>(asked(ENGINES, 90, 2));
-    told.put(DemandKey.waitingFor(ENGINES), 100.0);
-    othersTell(4, told);
+  void aRequestThatCannotBeServedInTimeIsRejectedWithoutWaiting() {
+    Map<DemandKey, Double> reported = new HashMap<>(demand(ENGINES, 90, 2));
+    reported.put(DemandKey.waitingFor(ENGINES), 100.0);
+    receiveReport(4, reported);
 
-    OverloadDecision verdict = overload.decide(stream(HOT));
+    OverloadDecision decision = overload.decide(stream(HOT));
 
-    assertInstanceOf(OverloadDecision.Reject.class, verdict);
-    long retryAfter = ((OverloadDecision.Reject) verdict).retryAfterMillis();
+    assertInstanceOf(OverloadDecision.Reject.class, decision);
+    long retryAfter = ((OverloadDecision.Reject) decision).retryAfterMillis();
     assertTrue(retryAfter >= 500 && retryAfter <= 8_000, "retry after: " + retryAfter);
   }
 
   @Test
-  void whatHasWaitedUntilTooLittleTimeIsLeftIsRefused() {
-    othersTell(4, asked(ENGINES, 90, 2));
+  void aWaitingRequestWithTooLittleTimeLeftIsRejected() {
+    receiveReport(4, demand(ENGINES, 90, 2));
     ArrivingRequest waiting = stream(HOT);
     overload.decide(waiting);
     context.moveTo(context.now() + 16_000);
-    othersTell(4, asked(ENGINES, 90, 2));
+    receiveReport(4, demand(ENGINES, 90, 2));
 
     assertInstanceOf(OverloadDecision.Reject.class, overload.decideWaiting(waiting));
   }
 
   @Test
-  void aCallBeyondItsShareIsRefusedAtOnceWhileTargetsHaveNoRoom() {
-    learnCalls();
-    othersTell(0, asked(COUNTERS, 3_000, 10));
+  void aCallAboveItsShareIsRejectedAtOnceWhileTargetsAreFull() {
+    recordCalls();
+    receiveReport(0, demand(COUNTERS, 3_000, 10));
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
     TargetState full = targets.find(new TargetId("c3")).orElseThrow();
     targets.failed(full, TargetFailure.FULL);
 
-    OverloadDecision refused = overload.decide(call(HOT));
+    OverloadDecision rejected = overload.decide(call(HOT));
 
-    assertInstanceOf(OverloadDecision.Reject.class, refused);
-    assertTrue(((OverloadDecision.Reject) refused).retryAfterMillis() <= 500);
+    assertInstanceOf(OverloadDecision.Reject.class, rejected);
+    assertTrue(((OverloadDecision.Reject) rejected).retryAfterMillis() <= 500);
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(SMALL)));
     context.moveTo(context.now() + 1_001);
-    othersTell(0, asked(COUNTERS, 3_000, 10));
+    receiveReport(0, demand(COUNTERS, 3_000, 10));
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
   }
 
   @Test
-  void anAccountBeyondItsShareIsServedInProportionToIt() {
-    learnCalls();
-    othersTell(0, asked(COUNTERS, 2_390, 10));
+  void anAccountAboveItsShareIsServedUpToIt() {
+    recordCalls();
+    receiveReport(0, demand(COUNTERS, 2_390, 10));
     targets.failed(targets.find(new TargetId("c3")).orElseThrow(), TargetFailure.FULL);
 
     int sent = 0;
@@ -283,12 +281,12 @@
       sent += overload.decide(call(HOT)) instanceof OverloadDecision.Send ? 1 : 0;
     }
 
-    // 1,200 a second can be done, and 10 are others'.
+    // The capacity is 1,200 per second, of which 10 are served to the other account.
     assertTrue(sent >= 80 && sent <= 105, "sent: " + sent);
   }
 
   @Test
-  void theShortestOfTheFirstCallsTellsWhatCanBeDone() {
+  void theServiceTimeEstimateIsTheShortestOfTheFirstCalls() {
     ServiceTimeEstimate work = new ServiceTimeEstimate();
     work.record(90);
     work.record(44);
@@ -298,42 +296,41 @@
   }
 
   @Test
-  void refusedCallersAreSpreadOverMoreTimeTheMoreTheyAre() {
+  void retryDelaysAreSpreadOverMoreTimeTheLargerTheOverload() {
     RetryDelays times = new RetryDelays(new SplittableRandom(3));
-    long latestOfFew = 0;
-    long latestOfMany = 0;
+    long latestOfSmall = 0;
+    long latestOfLarge = 0;
     for (int index = 0; index < 200; index++) {
-      latestOfFew = Math.max(latestOfFew, times.drawMillis(1, 60_000));
-      latestOfMany = Math.max(latestOfMany, times.drawMillis(5, 60_000));
+      latestOfSmall = Math.max(latestOfSmall, times.drawMillis(1, 60_000));
+      latestOfLarge = Math.max(latestOfLarge, times.drawMillis(5, 60_000));
     }
 
-    assertTrue(latestOfFew <= 1_500, "few: " + latestOfFew);
-    assertTrue(latestOfMany > 4_000 && latestOfMany <= 5_500, "many: " + latestOfMany);
+    assertTrue(latestOfSmall <= 1_500, "small overload: " + latestOfSmall);
+    assertTrue(latestOfLarge > 4_000 && latestOfLarge <= 5_500, "large overload: " + latestOfLarge);
     assertTrue(times.drawMillis(9, 300) <= 100);
   }
 
-  /** What a service can do shrinks with the word of a target, and grows again with its end. */
   @Test
-  void aTargetThatRestsCountsNothingUntilItsEnd() {
-    learnCalls();
-    othersTell(0, asked(COUNTERS, 900, 10));
+  void restingTargetsDoNotCountAsCapacity() {
+    recordCalls();
+    receiveReport(0, demand(COUNTERS, 900, 10));
     targets.failed(targets.find(new TargetId("c9")).orElseThrow(), TargetFailure.RESTING);
     for (int index = 0; index < TARGETS / 2; index++) {
       resting.add(new TargetId("c" + index));
     }
-    assertInstanceOf(OverloadDecision.Reject.class, refusedAfterItsShare());
+    assertInstanceOf(OverloadDecision.Reject.class, decideUntilRejected());
 
     resting.clear();
 
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
   }
 
-  /** An account that is beyond its share has saved little, which is used up first. */
-  private OverloadDecision refusedAfterItsShare() {
-    OverloadDecision verdict = overload.decide(call(HOT));
-    for (int index = 0; index < 100 && verdict instanceof OverloadDecision.Send; index++) {
-      verdict = overload.decide(call(HOT));
+  /** Sends until the credits of the account are used up. */
+  private OverloadDecision decideUntilRejected() {
+    OverloadDecision decision = overload.decide(call(HOT));
+    for (int index = 0; index < 100 && decision instanceof OverloadDecision.Send; index++) {
+      decision = overload.decide(call(HOT));
     }
-    return verdict;
+    return decision;
   }
 }
