--- a/gatereel-core/src/main/java/org/gatereel/core/admission/ActiveAccounts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/ActiveAccounts.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.gatereel.core.model.AccountId;
 
-/** The client accounts that asked for something lately, and what each has open at this host. */
+/** The client accounts with recent requests, and how many open requests each has at this host. */
 final class ActiveAccounts {
   private static final long ACTIVE_MILLIS = 10_000;
 
@@ -15,14 +15,14 @@
   private static final class Activity {
     private int weight;
     private int open;
-    private long lastAsked;
+    private long lastOpenedAt;
   }
 
-  /** Notes that an account opened a request; returns how many it has open now. */
+  /** Records that an account opened a request; returns how many it has open. */
   int opened(AccountId account, int weight, long now) {
     Activity activity = activities.computeIfAbsent(account, id -> new Activity());
     activity.weight = weight;
-    activity.lastAsked = now;
+    activity.lastOpenedAt = now;
     activity.open++;
     totalOpen++;
     return activity.open;
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Returns whether an account has more than its weighted share of what is open here while others
-   * are active; an account that is alone may have all.
+   * Returns whether an account has more than its weighted share of the open requests at this host.
+   * This is never true of the only active account.
    */
   boolean isOverShare(AccountId account, long now) {
     Activity own = activities.get(account);
@@ -45,7 +45,7 @@
     long weights = 0;
     for (Iterator<Activity> all = activities.values().iterator(); all.hasNext(); ) {
       Activity activity = all.next();
-      if (activity.open == 0 && now - activity.lastAsked > ACTIVE_MILLIS) {
+      if (activity.open == 0 && now - activity.lastOpenedAt > ACTIVE_MILLIS) {
         all.remove();
       } else {
         weights += activity.weight;
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
@@ -17,18 +17,18 @@
 import org.gatereel.core.target.TargetRegistry;
 
 /**
- * Lets requests through to targets: limits by account, fair turns, and early refusal.
+ * Admits requests to targets, with a limit of open requests per account and a fair queue per
+ * service.
  *
- * <p>A request that would wait longer than its service's patience is refused at once, with the time
- * after which a turn is likely. A request that waited in vain is refused the moment its patience
- * ends.
+ * <p>A request is rejected with a {@code Retry-After} time if it is expected to wait longer than
+ * its service's queue timeout, or if that timeout ends before a target is free.
  */
 public final class Admission {
-  private static final long SHORTEST_RETRY_MILLIS = 200;
+  private static final long MIN_RETRY_AFTER_MILLIS = 200;
 
   private final CoreContext context;
   private final TargetRegistry targets;
-  private final Map<ServiceName, Lane> lanes = new HashMap<>();
+  private final Map<ServiceName, ServiceQueue> queues = new HashMap<>();
   private final ActiveAccounts accounts = new ActiveAccounts();
 
   public Admission(CoreContext context, TargetRegistry targets) {
@@ -36,151 +36,152 @@
     this.targets = targets;
   }
 
-  /** One request's place; closing it gives the account's share back. */
+  /** A submitted request; it counts against its account's limit and share until it is closed. */
   public final class Permit {
-    private final PendingRequest applicant;
-    private final Lane lane;
-    private final long askedAt;
+    private final PendingRequest request;
+    private final ServiceQueue queue;
+    private final long submittedAt;
     private FairQueue.Entry<Permit> entry;
-    private TimerQueue.Timer patience;
+    private TimerQueue.Timer timeout;
     private boolean closed;
 
-    private Permit(PendingRequest applicant, Lane lane) {
-      this.applicant = applicant;
-      this.lane = lane;
-      this.askedAt = context.now();
+    private Permit(PendingRequest request, ServiceQueue queue) {
+      this.request = request;
+      this.queue = queue;
+      this.submittedAt = context.now();
     }
 
-    /** Ends the request, waiting or started; harmless when repeated. */
+    /** Ends the request, whether it waits or has started. Further calls have no effect. */
     public void close() {
       if (closed) {
         return;
       }
       closed = true;
-      accounts.closed(applicant.account());
+      accounts.closed(request.account());
       stopWaiting();
     }
 
     private void stopWaiting() {
       if (entry != null) {
-        lane.queue.remove(entry);
-        patience.cancel();
+        queue.waiting.remove(entry);
+        timeout.cancel();
         entry = null;
       }
     }
 
-    private void refuse(Problem problem) {
+    private void reject(Problem problem) {
       close();
-      applicant.reject(problem);
+      request.reject(problem);
     }
 
-    private void patienceEnded(long patienceMillis) {
-      boolean anyTarget = !targets.usable(applicant.service()).isEmpty();
+    private void timedOut(long timeoutMillis) {
+      boolean anyTarget = !targets.usable(request.service()).isEmpty();
       ProblemType type = anyTarget ? ProblemType.OVERLOADED : ProblemType.NO_TARGET;
-      long retry = Math.max(SHORTEST_RETRY_MILLIS, lane.expectedWait());
-      refuse(Problem.notRun(type, "waited " + patienceMillis + " ms for a target", retry));
+      long retryAfter = Math.max(MIN_RETRY_AFTER_MILLIS, queue.expectedWaitMillis());
+      reject(Problem.notRun(type, "waited " + timeoutMillis + " ms for a target", retryAfter));
     }
   }
 
-  /** The waiting requests of one service and how fast their turns come. */
-  private static final class Lane {
-    private static final double GAIN = 0.1;
+  /** The waiting requests of one service and the mean time between their starts. */
+  private static final class ServiceQueue {
+    private static final double SMOOTHING_RATIO = 0.1;
 
-    private final FairQueue<Permit> queue = new FairQueue<>();
-    private double turnMillis;
-    private long lastTurnAt;
+    private final FairQueue<Permit> waiting = new FairQueue<>();
+    private double startIntervalMillis;
+    private long lastStartAt;
 
-    private void turnTaken(long now) {
-      if (lastTurnAt > 0) {
-        turnMillis += GAIN * (now - lastTurnAt - turnMillis);
+    private void recordStart(long now) {
+      if (lastStartAt > 0) {
+        startIntervalMillis += SMOOTHING_RATIO * (now - lastStartAt - startIntervalMillis);
       }
-      lastTurnAt = now;
+      lastStartAt = now;
     }
 
-    private long expectedWait() {
-      return (long) (turnMillis * (queue.size() + 1));
+    private long expectedWaitMillis() {
+      return (long) (startIntervalMillis * (waiting.size() + 1));
     }
   }
 
-  /** Starts a request, lets it wait, or refuses it; returns its permit. */
-  public Permit submit(PendingRequest applicant, Row account, Row service) {
-    Lane lane = lanes.computeIfAbsent(applicant.service(), name -> new Lane());
-    Permit permit = new Permit(applicant, lane);
+  /** Starts, queues or rejects a request; returns its permit. */
+  public Permit submit(PendingRequest request, Row account, Row service) {
+    ServiceQueue queue = queues.computeIfAbsent(request.service(), name -> new ServiceQueue());
+    Permit permit = new Permit(request, queue);
     int weight = account.number(Column.ACCOUNT_WEIGHT);
-    int open = accounts.opened(applicant.account(), weight, context.now());
+    int open = accounts.opened(request.account(), weight, context.now());
     if (open > account.number(Column.CONCURRENT_LIMIT)) {
-      permit.refuse(
+      permit.reject(
           Problem.notRun(
               ProblemType.ACCOUNT_LIMIT,
               "the limit is " + account.number(Column.CONCURRENT_LIMIT) + " open requests",
-              Math.max(SHORTEST_RETRY_MILLIS, (long) lane.turnMillis)));
-    } else if (lane.queue.size() > 0 || !start(permit)) {
-      queue(permit, account, service);
+              Math.max(MIN_RETRY_AFTER_MILLIS, (long) queue.startIntervalMillis)));
+    } else if (queue.waiting.size() > 0 || !start(permit)) {
+      enqueue(permit, account, service);
     }
     return permit;
   }
 
   private boolean start(Permit permit) {
-    boolean overShare = isOverShare(permit.applicant.account());
-    if (!permit.applicant.tryStart(overShare)) {
+    boolean overShare = isOverShare(permit.request.account());
+    if (!permit.request.tryStart(overShare)) {
       return false;
     }
     context.measure(
         Measurement.QUEUE_MILLIS,
-        permit.applicant.service(),
+        permit.request.service(),
         Arm.FIRST,
-        context.now() - permit.askedAt);
+        context.now() - permit.submittedAt);
     return true;
   }
 
-  private void queue(Permit permit, Row account, Row service) {
-    long patienceMillis = service.number(Column.PATIENCE_MILLIS);
-    long expected = permit.lane.expectedWait();
-    if (expected > patienceMillis) {
-      String detail = "the wait would be about " + expected + " ms";
-      permit.refuse(
-          new Problem(ProblemType.OVERLOADED, Outcome.NOT_RUN, detail, expected - patienceMillis));
+  private void enqueue(Permit permit, Row account, Row service) {
+    long timeoutMillis = service.number(Column.PATIENCE_MILLIS);
+    long expectedMillis = permit.queue.expectedWaitMillis();
+    if (expectedMillis > timeoutMillis) {
+      String detail = "the wait would be about " + expectedMillis + " ms";
+      permit.reject(
+          new Problem(
+              ProblemType.OVERLOADED, Outcome.NOT_RUN, detail, expectedMillis - timeoutMillis));
       return;
     }
-    permit.patience = context.after(patienceMillis, () -> permit.patienceEnded(patienceMillis));
+    permit.timeout = context.after(timeoutMillis, () -> permit.timedOut(timeoutMillis));
     permit.entry =
-        permit.lane.queue.add(
-            permit.applicant.account(),
+        permit.queue.waiting.add(
+            permit.request.account(),
             account.number(Column.ACCOUNT_WEIGHT),
-            permit.applicant.cost(),
+            permit.request.cost(),
             permit);
     context.note(
         EventCode.REQUEST_QUEUED,
-        permit.applicant.account().value(),
-        permit.applicant.service() + ", waiting: " + permit.lane.queue.size());
+        permit.request.account().value(),
+        permit.request.service() + ", waiting: " + permit.queue.waiting.size());
   }
 
-  /** Returns whether an account has more than its share here while others are active. */
+  /** Returns whether an account has more than its share at this host while others are active. */
   public boolean isOverShare(AccountId account) {
     return accounts.isOverShare(account, context.now());
   }
 
-  /** Starts waiting requests of every service while there are free targets. */
+  /** Starts waiting requests of all services while there are free targets. */
   public void dispatch() {
-    lanes.values().forEach(this::dispatch);
+    queues.values().forEach(this::dispatch);
   }
 
-  private void dispatch(Lane lane) {
+  private void dispatch(ServiceQueue queue) {
     while (true) {
-      var head = lane.queue.peek();
-      if (head.isEmpty() || !start(head.get())) {
+      var first = queue.waiting.peek();
+      if (first.isEmpty() || !start(first.get())) {
         return;
       }
-      Permit started = head.get();
-      lane.queue.poll();
-      lane.turnTaken(context.now());
-      started.patience.cancel();
+      Permit started = first.get();
+      queue.waiting.poll();
+      queue.recordStart(context.now());
+      started.timeout.cancel();
       started.entry = null;
     }
   }
 
   /** Returns how many requests wait, over all services. */
   public int waitingRequests() {
-    return lanes.values().stream().mapToInt(lane -> lane.queue.size()).sum();
+    return queues.values().stream().mapToInt(queue -> queue.waiting.size()).sum();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/FairQueue.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/FairQueue.java
@@ -8,8 +8,8 @@
 import org.gatereel.core.model.AccountId;
 
 /**
- * Waiting requests in start-time fair order: over any stretch in which two accounts both wait, each
- * gets work done in proportion to its weight, whatever the other one sends.
+ * A queue with start-time fair queueing: while several accounts have waiting requests, each is
+ * served in proportion to its weight.
  */
 public final class FairQueue<T> {
   private final PriorityQueue<Entry<T>> waiting =
@@ -20,7 +20,7 @@
   private double virtualTime;
   private long sequence;
 
-  /** One place in the queue. */
+  /** A queued request, for {@link #remove}. */
   public static final class Entry<T> {
     private final T item;
     private final double start;
@@ -37,7 +37,11 @@
     }
   }
 
-  /** Adds a request that costs {@code cost} in any unit that all requests here share. */
+  /**
+   * Adds a request.
+   *
+   * @param cost in any unit that is the same for all requests of this queue
+   */
   public Entry<T> add(AccountId account, int weight, double cost, T item) {
     double start = Math.max(virtualTime, finishByAccount.getOrDefault(account, 0.0));
     finishByAccount.put(account, start + cost / weight);
@@ -46,17 +50,17 @@
     return entry;
   }
 
-  /** Takes a request out that no longer waits; harmless if it was already taken. */
+  /** Removes a request; has no effect if it is no longer queued. */
   public void remove(Entry<T> entry) {
     waiting.remove(entry);
   }
 
-  /** Returns the request whose turn it is, and leaves it in the queue. */
+  /** Returns the next request without removing it. */
   public Optional<T> peek() {
     return Optional.ofNullable(waiting.peek()).map(Entry::item);
   }
 
-  /** Takes out the request whose turn it is. */
+  /** Removes and returns the next request. */
   public Optional<T> poll() {
     Entry<T> entry = waiting.poll();
     if (entry == null) {
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/PendingRequest.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/PendingRequest.java
@@ -4,22 +4,23 @@
 import org.gatereel.core.model.Problem;
 import org.gatereel.core.model.ServiceName;
 
-/** A request that wants a target. */
+/** A request that has not been sent to a target yet. */
 public interface PendingRequest {
   AccountId account();
 
   ServiceName service();
 
-  /** Returns the cost in tokens or calls; only the ratio between requests of a service counts. */
+  /** Returns the cost in any unit that is the same for all requests of a service. */
   double cost();
 
   /**
    * Starts the request if a target is free; returns whether it did.
    *
-   * @param overShare whether the account has more than its share, and has to leave some room free
+   * @param overShare whether the account has more than its share, so that some capacity must stay
+   *     free for others
    */
   boolean tryStart(boolean overShare);
 
-  /** Tells the caller that the request will not run. */
+  /** Reports to the caller that the request is not executed. */
   void reject(Problem problem);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/RetryBudget.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/RetryBudget.java
@@ -1,38 +1,39 @@
 package org.gatereel.core.admission;
 
 /**
- * Allows retries in proportion to requests, so that a dying hall is not finished off by them.
+ * Limits retries to a ratio of requests, so that retries do not amplify an outage.
  *
- * <p>Each request earns a fraction of a retry; a few are in hand from the start.
+ * <p>Each request adds a fraction of a retry to the budget, up to a maximum. The budget starts
+ * full.
  */
 public final class RetryBudget {
-  private static final double IN_HAND = 10;
+  private static final double DEFAULT_MAX_RETRIES = 10;
   private static final double PERCENT = 100;
 
-  private final double inHand;
-  private double allowed;
+  private final double maxRetries;
+  private double availableRetries;
 
   public RetryBudget() {
-    this(IN_HAND);
+    this(DEFAULT_MAX_RETRIES);
   }
 
-  /** Begins with {@code inHand} retries, which is also the most that can be saved up. */
-  public RetryBudget(double inHand) {
-    this.inHand = inHand;
-    this.allowed = inHand;
+  /** Makes a full budget of at most {@code maxRetries}. */
+  public RetryBudget(double maxRetries) {
+    this.maxRetries = maxRetries;
+    this.availableRetries = maxRetries;
   }
 
-  /** Notes a request of a service that allows {@code percent} retries for each 100 requests. */
+  /** Records a request of a service that allows {@code percent} retries per 100 requests. */
   public void recordRequest(int percent) {
-    allowed = Math.min(inHand, allowed + percent / PERCENT);
+    availableRetries = Math.min(maxRetries, availableRetries + percent / PERCENT);
   }
 
-  /** Takes one retry out of the budget; returns whether there was one. */
+  /** Takes one retry from the budget; returns false if there is none. */
   public boolean tryAcquire() {
-    if (allowed < 1) {
+    if (availableRetries < 1) {
       return false;
     }
-    allowed -= 1;
+    availableRetries -= 1;
     return true;
   }
 }
