--- a/gatereel-core/src/test/java/org/gatereel/core/admission/ActiveAccountsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/admission/ActiveAccountsTest.java
@@ -19,12 +19,12 @@
   }
 
   @Test
-  void anAccountThatIsAloneMayHaveAll() {
+  void theOnlyActiveAccountIsNeverOverItsShare() {
     assertFalse(flooded().isOverShare(FLOODER, 1_000));
   }
 
   @Test
-  void anAccountWithMoreThanItsShareLeavesRoomWhileOthersAreActive() {
+  void anAccountIsOverItsShareOnlyWhileOthersAreActive() {
     ActiveAccounts accounts = flooded();
     accounts.opened(SMALL, 10, 2_000);
     assertTrue(accounts.isOverShare(FLOODER, 2_000));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aLargerWeightIsALargerShare() {
+  void aLargerWeightGivesALargerShare() {
     ActiveAccounts accounts = new ActiveAccounts();
     for (int number = 0; number < 3; number++) {
       accounts.opened(FLOODER, 30, 0);
--- a/gatereel-core/src/test/java/org/gatereel/core/admission/FairQueueTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/admission/FairQueueTest.java
@@ -13,17 +13,17 @@
   private static final AccountId SMALL = new AccountId("small");
 
   @Test
-  void accountsThatWaitGetTurnsInProportionToTheirWeights() {
+  void waitingAccountsAreServedInProportionToTheirWeights() {
     FairQueue<AccountId> queue = new FairQueue<>();
     for (int number = 0; number < 300; number++) {
       queue.add(FLOODER, 10, 1, FLOODER);
       queue.add(SMALL, 30, 1, SMALL);
     }
-    Map<AccountId, Integer> turns = new HashMap<>();
-    for (int turn = 0; turn < 200; turn++) {
-      turns.merge(queue.poll().orElseThrow(), 1, Integer::sum);
+    Map<AccountId, Integer> served = new HashMap<>();
+    for (int count = 0; count < 200; count++) {
+      served.merge(queue.poll().orElseThrow(), 1, Integer::sum);
     }
-    assertEquals(150, turns.get(SMALL), 2);
+    assertEquals(150, served.get(SMALL), 2);
   }
 
   @Test
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void anEntryThatWasRemovedGetsNoTurn() {
+  void aRemovedEntryIsNotReturned() {
     FairQueue<AccountId> queue = new FairQueue<>();
     FairQueue.Entry<AccountId> entry = queue.add(SMALL, 1, 1, SMALL);
     queue.remove(entry);
