--- a/gatereel-core/src/main/java/org/gatereel/core/load/DemandKey.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/DemandKey.java
@@ -5,31 +5,30 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * Whose requests for a service are counted together.
+ * The requests to a service that are counted together.
  *
- * @param priority the priority of their route, 0 first; negative where requests of all are counted
- * @param account the client account, if they showed one
+ * @param priority the priority of their route, where 0 is the highest; negative for totals over all
+ *     accounts and priorities
+ * @param account the client account; empty for requests without one and for totals
  */
 public record DemandKey(ServiceName service, int priority, Optional<AccountId> account) {
-  /** The rank under which all requests of a service are counted. */
-  private static final int ALL = -1;
-
-  /** The rank under which requests that wait for a turn are counted. */
+  private static final int ALL_PRIORITIES = -1;
   private static final int WAITING = -2;
 
   /**
-   * Returns the key of the requests for a service that wait for a turn at hosts: a number, no rate.
+   * Returns the key of the requests to a service that wait at hosts. Its value is their number, not
+   * a rate.
    */
   public static DemandKey waitingFor(ServiceName service) {
     return new DemandKey(service, WAITING, Optional.empty());
   }
 
-  /** Returns the key of all requests for a service. */
+  /** Returns the key of all requests to a service. */
   public static DemandKey allOf(ServiceName service) {
-    return new DemandKey(service, ALL, Optional.empty());
+    return new DemandKey(service, ALL_PRIORITIES, Optional.empty());
   }
 
-  /** Returns whether this counts requests of one account and rank, and not of all together. */
+  /** Returns whether this counts requests of one account and priority, and is not a total. */
   public boolean isPerAccount() {
     return priority >= 0;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -24,23 +24,21 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * Tells other hosts what this one has open at engines, and knows what they have.
+ * Reports this host's load to other hosts, and sums up the load that they report.
  *
- * <p>The host that reads the store for its data centre also gathers: the others report to it, it
- * exchanges sums with the gatherers of other data centres, and tells each host what all others
- * have. A host whose gatherer does not answer reports to the next one; one that nobody reports to
- * decides by what it sees itself. Plain calls end before the news arrives, so that of them errors
- * alone are told.
+ * <p>Hosts report to the gatherer of their data centre. Gatherers exchange the sums of their data
+ * centres, and send each host of their own the sums of all others. If a gatherer does not respond,
+ * its hosts report to the next one in rank. A host that receives no reports uses its own
+ * observations only.
  */
 public final class LoadExchange {
-  /** How often a host says that what it told last still holds. */
   static final long HEARTBEAT_MILLIS = 1_000;
 
-  /** What changes within this time goes out together; a stream lasts some hundred times longer. */
-  private static final long GATHER_MILLIS = 20;
+  /** Changes within this time are sent in one report. */
+  private static final long BATCH_DELAY_MILLIS = 20;
 
-  /** A failure is told for as long as a report of it counts; an older one decides nothing. */
-  private static final long TOLD_MILLIS = LoadTable.LEASE_MILLIS;
+  /** Older failures are not reported, since a receiver would not use them. */
+  private static final long REPORTED_FAILURE_MILLIS = LoadTable.LEASE_MILLIS;
 
   private final CoreContext context;
   private final TargetRegistry targets;
@@ -49,20 +47,20 @@
   private final LoadTable table;
   private final Sender sender;
   private final Map<LoadLink.Receiver, LoadLink> links = new LinkedHashMap<>();
-  private final Set<Address> busy = new HashSet<>();
+  private final Set<Address> awaitingReceipt = new HashSet<>();
   private Supplier<Map<DemandKey, Double>> demand = Map::of;
   private Supplier<Map<EvidenceKey, ResponseTally>> evidence = Map::of;
   private FactSources facts = FactSources.NONE;
   private long flushAt = Long.MAX_VALUE;
   private long sequence;
 
-  /** Who this host is to others. */
+  /** This host, as named in its reports. */
   record Sender(HostId host, Address address, long session) {}
 
   /**
-   * Makes an exchange; nothing is sent before {@link #start}.
+   * Makes an exchange that sends nothing before {@link #start}.
    *
-   * @param address where this host takes reports
+   * @param address the address at which this host receives reports
    */
   public LoadExchange(
       CoreContext context,
@@ -78,40 +76,40 @@
     this.sender = new Sender(context.self(), address, context.random().nextLong());
   }
 
-  /** Has reports say how many requests a second come to this host. */
-  public void setDemandSource(Supplier<Map<DemandKey, Double>> told) {
-    demand = told;
+  /** Sets the source of this host's demand, in requests per second. */
+  public void setDemandSource(Supplier<Map<DemandKey, Double>> source) {
+    demand = source;
   }
 
-  /** Has reports say which answers this host counted during the roll-outs that run. */
-  public void setEvidenceSource(Supplier<Map<EvidenceKey, ResponseTally>> told) {
-    evidence = told;
+  /** Sets the source of the responses that this host counted during running rollouts. */
+  public void setEvidenceSource(Supplier<Map<EvidenceKey, ResponseTally>> source) {
+    evidence = source;
   }
 
-  /** Has reports carry what hosts have seen of requests under which targets end. */
-  public void setPoisonFacts(SharedFacts<PoisonFact> told) {
-    facts = new FactSources(told, facts.targets());
+  /** Sets the facts about poison requests that reports carry. */
+  public void setPoisonFacts(SharedFacts<PoisonFact> poisonFacts) {
+    facts = new FactSources(poisonFacts, facts.targets());
   }
 
-  /** Has reports carry what targets have said. */
-  public void setTargetFacts(SharedFacts<TargetFact> told) {
-    facts = new FactSources(facts.poison(), told);
+  /** Sets the facts announced by targets that reports carry. */
+  public void setTargetFacts(SharedFacts<TargetFact> targetFacts) {
+    facts = new FactSources(facts.poison(), targetFacts);
   }
 
-  /** Begins to report. */
+  /** Starts to send reports. */
   public void start() {
-    beat();
+    heartbeat();
   }
 
-  private void beat() {
+  private void heartbeat() {
     table.expire();
     flush();
-    context.after(HEARTBEAT_MILLIS, this::beat);
+    context.after(HEARTBEAT_MILLIS, this::heartbeat);
   }
 
-  /** Notes that what this host has at some engine has changed. */
+  /** Schedules reports after a change of this host's load. */
   public void scheduleReports() {
-    flushBy(context.now() + GATHER_MILLIS);
+    flushBy(context.now() + BATCH_DELAY_MILLIS);
   }
 
   private void flushBy(long time) {
@@ -127,63 +125,64 @@
     }
   }
 
-  /** Takes another host's report in; returns false if that host has to send a whole one. */
+  /** Processes a report of another host; returns false if that host must send a complete one. */
   public boolean receive(LoadReport report) {
-    boolean taken = table.receive(report);
+    boolean applied = table.receive(report);
     facts.merge(report);
-    if (taken && report.scope() != LoadScope.EVERYONE_ELSE) {
+    if (applied && report.scope() != LoadScope.EVERYONE_ELSE) {
       scheduleReports();
     }
-    return taken;
+    return applied;
   }
 
-  /** Returns what all other hosts have at a target, as far as it is known here. */
+  /** Returns the reported load of all other hosts at a target. */
   public TargetLoad othersLoad(TargetId target) {
     return table.othersLoad(target);
   }
 
-  /** Returns how many requests a second come to all other hosts, as far as it is known here. */
+  /** Returns the reported demand at all other hosts, in requests per second. */
   public Map<DemandKey, Double> othersDemand() {
     return table.others().demand();
   }
 
-  /** Returns what all other hosts counted during roll-outs, as far as it is known here. */
+  /** Returns the reported rollout evidence of all other hosts. */
   public Map<EvidenceKey, ResponseTally> othersEvidence() {
     return table.others().evidence();
   }
 
-  /** Returns the age of the oldest word of others that counts, in milliseconds. */
+  /** Returns the age of the oldest report in use, in milliseconds; 0 if there is none. */
   public long oldestReportAgeMillis() {
     return table.oldestReportAgeMillis();
   }
 
-  /** Returns how many hosts, or data centres, are heard from. */
+  /** Returns the number of hosts and data centres whose reports are in use. */
   public int sourceCount() {
     return table.sourceCount();
   }
 
   private void flush() {
     flushAt = Long.MAX_VALUE;
-    Map<LoadLink.Receiver, LoadLink> present = new LinkedHashMap<>();
-    LoadSums own = new LoadSums(own(), demand.get(), evidence.get());
+    Map<LoadLink.Receiver, LoadLink> current = new LinkedHashMap<>();
+    LoadSums own = new LoadSums(ownLoads(), demand.get(), evidence.get());
     for (LoadLink.Receiver receiver : receivers()) {
       LoadLink link = links.getOrDefault(receiver, new LoadLink(receiver));
-      present.put(receiver, link);
+      current.put(receiver, link);
       send(link, own);
     }
-    // A link that leads to a failing host is kept, so that its backoff is not forgotten.
+    // Links to failing hosts are kept for their backoff.
     links.forEach(
         (receiver, link) -> {
           if (link.isFailing(context.now()) || link.isAwaitingReceipt()) {
-            present.putIfAbsent(receiver, link);
+            current.putIfAbsent(receiver, link);
           }
         });
     links.clear();
-    links.putAll(present);
+    links.putAll(current);
   }
 
   private List<LoadLink.Receiver> receivers() {
-    Optional<Address> gatherer = directory.higherRankedHosts().stream().filter(this::isReachable).findFirst();
+    Optional<Address> gatherer =
+        directory.higherRankedHosts().stream().filter(this::isReachable).findFirst();
     List<LoadLink.Receiver> receivers = new ArrayList<>();
     if (gatherer.isPresent()) {
       receivers.add(new LoadLink.Receiver(gatherer.get(), LoadScope.HOST, Optional.empty()));
@@ -209,8 +208,8 @@
   }
 
   private void send(LoadLink link, LoadSums own) {
-    if (busy.contains(link.receiver().address())) {
-      // Two links may lead to one host; what comes of the report under way flushes again.
+    if (awaitingReceipt.contains(link.receiver().address())) {
+      // The receipt schedules another flush; two links may have the same address.
       return;
     }
     if (context.now() < link.nextReportAt()) {
@@ -223,12 +222,12 @@
 
   private void send(LoadLink link, LoadReport report) {
     Address receiver = link.receiver().address();
-    busy.add(receiver);
-    port.send(receiver, report, receipt -> settled(link, report, receipt));
+    awaitingReceipt.add(receiver);
+    port.send(receiver, report, receipt -> onReceipt(link, report, receipt));
   }
 
-  private void settled(LoadLink link, LoadReport report, LoadPort.Receipt receipt) {
-    busy.remove(link.receiver().address());
+  private void onReceipt(LoadLink link, LoadReport report, LoadPort.Receipt receipt) {
+    awaitingReceipt.remove(link.receiver().address());
     boolean wasFailing = link.isFailing(context.now());
     link.onReceipt(receipt, context.now());
     if (receipt == LoadPort.Receipt.LOST && !wasFailing) {
@@ -251,11 +250,13 @@
     return sums;
   }
 
-  private Map<TargetId, TargetLoad> own() {
+  private Map<TargetId, TargetLoad> ownLoads() {
     Map<TargetId, TargetLoad> loads = new HashMap<>();
     for (TargetState target : targets.all()) {
       TargetLoad load =
-          target.description().kind() == TargetKind.ENGINE ? engineLoad(target) : errorsOf(target);
+          target.description().kind() == TargetKind.ENGINE
+              ? engineLoad(target)
+              : plainServiceLoad(target);
       if (!load.isNone()) {
         loads.put(target.description().id(), load);
       }
@@ -268,25 +269,26 @@
         target.openHere(),
         target.readingHere(),
         target.copiesHere(),
-        errorsHere(target),
-        lateFailure(target));
+        recentErrors(target),
+        recentFailureAt(target));
   }
 
   /**
-   * Calls of plain services end before the news arrives; hosts that know the same old loads would
-   * all turn to the same target at once.
+   * Leaves out open requests, which usually end before a report is received. Hosts that act on the
+   * same outdated loads would all select the same target.
    */
-  private TargetLoad errorsOf(TargetState target) {
-    return new TargetLoad(0, 0, 0, errorsHere(target), TargetLoad.NEVER);
+  private TargetLoad plainServiceLoad(TargetState target) {
+    return new TargetLoad(0, 0, 0, recentErrors(target), TargetLoad.NEVER);
   }
 
-  private int errorsHere(TargetState target) {
+  private int recentErrors(TargetState target) {
     return (int) Math.round(target.errorsHere(context.now()));
   }
 
-  private long lateFailure(TargetState target) {
+  private long recentFailureAt(TargetState target) {
     long failedAt = target.lastFailureAt();
-    boolean recent = failedAt != TargetLoad.NEVER && context.now() - failedAt < TOLD_MILLIS;
+    boolean recent =
+        failedAt != TargetLoad.NEVER && context.now() - failedAt < REPORTED_FAILURE_MILLIS;
     return recent ? failedAt : TargetLoad.NEVER;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
@@ -12,52 +12,47 @@
 import org.gatereel.core.statement.TargetFact;
 
 /**
- * What one receiver has been told, so that it is told only what changed.
+ * The state of reporting to one receiver, which is sent only what has changed.
  *
- * <p>Reports follow each other no faster than the link's share of control traffic allows, and not
- * before the last one was received: what changes meanwhile goes out with the next.
+ * <p>A report is sent after the receipt of the one before, and within the bandwidth limit of the
+ * link. Changes in between are sent with the next report.
  */
 final class LoadLink {
-  /**
-   * Control traffic is to stay below 7 KB a second a host; a host that does not gather has one link
-   * out and one in, nearly all of it the gatherer's.
-   */
-  private static final int BYTES_PER_SECOND = 5_000;
+  /** The bandwidth limit of a link, which keeps control traffic per host below 7 KB/s. */
+  private static final int MAX_BYTES_PER_SECOND = 5_000;
 
-  /** Heads of question and answer with what a report says of its sender, as counted on the wire. */
-  private static final int REPORT_BYTES = 330;
+  /** The estimated size of a report without entries, with the heads of request and response. */
+  private static final int REPORT_OVERHEAD_BYTES = 330;
 
-  /**
-   * One target or demand in a report, as counted on the wire; 9 more where targets tell their
-   * start, which is within what a host may send.
-   */
+  /** The estimated size of one target, demand or evidence entry. */
   private static final int ENTRY_BYTES = 32;
 
-  /** One fact about a request under which targets end, as counted on the wire. */
-  private static final int FACT_BYTES = 90;
-
-  /** What a target said: its kind, the longest name and start that targets have, two numbers. */
+  private static final int POISON_FACT_BYTES = 90;
   private static final int TARGET_FACT_BYTES = 50;
 
-  /** With 64 facts a report takes a second of the link; the others follow with the next. */
-  private static final int MOST_FACTS = 64;
+  /** The most facts of one kind in a report; the others follow in later reports. */
+  private static final int MAX_FACTS_PER_REPORT = 64;
 
-  private static final long FIRST_BACKOFF_MILLIS = 250;
-  private static final long LONGEST_BACKOFF_MILLIS = 4_000;
+  private static final long INITIAL_BACKOFF_MILLIS = 250;
+  private static final long MAX_BACKOFF_MILLIS = 4_000;
 
-  /** Whom a link leads to, and what is said there. */
+  /**
+   * The receiving end of a link.
+   *
+   * @param host the receiving host, where its own load must be left out of the sums
+   */
   record Receiver(Address address, LoadScope scope, Optional<HostId> host) {}
 
   private final Receiver receiver;
-  private Map<TargetId, TargetLoad> told = new HashMap<>();
+  private Map<TargetId, TargetLoad> sentLoads = new HashMap<>();
   private OptionalLong lastSequence = OptionalLong.empty();
-  private long badTold;
-  private final SentFacts<PoisonFact> poisonTold = new SentFacts<>();
-  private final SentFacts<TargetFact> targetsTold = new SentFacts<>();
+  private long sentBadResponses;
+  private final SentFacts<PoisonFact> sentPoisonFacts = new SentFacts<>();
+  private final SentFacts<TargetFact> sentTargetFacts = new SentFacts<>();
   private long sentAt = Long.MIN_VALUE / 2;
   private long nextReportAt = Long.MIN_VALUE / 2;
-  private long backoffMillis = FIRST_BACKOFF_MILLIS;
-  private boolean underWay;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+  private boolean awaitingReceipt;
 
   LoadLink(Receiver receiver) {
     this.receiver = receiver;
@@ -67,33 +62,35 @@
     return receiver;
   }
 
-  /** Returns when a report may be sent again. */
+  /** Returns the earliest time for the next report. */
   long nextReportAt() {
     return nextReportAt;
   }
 
   boolean isAwaitingReceipt() {
-    return underWay;
+    return awaitingReceipt;
   }
 
-  /** Returns whether the last report was lost, so that this receiver is better not relied on. */
+  /** Returns whether the last report was lost and its backoff has not ended. */
   boolean isFailing(long now) {
-    return backoffMillis > FIRST_BACKOFF_MILLIS && now < nextReportAt;
+    return backoffMillis > INITIAL_BACKOFF_MILLIS && now < nextReportAt;
   }
 
-  /** Makes the next report out of the present loads; empty if there is no need of one. */
+  /** Makes the next report from the current sums; empty if there is nothing to send. */
   Optional<LoadReport> nextReport(
       LoadSums sums, FactSources facts, LoadExchange.Sender sender, long sequence, long now) {
     Map<TargetId, TargetLoad> loads = sums.loads();
-    boolean whole = lastSequence.isEmpty();
-    Map<TargetId, TargetLoad> changed = whole ? loads : changes(loads);
-    boolean beat = now - sentAt >= LoadExchange.HEARTBEAT_MILLIS;
-    // A version that turns bad must be known everywhere long before the next heartbeat.
-    boolean alarm = sums.badResponses() > badTold;
-    List<PoisonFact> poison = poisonTold.nextToSend(facts.poison(), whole, MOST_FACTS);
-    List<TargetFact> targetFacts = targetsTold.nextToSend(facts.targets(), whole, MOST_FACTS);
-    boolean news = !poison.isEmpty() || !targetFacts.isEmpty();
-    if (changed.isEmpty() && !news && !beat && !whole && !alarm) {
+    boolean complete = lastSequence.isEmpty();
+    Map<TargetId, TargetLoad> changed = complete ? loads : changes(loads);
+    boolean heartbeatDue = now - sentAt >= LoadExchange.HEARTBEAT_MILLIS;
+    // Bad responses of a new version are sent without waiting for the next heartbeat.
+    boolean moreBadResponses = sums.badResponses() > sentBadResponses;
+    List<PoisonFact> poison =
+        sentPoisonFacts.nextToSend(facts.poison(), complete, MAX_FACTS_PER_REPORT);
+    List<TargetFact> targetFacts =
+        sentTargetFacts.nextToSend(facts.targets(), complete, MAX_FACTS_PER_REPORT);
+    boolean newFacts = !poison.isEmpty() || !targetFacts.isEmpty();
+    if (changed.isEmpty() && !newFacts && !heartbeatDue && !complete && !moreBadResponses) {
       return Optional.empty();
     }
     LoadReport report =
@@ -109,13 +106,13 @@
             sums.evidence(),
             poison,
             targetFacts);
-    badTold = sums.badResponses();
-    told = new HashMap<>(loads);
+    sentBadResponses = sums.badResponses();
+    sentLoads = new HashMap<>(loads);
     sentAt = now;
     int entries = changed.size() + sums.demand().size() + sums.evidence().size();
     nextReportAt = now + pauseMillis(entries, poison.size(), targetFacts.size());
     lastSequence = OptionalLong.of(sequence);
-    underWay = true;
+    awaitingReceipt = true;
     return Optional.of(report);
   }
 
@@ -123,32 +120,34 @@
     Map<TargetId, TargetLoad> changes = new HashMap<>();
     loads.forEach(
         (target, load) -> {
-          if (!load.equals(told.get(target))) {
+          if (!load.equals(sentLoads.get(target))) {
             changes.put(target, load);
           }
         });
-    told.keySet().stream()
+    sentLoads.keySet().stream()
         .filter(target -> !loads.containsKey(target))
         .forEach(target -> changes.put(target, TargetLoad.NONE));
     return changes;
   }
 
-  private static long pauseMillis(int entries, int poison, int targetFacts) {
-    long facts = (long) poison * FACT_BYTES + (long) targetFacts * TARGET_FACT_BYTES;
-    long bytes = REPORT_BYTES + (long) entries * ENTRY_BYTES + facts;
-    return bytes * 1_000 / BYTES_PER_SECOND;
+  /** Returns the pause after a report that keeps the link within its bandwidth limit. */
+  private static long pauseMillis(int entries, int poisonFacts, int targetFacts) {
+    long factBytes =
+        (long) poisonFacts * POISON_FACT_BYTES + (long) targetFacts * TARGET_FACT_BYTES;
+    long bytes = REPORT_OVERHEAD_BYTES + (long) entries * ENTRY_BYTES + factBytes;
+    return bytes * 1_000 / MAX_BYTES_PER_SECOND;
   }
 
-  /** Notes what became of the report that was under way. */
+  /** Processes the receipt of the last report; after a lost one the next is delayed. */
   void onReceipt(LoadPort.Receipt receipt, long now) {
-    underWay = false;
+    awaitingReceipt = false;
     switch (receipt) {
-      case TAKEN -> backoffMillis = FIRST_BACKOFF_MILLIS;
+      case TAKEN -> backoffMillis = INITIAL_BACKOFF_MILLIS;
       case WHOLE_NEEDED -> lastSequence = OptionalLong.empty();
       case LOST -> {
         lastSequence = OptionalLong.empty();
         nextReportAt = now + backoffMillis;
-        backoffMillis = Math.min(LONGEST_BACKOFF_MILLIS, 2 * backoffMillis);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
       }
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadPort.java
@@ -3,22 +3,23 @@
 import java.util.function.Consumer;
 import org.gatereel.core.model.Address;
 
-/** Carries reports to other hosts. */
+/** Sends load reports to other hosts. */
 public interface LoadPort {
   /**
-   * Sends a report; {@code receipt} is told exactly once, later, on the control thread.
+   * Sends a report. {@code receipt} is called exactly once, after this method has returned, on the
+   * control thread.
    *
-   * <p>One report to an address is under way at a time.
+   * <p>Until then no other report is sent to the same address.
    */
   void send(Address receiver, LoadReport report, Consumer<Receipt> receipt);
 
-  /** What became of a report. */
+  /** The result of sending a report. */
   enum Receipt {
-    /** The receiver has taken it in. */
+    /** The receiver has applied the report. */
     TAKEN,
-    /** The receiver lacks what this report builds on; the next one must be whole. */
+    /** The receiver lacks the report that this one is based on; the next one must be complete. */
     WHOLE_NEEDED,
-    /** No answer came in time, or none that says so. */
+    /** No valid response was received before the timeout. */
     LOST
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadReport.java
@@ -12,20 +12,20 @@
 import org.gatereel.core.statement.TargetFact;
 
 /**
- * One message of a host about targets.
+ * A host's report to another host on loads and demand; complete, or the changes since an earlier
+ * one.
  *
- * @param sender who says it
- * @param replyTo where the sender takes reports itself
- * @param session drawn at random by each process, so that a restarted sender is told apart
+ * @param replyTo the address at which the sender receives reports
+ * @param session a random number of the sender's process, which changes when the host restarts
  * @param sequence rises with each report of a session
- * @param baseSequence the sequence of the report that this one changes; if there is none, this one is
- *     whole, and targets that it does not name have no load
- * @param loads the present load of each target that is named
- * @param demand how many requests a second come, whole in each report; of single accounts only
- *     where a service is busy
- * @param evidence answers that were counted during the roll-outs that run, whole in each report
- * @param poison what became known of requests under which targets end, since the report before
- * @param targetFacts what targets have said, since the report before
+ * @param baseSequence the sequence of the report to which this one is a change; empty if this one
+ *     is complete, so that targets not in {@code loads} have no load
+ * @param loads the current loads of targets
+ * @param demand requests per second, complete in each report; of single accounts only where a
+ *     service is busy
+ * @param evidence responses counted during running rollouts, complete in each report
+ * @param poison observations of poison requests that were not reported yet
+ * @param targetFacts announcements of targets that were not reported yet
  */
 public record LoadReport(
     HostId sender,
@@ -39,18 +39,27 @@
     Map<EvidenceKey, ResponseTally> evidence,
     List<PoisonFact> poison,
     List<TargetFact> targetFacts) {
-  /** Makes a report of a host that has seen no answers during a roll-out, and heard of no facts. */
+  /** Makes a report without rollout evidence and facts. */
   public LoadReport(
       HostId sender,
       Address replyTo,
       LoadScope scope,
       long session,
       long sequence,
-      OptionalLong builtOn,
+      OptionalLong baseSequence,
       Map<TargetId, TargetLoad> loads,
       Map<DemandKey, Double> demand) {
     this(
-        sender, replyTo, scope, session, sequence, builtOn, loads, demand, Map.of(), List.of(),
+        sender,
+        replyTo,
+        scope,
+        session,
+        sequence,
+        baseSequence,
+        loads,
+        demand,
+        Map.of(),
+        List.of(),
         List.of());
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadScope.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadScope.java
@@ -1,14 +1,14 @@
 package org.gatereel.core.load;
 
-/** Whose requests a report counts, and so who may be sent it. */
+/** Which hosts' requests a report counts. */
 public enum LoadScope {
-  /** The sender's own, told to the host that gathers for its data centre. */
+  /** Those of the sender; sent to the gatherer of its data centre. */
   HOST,
-  /** Those of all hosts of the sender's data centre, told to those that gather for others. */
+  /** Those of all hosts of the sender's data centre; sent to the gatherers of other ones. */
   DATA_CENTRE,
   /**
-   * Those of all hosts but the receiver's own, told by a gatherer to a host of its data centre. It
-   * is never passed on, so that no load can come back to where it was counted first.
+   * Those of all hosts but the receiver; sent by a gatherer to a host of its data centre. The
+   * receiver does not forward them, so that no request is counted twice.
    */
   EVERYONE_ELSE
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
@@ -9,18 +9,15 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetId;
 
-/** What other hosts have told this one, each for as long as its lease lasts. */
+/** The reported loads of other hosts, each for the duration of its lease. */
 final class LoadTable {
-  /**
-   * Senders renew every {@link LoadExchange#HEARTBEAT_MILLIS}; two renewals may be lost. A host
-   * that ends leaves its load behind for no longer.
-   */
+  /** Long enough for two lost renewals; see {@link LoadExchange#HEARTBEAT_MILLIS}. */
   static final long LEASE_MILLIS = 2_500;
 
   private final CoreContext context;
-  private final Map<Source, SourceState> contributions = new LinkedHashMap<>();
+  private final Map<Source, SourceState> states = new LinkedHashMap<>();
   private LoadSums others = new LoadSums();
-  private boolean summed;
+  private boolean othersCurrent;
 
   private record Source(HostId host, LoadScope scope) {}
 
@@ -28,72 +25,72 @@
     this.context = context;
   }
 
-  /** Takes a report in; returns false if it builds on one that is not known here. */
+  /** Applies a report; returns false if the report that it is based on was not received. */
   boolean receive(LoadReport report) {
     Source source = new Source(report.sender(), report.scope());
-    SourceState known = contributions.get(source);
-    SourceState contribution = known == null ? new SourceState() : known;
-    if (!contribution.update(report, context.now())) {
+    SourceState existing = states.get(source);
+    SourceState state = existing == null ? new SourceState() : existing;
+    if (!state.update(report, context.now())) {
       return false;
     }
-    if (known == null) {
-      contributions.put(source, contribution);
-      note(EventCode.LOADS_HEARD, source, "targets=" + contribution.loads().size());
+    if (existing == null) {
+      states.put(source, state);
+      note(EventCode.LOADS_HEARD, source, "targets=" + state.loads().size());
     }
-    summed = false;
+    othersCurrent = false;
     return true;
   }
 
-  /** Drops what was not renewed; returns whether there was any. */
+  /** Removes sources whose lease has expired; returns whether there were any. */
   boolean expire() {
     long since = context.now() - LEASE_MILLIS;
-    boolean dropped = false;
-    for (var entry : Map.copyOf(contributions).entrySet()) {
+    boolean removed = false;
+    for (var entry : Map.copyOf(states).entrySet()) {
       if (entry.getValue().receivedAt() < since) {
-        contributions.remove(entry.getKey());
+        states.remove(entry.getKey());
         note(
             EventCode.LOADS_LAPSED,
             entry.getKey(),
             "ageMillis=" + (context.now() - entry.getValue().receivedAt()));
-        dropped = true;
+        removed = true;
       }
     }
-    summed &= !dropped;
-    return dropped;
+    othersCurrent &= !removed;
+    return removed;
   }
 
   private void note(EventCode code, Source source, String inputs) {
     context.note(code, source.host().value(), "scope=" + source.scope() + " " + inputs);
   }
 
-  /** Returns the hosts of this data centre that report here, and where they take reports. */
+  /** Returns the hosts of this data centre that report to this one, with their addresses. */
   Map<HostId, Address> reporters() {
     Map<HostId, Address> reporters = new LinkedHashMap<>();
-    contributions.forEach(
-        (source, contribution) -> {
+    states.forEach(
+        (source, state) -> {
           if (source.scope() == LoadScope.HOST) {
-            reporters.put(source.host(), contribution.replyTo());
+            reporters.put(source.host(), state.replyTo());
           }
         });
     return reporters;
   }
 
-  /** Returns what all other hosts have at a target, as far as it is known. */
+  /** Returns the reported load of all other hosts at a target. */
   TargetLoad othersLoad(TargetId target) {
     return others().loads().getOrDefault(target, TargetLoad.NONE);
   }
 
-  /** Returns what all other hosts have and are asked for, as far as it is known. */
+  /** Returns the reported sums of all other hosts. */
   LoadSums others() {
     expire();
-    if (!summed) {
+    if (!othersCurrent) {
       others = sumOfOthers();
-      summed = true;
+      othersCurrent = true;
     }
     return others;
   }
 
-  /** A gatherer's word counts all others; without one, what came here directly does. */
+  /** Uses the latest sums of a gatherer, or adds up the reports of other scopes without one. */
   private LoadSums sumOfOthers() {
     LoadSums sums = new LoadSums();
     latest(LoadScope.EVERYONE_ELSE)
@@ -108,7 +105,7 @@
 
   private Optional<SourceState> latest(LoadScope scope) {
     SourceState latest = null;
-    for (var entry : contributions.entrySet()) {
+    for (var entry : states.entrySet()) {
       boolean later = latest == null || entry.getValue().receivedAt() > latest.receivedAt();
       if (entry.getKey().scope() == scope && later) {
         latest = entry.getValue();
@@ -117,23 +114,23 @@
     return Optional.ofNullable(latest);
   }
 
-  /** Adds what senders of a scope have said to sums, except for one of them. */
-  void addAll(LoadScope scope, Optional<HostId> except, LoadSums sums) {
-    contributions.forEach(
-        (source, contribution) -> {
-          if (source.scope() == scope && !except.equals(Optional.of(source.host()))) {
-            sums.add(contribution);
+  /** Adds the reported loads of a scope to {@code sums}, except those of one host. */
+  void addAll(LoadScope scope, Optional<HostId> excludedHost, LoadSums sums) {
+    states.forEach(
+        (source, state) -> {
+          if (source.scope() == scope && !excludedHost.equals(Optional.of(source.host()))) {
+            sums.add(state);
           }
         });
   }
 
-  /** Returns the age of the oldest word that counts, in milliseconds; 0 if there is none. */
+  /** Returns the age of the oldest report in use, in milliseconds; 0 if there is none. */
   long oldestReportAgeMillis() {
     Optional<SourceState> gathered = latest(LoadScope.EVERYONE_ELSE);
     long oldest =
         gathered.isPresent()
             ? gathered.get().receivedAt()
-            : contributions.values().stream()
+            : states.values().stream()
                 .mapToLong(SourceState::receivedAt)
                 .min()
                 .orElse(context.now());
@@ -141,6 +138,6 @@
   }
 
   int sourceCount() {
-    return contributions.size();
+    return states.size();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/SentFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SentFacts.java
@@ -3,21 +3,21 @@
 import java.util.List;
 import org.gatereel.core.internal.SharedFacts;
 
-/** Which facts of one kind a receiver has been told, each of them once. */
+/** Tracks which facts of one kind were sent to a receiver, so that each is sent once. */
 final class SentFacts<F> {
-  private long told;
+  private long lastSent;
 
   /**
-   * Returns the facts that are to be told next, and counts them as told.
+   * Returns the next facts to send, and records them as sent.
    *
-   * @param anew whether all are to be told once more
+   * @param restart whether to send all facts again, from the first one
    */
-  List<F> nextToSend(SharedFacts<F> facts, boolean anew, int most) {
-    List<SharedFacts.Numbered<F>> next = facts.after(anew ? 0 : told, most);
-    if (anew) {
-      told = 0;
+  List<F> nextToSend(SharedFacts<F> facts, boolean restart, int maxCount) {
+    List<SharedFacts.Numbered<F>> next = facts.after(restart ? 0 : lastSent, maxCount);
+    if (restart) {
+      lastSent = 0;
     }
-    next.forEach(fact -> told = fact.number());
+    next.forEach(fact -> lastSent = fact.number());
     return next.stream().map(SharedFacts.Numbered::fact).toList();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
@@ -7,7 +7,7 @@
 import org.gatereel.core.rollout.EvidenceKey;
 import org.gatereel.core.rollout.ResponseTally;
 
-/** What one sender has said last, under a lease that each of its reports renews. */
+/** The load of one source as of its latest report; each report renews its lease. */
 final class SourceState {
   private final Map<TargetId, TargetLoad> loads = new HashMap<>();
   private Map<DemandKey, Double> demand = Map.of();
@@ -17,19 +17,19 @@
   private long sequence = Long.MIN_VALUE;
   private long receivedAt;
 
-  /** Takes a report in; returns false if it builds on one that is not known here. */
+  /** Applies a report; returns false if the report that it is based on was not received. */
   boolean update(LoadReport report, long now) {
     boolean sameSession = sequence != Long.MIN_VALUE && report.session() == session;
     if (sameSession && report.sequence() <= sequence) {
-      // Came late, over a connection that was given up; what is known is younger.
+      // Delayed on a connection that the sender gave up; a later report was applied already.
       return true;
     }
-    boolean whole = report.baseSequence().isEmpty();
-    boolean follows = sameSession && !whole && report.baseSequence().getAsLong() == sequence;
-    if (!whole && !follows) {
+    boolean complete = report.baseSequence().isEmpty();
+    boolean follows = sameSession && !complete && report.baseSequence().getAsLong() == sequence;
+    if (!complete && !follows) {
       return false;
     }
-    if (whole) {
+    if (complete) {
       loads.clear();
     }
     report.loads().forEach(this::put);
--- a/gatereel-core/src/main/java/org/gatereel/core/load/TargetLoad.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/TargetLoad.java
@@ -1,23 +1,22 @@
 package org.gatereel.core.load;
 
 /**
- * What one or more hosts have at a target.
+ * The load that one or more hosts have at a target.
  *
- * @param open requests that are open
- * @param reading those of them whose prompt the target is probably still reading
- * @param copies copies of other targets' runs that the target holds
- * @param errors answers that were errors lately
- * @param failedAt when one of the hosts last saw the target fail, on this host's steady clock in
- *     milliseconds; {@link #NEVER} if none did lately
+ * @param open open requests
+ * @param reading open requests whose prompt the target has probably not finished reading
+ * @param copies copies of other targets' executions at the target
+ * @param errors recent error responses
+ * @param failedAt when one of the hosts last observed a failure of the target, on this host's
+ *     steady clock in milliseconds; {@link #NEVER} if there was none recently
  */
 public record TargetLoad(int open, int reading, int copies, int errors, long failedAt) {
-  /** No failure is known. */
+  /** The value of {@code failedAt} if there was no recent failure. */
   public static final long NEVER = Long.MIN_VALUE;
 
-  /** Nothing is there. */
   public static final TargetLoad NONE = new TargetLoad(0, 0, 0, 0, NEVER);
 
-  /** Adds what other hosts have; the later failure counts. */
+  /** Adds the load of other hosts, with the later of both failure times. */
   TargetLoad plus(TargetLoad other) {
     return new TargetLoad(
         open + other.open,
--- a/gatereel-core/src/main/java/org/gatereel/core/load/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/package-info.java
@@ -1,8 +1,9 @@
 /**
- * What hosts tell each other about targets: how much each of them has open there, and which failed.
+ * Exchange of load reports between hosts: open requests and failures per target, demand per
+ * service, rollout evidence and other shared facts.
  *
- * <p>In each data centre one host gathers what the others say and passes sums on, so that the
- * number of messages a host handles does not grow with the square of the number of hosts. Decisions
- * only; {@link org.gatereel.core.load.LoadPort} carries the messages.
+ * <p>In each data centre one host, the gatherer, collects the reports of the others and distributes
+ * sums, so that the number of messages per host does not grow with the number of hosts. {@link
+ * org.gatereel.core.load.LoadPort} sends the messages.
  */
 package org.gatereel.core.load;
