--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
@@ -17,90 +17,90 @@
   };
   private static final long SETTLED_MILLIS = 1_500;
 
-  /** A few hops, each within the time that changes are gathered and a link's pause. */
-  private static final long TOLD_MILLIS = 500;
+  /** Enough for a report over several hops, with the batch delay and pause of each link. */
+  private static final long REPORTED_MILLIS = 500;
 
-  private static LoadWorld settled() {
+  private static LoadWorld settledWorld() {
     LoadWorld world = LoadWorld.of(NAMES);
     world.pass(SETTLED_MILLIS);
     return world;
   }
 
   @Test
-  void whatAHostHasOpenIsKnownToAllOthersOnceAndNotToItself() {
-    LoadWorld world = settled();
+  void openRequestsOfAHostAreCountedOnceAtAllOthersAndNotAtItself() {
+    LoadWorld world = settledWorld();
     for (LoadWorld.Host opener : world.hosts.values()) {
       opener.open(2);
-      world.pass(TOLD_MILLIS);
+      world.pass(REPORTED_MILLIS);
 
       for (LoadWorld.Host host : world.hosts.values()) {
         assertEquals(host == opener ? 0 : 2, host.othersOpen(), opener.name + " to " + host.name);
       }
       opener.close(2);
-      world.pass(TOLD_MILLIS);
+      world.pass(REPORTED_MILLIS);
       assertTrue(world.hosts.values().stream().allMatch(host -> host.othersOpen() == 0));
     }
   }
 
   @Test
   void loadsOfSeveralHostsAddUp() {
-    LoadWorld world = settled();
+    LoadWorld world = settledWorld();
     world.hosts.values().forEach(host -> host.open(1));
-    world.pass(TOLD_MILLIS);
+    world.pass(REPORTED_MILLIS);
 
     assertTrue(world.hosts.values().stream().allMatch(host -> host.othersOpen() == 5));
   }
 
   @Test
-  void aFailureThatOneHostSawIsToldWithItsTime() {
-    LoadWorld world = settled();
-    LoadWorld.Host witness = world.member("north");
-    witness.targets.failed(witness.engineState(), TargetFailure.TIMEOUT);
-    long failedAt = witness.context.now();
-    witness.loads.scheduleReports();
-    world.pass(TOLD_MILLIS);
+  void anObservedFailureIsReportedWithItsTime() {
+    LoadWorld world = settledWorld();
+    LoadWorld.Host observer = world.member("north");
+    observer.targets.failed(observer.engineState(), TargetFailure.TIMEOUT);
+    long failedAt = observer.context.now();
+    observer.loads.scheduleReports();
+    world.pass(REPORTED_MILLIS);
 
     assertEquals(failedAt, world.host("west-1").loads.othersLoad(LoadWorld.ENGINE).failedAt());
   }
 
   @Test
-  void whatAHostThatEndedHadOpenIsForgotten() {
-    LoadWorld world = settled();
-    LoadWorld.Host ended = world.member("south");
-    ended.open(3);
-    world.pass(TOLD_MILLIS);
-    world.silence(ended);
-    world.pass(LoadTable.LEASE_MILLIS + LoadExchange.HEARTBEAT_MILLIS + TOLD_MILLIS);
+  void theLoadOfAHostThatStoppedExpires() {
+    LoadWorld world = settledWorld();
+    LoadWorld.Host stopped = world.member("south");
+    stopped.open(3);
+    world.pass(REPORTED_MILLIS);
+    world.silence(stopped);
+    world.pass(LoadTable.LEASE_MILLIS + LoadExchange.HEARTBEAT_MILLIS + REPORTED_MILLIS);
 
     assertEquals(0, world.host("west-1").othersOpen());
     assertEquals(0, world.member("north").othersOpen());
   }
 
   @Test
-  void aHostThatHearsNobodyGoesByWhatItSeesItself() {
-    LoadWorld world = settled();
+  void reportedLoadsExpireAtAHostThatReceivesNoReports() {
+    LoadWorld world = settledWorld();
     world.host("north-1").open(1);
-    world.pass(TOLD_MILLIS);
-    LoadWorld.Host alone = world.host("west-1");
-    assertEquals(1, alone.othersOpen());
-    world.silence(alone);
+    world.pass(REPORTED_MILLIS);
+    LoadWorld.Host isolated = world.host("west-1");
+    assertEquals(1, isolated.othersOpen());
+    world.silence(isolated);
     world.pass(LoadTable.LEASE_MILLIS + 1);
 
-    assertEquals(0, alone.othersOpen());
+    assertEquals(0, isolated.othersOpen());
   }
 
   @Test
-  void theNextHostGathersForOneThatDoesNotAnswer() {
-    LoadWorld world = settled();
+  void theNextHostReplacesAGathererThatDoesNotRespond() {
+    LoadWorld world = settledWorld();
     world.silence(world.gatherer("north"));
     world.pass(LoadTable.LEASE_MILLIS + 2 * SETTLED_MILLIS);
-    LoadWorld.Host left =
+    LoadWorld.Host remaining =
         world.hosts.values().stream()
             .filter(host -> host.dataCentre.equals("north"))
             .filter(host -> host.directory.higherRankedHosts().size() == 2)
             .findFirst()
             .orElseThrow();
-    left.open(2);
+    remaining.open(2);
     world.pass(SETTLED_MILLIS);
 
     assertEquals(2, world.host("west-1").othersOpen());
@@ -108,31 +108,31 @@
   }
 
   @Test
-  void aHostThatStartsAnewIsToldEverything() {
-    LoadWorld world = settled();
+  void aRestartedHostReceivesAllLoads() {
+    LoadWorld world = settledWorld();
     world.gatherer("south").open(2);
-    world.pass(TOLD_MILLIS);
-    LoadWorld.Host fresh = world.restart(world.member("north"));
+    world.pass(REPORTED_MILLIS);
+    LoadWorld.Host restarted = world.restart(world.member("north"));
     world.pass(SETTLED_MILLIS);
 
-    assertEquals(2, fresh.othersOpen());
+    assertEquals(2, restarted.othersOpen());
   }
 
   @Test
-  void aGathererThatStartsAnewIsToldEverythingAndPassesItOn() {
-    LoadWorld world = settled();
+  void aRestartedGathererReceivesAllLoadsAndForwardsThem() {
+    LoadWorld world = settledWorld();
     world.member("north").open(2);
-    world.pass(TOLD_MILLIS);
-    LoadWorld.Host fresh = world.restart(world.gatherer("north"));
+    world.pass(REPORTED_MILLIS);
+    LoadWorld.Host restarted = world.restart(world.gatherer("north"));
     world.pass(2 * SETTLED_MILLIS);
 
-    assertEquals(2, fresh.othersOpen());
+    assertEquals(2, restarted.othersOpen());
     assertEquals(2, world.host("west-1").othersOpen());
   }
 
   @Test
-  void aReportThatComesLateChangesNothing() {
-    LoadWorld world = settled();
+  void anOutdatedReportChangesNothing() {
+    LoadWorld world = settledWorld();
     LoadWorld.Host receiver = world.host("west-1");
     HostId sender = new HostId("north-9");
     Map<TargetId, TargetLoad> three =
@@ -144,8 +144,8 @@
   }
 
   @Test
-  void aReportThatBuildsOnAnUnknownOneIsAskedForAsAWhole() {
-    LoadWorld world = settled();
+  void aReportBasedOnAnUnknownOneIsNotApplied() {
+    LoadWorld world = settledWorld();
     LoadWorld.Host receiver = world.host("west-1");
 
     assertFalse(
@@ -164,11 +164,11 @@
   }
 
   @Test
-  void aHostThatReportsHereAndGathersForThisOneIsSentOneReportAtATime() {
-    LoadWorld world = settled();
+  void oneReportAtATimeIsSentToAHostThatIsBothReporterAndGatherer() {
+    LoadWorld world = settledWorld();
     LoadWorld.Host member = world.member("north");
     LoadWorld.Host gatherer = world.gatherer("north");
-    LoadReport back =
+    LoadReport reportToMember =
         new LoadReport(
             gatherer.context.self(),
             gatherer.address,
@@ -178,27 +178,27 @@
             OptionalLong.empty(),
             Map.of(),
             Map.of());
-    assertTrue(member.loads.receive(back));
+    assertTrue(member.loads.receive(reportToMember));
     member.open(1);
-    world.pass(TOLD_MILLIS);
+    world.pass(REPORTED_MILLIS);
 
     assertEquals(1, gatherer.othersOpen());
   }
 
   @Test
-  void nothingButHeartbeatsIsSentWhileNothingChanges() {
-    LoadWorld world = settled();
+  void onlyHeartbeatsAreSentWhileNothingChanges() {
+    LoadWorld world = settledWorld();
     world.sent.clear();
     world.pass(10 * LoadExchange.HEARTBEAT_MILLIS);
 
-    // Three members report and are told, and three gatherers tell each other.
+    // Three members and their gatherers exchange reports, and three gatherers among themselves.
     assertTrue(world.sent.size() <= 11 * (3 + 3 + 6), "reports: " + world.sent.size());
     assertTrue(world.sent.stream().allMatch(report -> report.loads().isEmpty()));
   }
 
   @Test
-  void aLinkCarriesNoMoreThanItsShareHoweverOftenThingsChange() {
-    LoadWorld world = settled();
+  void aLinkStaysWithinItsBandwidthLimitWhateverTheRateOfChanges() {
+    LoadWorld world = settledWorld();
     LoadWorld.Host busy = world.member("north");
     world.sent.clear();
     for (int step = 0; step < 1_000; step++) {
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -26,7 +26,7 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** Hosts of some data centres that tell each other their load; time and messages are stepped. */
+/** Simulated hosts of several data centres that exchange load reports, in simulated time. */
 final class LoadWorld {
   static final TargetId ENGINE = new TargetId("e1");
   private static final int PORT = 7_200;
@@ -42,7 +42,7 @@
 
   private record Delivery(long at, Runnable step) {}
 
-  /** One host with all that takes part in telling load. */
+  /** One host with its load exchange and poison control. */
   final class Host {
     final String name;
     final String dataCentre;
@@ -52,7 +52,7 @@
     final HostDirectory directory;
     final LoadExchange loads;
     final PoisonControl poison;
-    private final Set<Address> underWay = new HashSet<>();
+    private final Set<Address> awaitingReceipt = new HashSet<>();
 
     private Host(String name, String dataCentre, Address address, long seed) {
       this.name = name;
@@ -72,8 +72,9 @@
 
     private void send(Address receiver, LoadReport report, Consumer<LoadPort.Receipt> receipt) {
       sent.add(report);
-      if (!underWay.add(receiver)) {
-        throw new AssertionError("a second report is under way to " + receiver);
+      if (!awaitingReceipt.add(receiver)) {
+        throw new AssertionError(
+            "a second report is sent before the receipt of the first to " + receiver);
       }
       Host to =
           hosts.values().stream()
@@ -87,15 +88,17 @@
       deliver(
           DELIVERY_MILLIS,
           () -> {
-            boolean taken = to.loads.receive(report);
+            boolean applied = to.loads.receive(report);
             settle(
-                receiver, receipt, taken ? LoadPort.Receipt.TAKEN : LoadPort.Receipt.WHOLE_NEEDED);
+                receiver,
+                receipt,
+                applied ? LoadPort.Receipt.TAKEN : LoadPort.Receipt.WHOLE_NEEDED);
           });
     }
 
     private void settle(
         Address receiver, Consumer<LoadPort.Receipt> receipt, LoadPort.Receipt outcome) {
-      underWay.remove(receiver);
+      awaitingReceipt.remove(receiver);
       receipt.accept(outcome);
     }
 
@@ -137,13 +140,13 @@
     deliveries.add(new Delivery(now + after, step));
   }
 
-  /** Makes hosts; each is named as its data centre and a number, as in "north-1". */
+  /** Makes and starts hosts; names are a data centre and a number, as in "north-1". */
   static LoadWorld of(String... names) {
     LoadWorld world = new LoadWorld();
     for (String name : names) {
       world.make(name, 1);
     }
-    world.learnHosts();
+    world.updateDirectories();
     world.hosts.values().forEach(host -> host.loads.start());
     return world;
   }
@@ -156,7 +159,7 @@
     return host;
   }
 
-  private void learnHosts() {
+  private void updateDirectories() {
     List<HostDirectory.Entry> entries =
         hosts.values().stream()
             .map(
@@ -189,23 +192,23 @@
         .orElseThrow();
   }
 
-  /** Nothing comes from a host any more, and nothing reaches it. */
+  /** Stops a host and drops all messages from and to it. */
   void silence(Host host) {
     silent.add(host.name);
   }
 
-  /** What was silent is heard again. */
+  /** Resumes all silenced hosts. */
   void heal() {
     silent.clear();
   }
 
-  /** Starts a host anew: it knows nothing, and its requests are gone. */
+  /** Restarts a host without its state. */
   Host restart(Host host) {
     silent.remove(host.name);
-    Host fresh = make(host.name, 77);
-    learnHosts();
-    fresh.loads.start();
-    return fresh;
+    Host restarted = make(host.name, 77);
+    updateDirectories();
+    restarted.loads.start();
+    return restarted;
   }
 
   void pass(long millis) {
--- a/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/PoisonSpreadTest.java
@@ -9,76 +9,76 @@
 import org.gatereel.core.poison.PoisonFact;
 import org.junit.jupiter.api.Test;
 
-/** How soon hosts know of requests under which targets end, and by which ways. */
+/** Load reports carry facts about poison requests to all hosts. */
 class PoisonSpreadTest {
-  private static final Fingerprint FATAL = new Fingerprint("00112233445566778899aabbccddeeff");
+  private static final Fingerprint POISON = new Fingerprint("00112233445566778899aabbccddeeff");
 
-  /** Hosts have to know within 3 s; by reports alone it takes a few hops. */
-  private static final long SOON_MILLIS = 300;
+  /** Enough for a report over several hops; the requirement is 3 s. */
+  private static final long REPORTED_MILLIS = 300;
 
   private final LoadWorld world =
       LoadWorld.of("north-1", "north-2", "north-3", "south-1", "south-2", "west-1", "west-2");
 
-  private static void sees(LoadWorld.Host host, String target) {
+  private static void recordEnd(LoadWorld.Host host, String target) {
     long now = host.context.now();
-    host.poison.recordEnd(PoisonFact.end(FATAL, new TargetId(target), now - 100, now));
-    // Ends of other targets are at other moments.
+    host.poison.recordEnd(PoisonFact.end(POISON, new TargetId(target), now - 100, now));
     host.loads.scheduleReports();
   }
 
-  private List<String> holders() {
+  private List<String> quarantiningHosts() {
     return world.hosts.values().stream()
         .filter(host -> host.poison.quarantinedCount() == 1)
         .map(host -> host.name)
         .toList();
   }
 
-  private void convict() {
-    sees(world.member("north"), "a");
+  private void recordThreeEnds() {
+    recordEnd(world.member("north"), "a");
     world.pass(600);
-    sees(world.gatherer("south"), "b");
+    recordEnd(world.gatherer("south"), "b");
     world.pass(600);
-    sees(world.member("west"), "c");
+    recordEnd(world.member("west"), "c");
   }
 
   @Test
-  void endsThatHostsOfThreeDataCentresSawAddUpAtAllOfThem() {
+  void endsObservedInThreeDataCentresAddUpAtAllHosts() {
     world.pass(1_000);
-    convict();
-    world.pass(SOON_MILLIS);
+    recordThreeEnds();
+    world.pass(REPORTED_MILLIS);
 
-    assertEquals(world.hosts.size(), holders().size(), holders().toString());
+    assertEquals(world.hosts.size(), quarantiningHosts().size(), quarantiningHosts().toString());
   }
 
   @Test
-  void aHostThatStartsIsToldAll() {
+  void aRestartedHostReceivesAllFacts() {
     world.pass(1_000);
-    convict();
+    recordThreeEnds();
     world.pass(1_000);
-    LoadWorld.Host fresh = world.restart(world.member("south"));
+    LoadWorld.Host restarted = world.restart(world.member("south"));
     world.pass(2_000);
 
-    assertEquals(1, fresh.poison.quarantinedCount());
+    assertEquals(1, restarted.poison.quarantinedCount());
   }
 
   @Test
-  void aGathererThatIsSilentIsPassedOver() {
+  void factsAreExchangedWithoutAnUnreachableGatherer() {
     world.pass(1_000);
     LoadWorld.Host gatherer = world.gatherer("north");
     world.silence(gatherer);
-    convict();
+    recordThreeEnds();
     world.pass(2_500);
 
-    assertEquals(world.hosts.size() - 1, holders().size(), holders().toString());
+    assertEquals(
+        world.hosts.size() - 1, quarantiningHosts().size(), quarantiningHosts().toString());
     world.heal();
     world.pass(6_000);
-    assertTrue(gatherer.poison.quarantinedCount() == 1, "the gatherer was not told");
+    assertTrue(gatherer.poison.quarantinedCount() == 1, "the gatherer did not receive the facts");
   }
 
   @Test
-  void nothingIsToldTwiceOverALinkThatTookIt() {
+  void aFactIsNotSentTwiceOverALinkThatDeliveredIt() {
     world.pass(1_000);
-    convict();
+    recordThreeEnds();
     world.pass(2_000);
     int before = world.sent.size();
     world.pass(5_000);
