--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadLink.java
@@ -39,7 +39,7 @@
   /**
    * The receiving end of a link.
    *
-   * @param host the receiving host, where its own load must be left out of the sums
+   * @param host the receiving host, if its own load is excluded from the sums
    */
   record Receiver(Address address, LoadScope scope, Optional<HostId> host) {}
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
@@ -90,7 +90,7 @@
     return others;
   }
 
-  /** Uses the latest sums of a gatherer, or adds up the reports of other scopes without one. */
+  /** Returns the latest sums sent by a gatherer, or else the sums of all other reports. */
   private LoadSums sumOfOthers() {
     LoadSums sums = new LoadSums();
     latest(LoadScope.EVERYONE_ELSE)
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -165,8 +165,9 @@
   }
 
   /**
-   * Draws whether a waiting request may use free capacity. Hosts observe the same free capacity, so
-   * each waiting request is sent with a probability of free slots per waiting request.
+   * Draws whether a waiting request may use free capacity. All hosts observe the same free
+   * capacity, so that each sends a waiting request only with the probability of free capacity
+   * divided by waiting requests.
    */
   private boolean drawsFreeCapacity(ArrivingRequest request, Capacity capacity) {
     double maxPrompts =
