--- a/gatereel-core/src/main/java/org/gatereel/core/poison/Fingerprint.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/Fingerprint.java
@@ -7,23 +7,21 @@
 import org.gatereel.core.model.AccountId;
 
 /**
- * What makes a request the same one when it comes again, under another id and at another host.
+ * Identifies a request by its content and client account, across request ids and hosts.
  *
- * <p>It is made of the client account and of all that a target is given to work on, by a hash for
- * which nobody can find two inputs: no account can make its requests look like another one's.
+ * <p>It is made with a collision-resistant hash, so that an account cannot make its requests match
+ * those of another one.
  *
  * @param value 32 hexadecimal digits
  */
 public record Fingerprint(String value) {
-  /** 128 bits: a million requests share one by chance once in some 10^26 times. */
   private static final int DIGITS = 32;
-
-  private static final int SHOWN_DIGITS = 12;
+  private static final int LOGGED_DIGITS = 12;
 
   /**
    * Makes the fingerprint of a request.
    *
-   * @param content a digest of what the target is given
+   * @param content a digest of what the target receives
    */
   public static Fingerprint of(Optional<AccountId> account, HashCode content) {
     String hash =
@@ -36,9 +34,9 @@
     return new Fingerprint(hash.substring(0, DIGITS));
   }
 
-  /** Returns enough of it to be found in a log. */
+  /** Returns the first digits, for logs. */
   @Override
   public String toString() {
-    return value.length() <= SHOWN_DIGITS ? value : value.substring(0, SHOWN_DIGITS);
+    return value.length() <= LOGGED_DIGITS ? value : value.substring(0, LOGGED_DIGITS);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
@@ -7,22 +7,19 @@
 import java.util.Set;
 import org.gatereel.core.model.TargetId;
 
-/** What is known of one request under which targets ended. */
+/** The facts known about one request during which targets ended. */
 final class PoisonCase {
-  /**
-   * Targets of a data centre that lose power end within less; calls that many callers make alike
-   * are at several of them in that moment.
-   */
-  private static final long TOGETHER_MILLIS = 500;
+  /** Ends within this time may have a common cause, such as a power failure. */
+  private static final long SIMULTANEOUS_MILLIS = 500;
 
   private final Map<TargetId, PoisonFact> ends = new LinkedHashMap<>();
-  private boolean clear;
-  private boolean held;
+  private boolean cleared;
+  private boolean quarantined;
   private long lastFactAt;
 
-  /** Notes an end; returns whether it is news. */
+  /** Adds the end of a target; returns whether it is new. */
   boolean addEnd(TargetId target, PoisonFact fact) {
-    if (clear || ends.containsKey(target)) {
+    if (cleared || ends.containsKey(target)) {
       return false;
     }
     ends.put(target, fact);
@@ -30,26 +27,26 @@
     return true;
   }
 
-  /** Notes that the request runs as it should; returns whether that is news. */
+  /** Clears the request after a successful execution; returns whether that is new. */
   boolean clear(long at) {
     lastFactAt = Math.max(lastFactAt, at);
-    boolean news = !clear;
-    clear = true;
-    held = false;
+    boolean isNew = !cleared;
+    cleared = true;
+    quarantined = false;
     ends.clear();
-    return news;
+    return isNew;
   }
 
   void quarantine() {
-    held = true;
+    quarantined = true;
   }
 
   boolean isCleared() {
-    return clear;
+    return cleared;
   }
 
   boolean isQuarantined() {
-    return held;
+    return quarantined;
   }
 
   Set<TargetId> ends() {
@@ -57,20 +54,20 @@
   }
 
   /**
-   * Returns how often targets of a set ended under the request, where ends that came together count
-   * once: in the same moment, and each of a run that had been sent before the others' end.
+   * Counts the ends of some targets during the request. Simultaneous ends count once: those within
+   * {@link #SIMULTANEOUS_MILLIS} whose requests were all sent before the first of them.
    */
-  int countOccasions(Set<TargetId> among) {
+  int countOccasions(Set<TargetId> counted) {
     List<PoisonFact> inOrder =
         ends.entrySet().stream()
-            .filter(end -> among.contains(end.getKey()))
+            .filter(end -> counted.contains(end.getKey()))
             .map(Map.Entry::getValue)
             .sorted(Comparator.comparingLong(PoisonFact::at))
             .toList();
     int count = 0;
     long last = 0;
     for (PoisonFact end : inOrder) {
-      if (count == 0 || end.sentAt() >= last || end.at() - last >= TOGETHER_MILLIS) {
+      if (count == 0 || end.sentAt() >= last || end.at() - last >= SIMULTANEOUS_MILLIS) {
         count++;
         last = end.at();
       }
@@ -78,7 +75,6 @@
     return count;
   }
 
-  /** Returns when the last fact was seen. */
   long lastFactAt() {
     return lastFactAt;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -10,30 +10,30 @@
 import org.gatereel.core.internal.SharedFacts;
 
 /**
- * Keeps requests under which targets end, again and again, from reaching any more of them.
+ * Quarantines requests under which targets crash repeatedly.
  *
- * <p>What this host sees it tells others, and counts what they tell; the verdict is each host's
- * own. Fingerprints are asked for only while something is known of any request.
+ * <p>Hosts share their observations, and each decides on its own. Fingerprints are computed only
+ * while there are observations of any request.
  */
 public final class PoisonControl implements SharedFacts<PoisonFact> {
-  private static final long EXPIRE_MILLIS = 60_000;
+  private static final long EXPIRE_INTERVAL_MILLIS = 60_000;
 
-  /** From so many ends on the next try waits until it is known whether the target ended. */
-  private static final int ENDS_IN_DOUBT = PoisonLedger.QUARANTINE_END_COUNT - 1;
+  /** One end less than is needed for quarantine. */
+  private static final int NEAR_QUARANTINE_END_COUNT = PoisonLedger.QUARANTINE_END_COUNT - 1;
 
   private final CoreContext context;
   private final PoisonLedger ledger = new PoisonLedger();
-  private final List<BiConsumer<PoisonFact, Source>> newsListeners = new ArrayList<>();
-  private final List<Consumer<Fingerprint>> heldListeners = new ArrayList<>();
-  private boolean expiring;
+  private final List<BiConsumer<PoisonFact, Source>> factListeners = new ArrayList<>();
+  private final List<Consumer<Fingerprint>> quarantineListeners = new ArrayList<>();
+  private boolean expiryScheduled;
 
-  /** Where a fact comes from. */
+  /** The origin of a fact. */
   public enum Source {
-    /** This host has seen it. */
+    /** Observed by this host. */
     HERE,
-    /** Another host told of it. */
+    /** Reported by another host. */
     OTHER_HOST,
-    /** It stands in the platform's store. */
+    /** Read from the platform's store. */
     STORE
   }
 
@@ -41,14 +41,14 @@
     this.context = context;
   }
 
-  /** Has {@code listener} called with each fact that was not known, after it was judged. */
+  /** Adds a listener that is called with each new fact, after the fact was evaluated. */
   public void onNewFact(BiConsumer<PoisonFact, Source> listener) {
-    newsListeners.add(listener);
+    factListeners.add(listener);
   }
 
-  /** Has {@code listener} called once for each request that is held back from now on. */
+  /** Adds a listener that is called once for each request that is quarantined. */
   public void onQuarantined(Consumer<Fingerprint> listener) {
-    heldListeners.add(listener);
+    quarantineListeners.add(listener);
   }
 
   /** Returns whether a request must not be sent to any target. */
@@ -56,32 +56,35 @@
     return !ledger.isEmpty() && ledger.isQuarantined(request.get());
   }
 
-  /** Returns whether one end more may be enough to hold a request back. */
+  /**
+   * Returns whether one more end may be enough for quarantine. The next attempt of such a request
+   * waits until it is known whether the target ended.
+   */
   public boolean isNearQuarantine(Supplier<Fingerprint> request) {
-    return !ledger.isEmpty() && ledger.endCount(request.get()) >= ENDS_IN_DOUBT;
+    return !ledger.isEmpty() && ledger.endCount(request.get()) >= NEAR_QUARANTINE_END_COUNT;
   }
 
-  /** Returns under how many ends of targets a request was. */
+  /** Returns how many targets ended during a request. */
   public int endCount(Fingerprint request) {
     return ledger.endCount(request);
   }
 
-  /** Returns how many requests are held back. */
+  /** Returns the number of quarantined requests. */
   public int quarantinedCount() {
     return ledger.quarantinedCount();
   }
 
-  /** Returns how many requests were under an end, and are not held back. */
+  /** Returns the number of requests during which a target ended and that are not quarantined. */
   public int suspectedCount() {
     return ledger.suspectedCount();
   }
 
-  /** Notes that a target's run ended as a request had begun, or was about to begin, there. */
+  /** Records that a target ended while it began to execute a request. */
   public void recordEnd(PoisonFact end) {
     learn(List.of(end), Source.HERE);
   }
 
-  /** Notes that a request has run as it should; it matters only if targets ended under it. */
+  /** Records a successful execution; has no effect unless targets ended during the request. */
   public void recordSuccess(Supplier<Fingerprint> request) {
     if (!ledger.isEmpty() && ledger.endCount(request.get()) > 0) {
       learn(List.of(PoisonFact.clearing(request.get(), context.now())), Source.HERE);
@@ -89,50 +92,50 @@
   }
 
   @Override
-  public List<Numbered<PoisonFact>> after(long number, int most) {
-    return ledger.after(number, most);
+  public List<Numbered<PoisonFact>> after(long number, int maxCount) {
+    return ledger.after(number, maxCount);
   }
 
   @Override
-  public void learn(List<PoisonFact> told) {
-    learn(told, Source.OTHER_HOST);
+  public void learn(List<PoisonFact> facts) {
+    learn(facts, Source.OTHER_HOST);
   }
 
-  /** Takes in facts; what is known already changes nothing. */
-  void learn(List<PoisonFact> told, Source source) {
-    List<PoisonFact> news = told.stream().filter(ledger::add).toList();
-    if (!news.isEmpty()) {
-      judge(news, source);
+  /** Merges facts; known ones have no effect. */
+  void learn(List<PoisonFact> facts, Source source) {
+    List<PoisonFact> newFacts = facts.stream().filter(ledger::add).toList();
+    if (!newFacts.isEmpty()) {
+      evaluate(newFacts, source);
     }
   }
 
-  /** Returns what is known of one request. */
+  /** Returns the facts known about one request. */
   List<PoisonFact> factsOf(Fingerprint request) {
     return ledger.factsOf(request);
   }
 
-  /** What came together is judged together, since a later fact may excuse an earlier one. */
-  private void judge(List<PoisonFact> news, Source source) {
-    expireLater();
-    news.forEach(fact -> note(fact, source));
-    boolean mayConvict = news.stream().anyMatch(this::mayConvict);
-    List<Fingerprint> held = mayConvict ? ledger.quarantineDue() : List.of();
-    news.forEach(fact -> newsListeners.forEach(listener -> listener.accept(fact, source)));
-    held.forEach(this::hold);
+  /** Evaluates all new facts together, since one may invalidate another. */
+  private void evaluate(List<PoisonFact> newFacts, Source source) {
+    scheduleExpiry();
+    newFacts.forEach(fact -> log(fact, source));
+    boolean evaluationNeeded = newFacts.stream().anyMatch(this::mayCauseQuarantine);
+    List<Fingerprint> quarantined = evaluationNeeded ? ledger.quarantineDue() : List.of();
+    newFacts.forEach(fact -> factListeners.forEach(listener -> listener.accept(fact, source)));
+    quarantined.forEach(this::announceQuarantine);
   }
 
-  /** An end of a request that has few of them can only speak for others; a cleared one is gone. */
-  private boolean mayConvict(PoisonFact fact) {
+  /**
+   * Returns whether any request may have to be quarantined after a fact: its own, which has enough
+   * ends, or another one that shared ends with a request that is now cleared.
+   */
+  private boolean mayCauseQuarantine(PoisonFact fact) {
     return fact.isClearing()
         || ledger.endCount(fact.request()) >= PoisonLedger.QUARANTINE_END_COUNT;
   }
 
-  /**
-   * Single ends, nearly all of them chance, are logged by the host that saw them alone: at 95 hosts
-   * each would be 95 lines.
-   */
-  private void note(PoisonFact fact, Source source) {
-    if (source != Source.HERE && ledger.endCount(fact.request()) < ENDS_IN_DOUBT) {
+  /** Logs a fact; the first end of a request is logged only by the host that observed it. */
+  private void log(PoisonFact fact, Source source) {
+    if (source != Source.HERE && ledger.endCount(fact.request()) < NEAR_QUARANTINE_END_COUNT) {
       return;
     }
     String inputs =
@@ -152,26 +155,26 @@
     }
   }
 
-  private void hold(Fingerprint request) {
+  private void announceQuarantine(Fingerprint request) {
     context.note(
         EventCode.POISON_HELD,
         request.toString(),
         "ends=" + ledger.endCount(request) + " held=" + quarantinedCount());
-    heldListeners.forEach(listener -> listener.accept(request));
+    quarantineListeners.forEach(listener -> listener.accept(request));
   }
 
-  private void expireLater() {
-    if (!expiring) {
-      expiring = true;
-      context.after(EXPIRE_MILLIS, this::expire);
+  private void scheduleExpiry() {
+    if (!expiryScheduled) {
+      expiryScheduled = true;
+      context.after(EXPIRE_INTERVAL_MILLIS, this::expire);
     }
   }
 
   private void expire() {
-    expiring = false;
+    expiryScheduled = false;
     ledger.expire(context.now());
     if (!ledger.isEmpty()) {
-      expireLater();
+      scheduleExpiry();
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonFact.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonFact.java
@@ -4,24 +4,24 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * One thing that a host has seen of a request under which targets end.
+ * An observation of a request during which a target ended, or of its successful execution.
  *
- * <p>An end is named by the target's run, so that it counts once, however many hosts tell of it and
- * however often.
+ * <p>An end is identified by the incarnation of the target, so that it counts once however many
+ * hosts report it.
  *
- * @param ended the run of a target that ended as the request began there; empty if the request was
- *     seen to run for long or to its end, which outweighs all ends
- * @param sentAt when the request had been sent to the target, on this host's steady clock in
+ * @param ended the incarnation that ended while it began to execute the request; empty if the
+ *     request was executed successfully or for a long time, which outweighs all ends
+ * @param sentAt when the request was sent to the target, on this host's steady clock in
  *     milliseconds
- * @param at when the end was seen, or that the request ran well, on the same clock
+ * @param at when this was observed, on the same clock
  */
 public record PoisonFact(Fingerprint request, Optional<TargetId> ended, long sentAt, long at) {
-  /** Makes the fact that a target's run ended under a request. */
+  /** Makes the fact that an incarnation of a target ended during a request. */
   public static PoisonFact end(Fingerprint request, TargetId target, long sentAt, long at) {
     return new PoisonFact(request, Optional.of(target), sentAt, at);
   }
 
-  /** Makes the fact that a request has run as it should. */
+  /** Makes the fact that a request was executed successfully. */
   public static PoisonFact clearing(Fingerprint request, long at) {
     return new PoisonFact(request, Optional.empty(), at, at);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
@@ -13,33 +13,26 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * All that is known of requests under which targets end, and the verdict on each.
+ * The facts known about requests during which targets ended, and which of these are quarantined.
  *
- * <p>At a target that ends, everything that it has ends with it: one request may have caused it,
- * the others were only there. So an end is charged to one request alone, the one with the most
- * ends; if several have as many, to none of them, until they part. A request with three ends
- * charged to it is held back; ends that came together count as one. Facts only add up, and in any
- * order: hosts that know the same facts come to the same verdict, but for a tie that one of them
- * had decided before it learnt of it.
+ * <p>When a target ends, all its requests end with it, but only one of them may be the cause. An
+ * end is therefore attributed to the request with the most ends, and to none of them if several
+ * have the most. A request with {@link #QUARANTINE_END_COUNT} attributed ends is quarantined;
+ * simultaneous ends count once. The order in which facts are merged matters only where a request
+ * was quarantined before a fact was known that would have caused a tie.
  */
 final class PoisonLedger {
-  /**
-   * Three ends as its run began, at three targets, and no run that lasted. Of 4,405 requests on a
-   * day on which nine in ten targets of a data centre ended each 6.5 s, none had two.
-   */
+  /** Enough that ends of targets for other reasons do not quarantine a harmless request. */
   static final int QUARANTINE_END_COUNT = 3;
 
-  /** Longer than callers take to come back, shorter than what is worth being remembered. */
-  private static final long SUSPECTED_MILLIS = 3_600_000;
+  /** Longer than callers take to retry. */
+  private static final long SUSPECTED_TIMEOUT_MILLIS = 3_600_000;
 
-  /** A day: after it the request may have three targets more. */
-  private static final long HELD_MILLIS = 24 * SUSPECTED_MILLIS;
+  /** A day. */
+  private static final long QUARANTINE_TIMEOUT_MILLIS = 24 * SUSPECTED_TIMEOUT_MILLIS;
 
-  /**
-   * 1.3 MB of heap (1,285 bytes a case of four ends, measured on 1,000); those that are not held go
-   * first, the oldest before others.
-   */
-  private static final int MOST_CASES = 1_000;
+  /** Beyond it, cases are evicted: suspected before quarantined ones, the oldest first. */
+  private static final int MAX_CASES = 1_000;
 
   private final Map<Fingerprint, PoisonCase> cases = new HashMap<>();
   private final TreeMap<Long, PoisonFact> facts = new TreeMap<>();
@@ -49,115 +42,122 @@
     return cases.isEmpty();
   }
 
-  /** Takes a fact in; returns whether it was not known. */
+  /** Adds a fact; returns whether it is new. */
   boolean add(PoisonFact fact) {
-    PoisonCase known = cases.computeIfAbsent(fact.request(), any -> new PoisonCase());
-    boolean news =
+    PoisonCase poisonCase = cases.computeIfAbsent(fact.request(), any -> new PoisonCase());
+    boolean isNew =
         fact.ended()
-            .map(target -> known.addEnd(target, fact))
-            .orElseGet(() -> known.clear(fact.at()));
-    if (!news) {
+            .map(target -> poisonCase.addEnd(target, fact))
+            .orElseGet(() -> poisonCase.clear(fact.at()));
+    if (!isNew) {
       return false;
     }
     if (fact.isClearing()) {
       facts.values().removeIf(each -> each.request().equals(fact.request()));
     }
     facts.put(++number, fact);
-    if (cases.size() > MOST_CASES) {
-      dropOne();
+    if (cases.size() > MAX_CASES) {
+      evictOne();
     }
     return true;
   }
 
-  private void dropOne() {
+  private void evictOne() {
     cases.entrySet().stream()
         .min(
             Comparator.comparing((Map.Entry<Fingerprint, PoisonCase> each) -> isQuarantined(each))
                 .thenComparing(each -> each.getValue().lastFactAt()))
         .map(Map.Entry::getKey)
-        .ifPresent(this::drop);
+        .ifPresent(this::remove);
   }
 
   private static boolean isQuarantined(Map.Entry<Fingerprint, PoisonCase> each) {
     return each.getValue().isQuarantined();
   }
 
-  private void drop(Fingerprint request) {
+  private void remove(Fingerprint request) {
     cases.remove(request);
     facts.values().removeIf(fact -> fact.request().equals(request));
   }
 
-  /** Forgets what is too old to count. */
+  /** Removes cases whose last fact is too old. */
   void expire(long now) {
     for (var entry : Map.copyOf(cases).entrySet()) {
-      long kept = entry.getValue().isQuarantined() ? HELD_MILLIS : SUSPECTED_MILLIS;
-      if (now - entry.getValue().lastFactAt() > kept) {
-        drop(entry.getKey());
+      long timeoutMillis =
+          entry.getValue().isQuarantined() ? QUARANTINE_TIMEOUT_MILLIS : SUSPECTED_TIMEOUT_MILLIS;
+      if (now - entry.getValue().lastFactAt() > timeoutMillis) {
+        remove(entry.getKey());
       }
     }
   }
 
-  /** Returns the requests that are to be held back from now on. */
+  /** Quarantines the requests with enough attributed ends; returns them. */
   List<Fingerprint> quarantineDue() {
     List<Fingerprint> found = new ArrayList<>();
-    // An end that a held request explains counts against nobody else, which may decide a tie.
-    for (Optional<Fingerprint> next = next(); next.isPresent(); next = next()) {
+    // The ends of a quarantined request are not attributed to others, which may resolve a tie.
+    for (Optional<Fingerprint> next = findNext(); next.isPresent(); next = findNext()) {
       cases.get(next.get()).quarantine();
       found.add(next.get());
     }
     return found;
   }
 
-  private Optional<Fingerprint> next() {
+  private Optional<Fingerprint> findNext() {
     Set<TargetId> explained = new HashSet<>();
     cases.values().stream()
         .filter(PoisonCase::isQuarantined)
-        .forEach(held -> explained.addAll(held.ends()));
-    Map<Fingerprint, Set<TargetId>> open = new HashMap<>();
+        .forEach(quarantined -> explained.addAll(quarantined.ends()));
+    Map<Fingerprint, Set<TargetId>> unexplained = new HashMap<>();
     cases.forEach(
-        (request, known) -> openEnds(known, explained).ifPresent(e -> open.put(request, e)));
-    return open.entrySet().stream()
+        (request, poisonCase) ->
+            unexplainedEnds(poisonCase, explained)
+                .ifPresent(ends -> unexplained.put(request, ends)));
+    return unexplained.entrySet().stream()
         .filter(each -> each.getValue().size() >= QUARANTINE_END_COUNT)
-        .filter(each -> charged(each.getKey(), each.getValue(), open) >= QUARANTINE_END_COUNT)
+        .filter(
+            each ->
+                countAttributed(each.getKey(), each.getValue(), unexplained)
+                    >= QUARANTINE_END_COUNT)
         .map(Map.Entry::getKey)
         .findFirst();
   }
 
-  private static Optional<Set<TargetId>> openEnds(PoisonCase known, Set<TargetId> explained) {
-    if (known.isQuarantined() || known.ends().isEmpty()) {
+  private static Optional<Set<TargetId>> unexplainedEnds(
+      PoisonCase poisonCase, Set<TargetId> explained) {
+    if (poisonCase.isQuarantined() || poisonCase.ends().isEmpty()) {
       return Optional.empty();
     }
-    Set<TargetId> ends = new HashSet<>(known.ends());
+    Set<TargetId> ends = new HashSet<>(poisonCase.ends());
     ends.removeAll(explained);
     return Optional.of(ends);
   }
 
-  private int charged(
-      Fingerprint request, Set<TargetId> ends, Map<Fingerprint, Set<TargetId>> open) {
-    Set<TargetId> charged = new HashSet<>(ends);
-    open.forEach(
-        (other, itsEnds) -> {
-          if (!other.equals(request) && itsEnds.size() >= ends.size()) {
-            charged.removeAll(itsEnds);
+  private int countAttributed(
+      Fingerprint request, Set<TargetId> ends, Map<Fingerprint, Set<TargetId>> unexplained) {
+    Set<TargetId> attributed = new HashSet<>(ends);
+    unexplained.forEach(
+        (other, otherEnds) -> {
+          if (!other.equals(request) && otherEnds.size() >= ends.size()) {
+            attributed.removeAll(otherEnds);
           }
         });
-    return cases.get(request).countOccasions(charged);
+    return cases.get(request).countOccasions(attributed);
   }
 
   boolean isQuarantined(Fingerprint request) {
-    PoisonCase known = cases.get(request);
-    return known != null && known.isQuarantined();
+    PoisonCase poisonCase = cases.get(request);
+    return poisonCase != null && poisonCase.isQuarantined();
   }
 
-  /** Returns under how many ends of targets a request was, 0 if it was seen to run well. */
+  /** Returns how many targets ended during a request; 0 if it is cleared. */
   int endCount(Fingerprint request) {
-    PoisonCase known = cases.get(request);
-    return known == null ? 0 : known.ends().size();
+    PoisonCase poisonCase = cases.get(request);
+    return poisonCase == null ? 0 : poisonCase.ends().size();
   }
 
   boolean isCleared(Fingerprint request) {
-    PoisonCase known = cases.get(request);
-    return known != null && known.isCleared();
+    PoisonCase poisonCase = cases.get(request);
+    return poisonCase != null && poisonCase.isCleared();
   }
 
   int quarantinedCount() {
@@ -165,7 +165,7 @@
   }
 
   int suspectedCount() {
-    return (int) cases.values().stream().filter(known -> !known.ends().isEmpty()).count()
+    return (int) cases.values().stream().filter(each -> !each.ends().isEmpty()).count()
         - quarantinedCount();
   }
 
@@ -173,9 +173,10 @@
     return facts.values().stream().filter(fact -> fact.request().equals(request)).toList();
   }
 
-  List<SharedFacts.Numbered<PoisonFact>> after(long known, int most) {
-    return facts.tailMap(known, false).entrySet().stream()
-        .limit(most)
+  /** Returns the facts after a number, in the order in which they were added. */
+  List<SharedFacts.Numbered<PoisonFact>> after(long number, int maxCount) {
+    return facts.tailMap(number, false).entrySet().stream()
+        .limit(maxCount)
         .map(entry -> new SharedFacts.Numbered<>(entry.getKey(), entry.getValue()))
         .toList();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
@@ -7,40 +7,42 @@
 import org.gatereel.core.internal.CoreContext;
 
 /**
- * Has what is known of requests under which targets end outlive all hosts, and reach those that are
- * cut off from the others.
+ * Writes facts about poison requests to the store and reads them from it, for hosts that restart or
+ * cannot reach each other.
  *
- * <p>Facts are rows of their own, which are only added, so that no two writers are in each other's
- * way and a write whose answer was lost can be repeated. Who has seen an end writes it, once there
- * are two of the same request: of single ones there are many, and nearly all are chance.
+ * <p>Each fact is a row that is only added, so that writers do not conflict and writes can be
+ * repeated. The first end of a request is written only once there is a second, since single ends
+ * are frequent.
  */
 public final class PoisonRecords {
-  /** Single ends come every few seconds on days of trouble, to all hosts. */
-  private static final int ENDS_THAT_ARE_WRITTEN = 2;
+  private static final int MIN_WRITTEN_ENDS = 2;
 
-  /** A transaction of the store takes 100 rows at the most, and a few are removed with it. */
-  private static final int MOST_WRITTEN = 50;
+  /** Below the store's limit of 100 rows per transaction, with room for removed rows. */
+  private static final int MAX_ROWS_PER_WRITE = 50;
 
-  /** While the store is away no more are kept for it; hosts tell each other all of them. */
-  private static final int MOST_WAITING = 500;
+  /** While the store is unavailable, further facts are not kept for it. */
+  private static final int MAX_PENDING_FACTS = 500;
 
-  private static final long FIRST_RETRY_MILLIS = 500;
-  private static final long LONGEST_RETRY_MILLIS = 8_000;
+  private static final long INITIAL_BACKOFF_MILLIS = 500;
+  private static final long MAX_BACKOFF_MILLIS = 8_000;
 
   private final CoreContext context;
   private final PoisonControl control;
   private final Writer writer;
-  private final Set<PoisonFact> waiting = new LinkedHashSet<>();
+  private final Set<PoisonFact> pending = new LinkedHashSet<>();
   private final Set<Fingerprint> recorded = new LinkedHashSet<>();
-  private long retryMillis = FIRST_RETRY_MILLIS;
-  private long newsAt = Long.MIN_VALUE;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+  private long newFactAt = Long.MIN_VALUE;
   private long readAt = Long.MIN_VALUE;
   private long retryAt = Long.MIN_VALUE;
   private boolean writing;
 
   /** Writes rows into the store. */
   public interface Writer {
-    /** Writes facts, once each; {@code done} is told later whether the store took them. */
+    /**
+     * Writes facts. {@code done} is called after this method has returned, with whether the store
+     * accepted them.
+     */
     void write(List<PoisonFact> facts, Consumer<Boolean> done);
   }
 
@@ -48,24 +50,21 @@
     this.context = context;
     this.control = control;
     this.writer = writer;
-    control.onNewFact(this::learnt);
+    control.onNewFact(this::onNewFact);
   }
 
   /**
-   * Returns whether the rows have to be read: after a start, and after each further end of a
-   * request that had one.
-   *
-   * <p>What hosts have written that reach nobody else matters here once the request comes here, and
-   * then its second end is news. Rows that are read all the time would be a third more calls.
+   * Returns whether the rows must be read: at start, and after each end of a request that had
+   * another end before. Hosts that cannot be reached may have written facts about it.
    */
   public boolean needsReading() {
-    return readAt == Long.MIN_VALUE || newsAt >= readAt;
+    return readAt == Long.MIN_VALUE || newFactAt >= readAt;
   }
 
   /**
-   * Takes in all rows of the store.
+   * Merges all rows of the store.
    *
-   * @param provenAt when the question was sent that the store answered with them
+   * @param provenAt when the request that returned them was sent to the store
    */
   public void onRowsRead(List<PoisonFact> rows, long provenAt) {
     readAt = Math.max(readAt, provenAt);
@@ -73,10 +72,10 @@
     control.learn(rows, PoisonControl.Source.STORE);
   }
 
-  private void learnt(PoisonFact fact, PoisonControl.Source source) {
-    boolean known = control.endCount(fact.request()) >= ENDS_THAT_ARE_WRITTEN;
-    if (known && source != PoisonControl.Source.STORE) {
-      newsAt = context.knowledgeTime();
+  private void onNewFact(PoisonFact fact, PoisonControl.Source source) {
+    boolean enoughEnds = control.endCount(fact.request()) >= MIN_WRITTEN_ENDS;
+    if (enoughEnds && source != PoisonControl.Source.STORE) {
+      newFactAt = context.knowledgeTime();
     }
     if (source != PoisonControl.Source.HERE) {
       return;
@@ -85,38 +84,38 @@
       if (recorded.contains(fact.request())) {
         add(List.of(fact));
       }
-    } else if (known) {
+    } else if (enoughEnds) {
       recorded.add(fact.request());
       add(control.factsOf(fact.request()));
     }
   }
 
   private void add(List<PoisonFact> facts) {
-    if (waiting.size() < MOST_WAITING) {
-      waiting.addAll(facts);
+    if (pending.size() < MAX_PENDING_FACTS) {
+      pending.addAll(facts);
     }
     write();
   }
 
   private void write() {
-    if (writing || waiting.isEmpty() || context.now() < retryAt) {
+    if (writing || pending.isEmpty() || context.now() < retryAt) {
       return;
     }
     writing = true;
-    List<PoisonFact> facts = waiting.stream().limit(MOST_WRITTEN).toList();
-    writer.write(facts, taken -> written(facts, taken));
+    List<PoisonFact> facts = pending.stream().limit(MAX_ROWS_PER_WRITE).toList();
+    writer.write(facts, accepted -> onWritten(facts, accepted));
   }
 
-  private void written(List<PoisonFact> facts, boolean taken) {
+  private void onWritten(List<PoisonFact> facts, boolean accepted) {
     writing = false;
-    if (taken) {
-      facts.forEach(waiting::remove);
-      retryMillis = FIRST_RETRY_MILLIS;
+    if (accepted) {
+      facts.forEach(pending::remove);
+      backoffMillis = INITIAL_BACKOFF_MILLIS;
       write();
     } else {
-      retryAt = context.now() + retryMillis;
-      context.after(retryMillis, this::write);
-      retryMillis = Math.min(LONGEST_RETRY_MILLIS, 2 * retryMillis);
+      retryAt = context.now() + backoffMillis;
+      context.after(backoffMillis, this::write);
+      backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Requests under which targets end: how they are recognised when they come again, and what is known
- * of them.
- */
+/** Detection and quarantine of poison requests, under which targets crash. */
 package org.gatereel.core.poison;
