--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
@@ -14,195 +14,197 @@
 import org.gatereel.core.model.TargetId;
 import org.junit.jupiter.api.Test;
 
-/** Which request the ends of targets are charged to. */
+/** To which requests ends of targets are attributed, and which are quarantined. */
 class PoisonLedgerTest {
-  private static final Fingerprint FATAL = new Fingerprint("fatal");
-  private static final Fingerprint SOUND = new Fingerprint("sound");
+  private static final Fingerprint POISON = new Fingerprint("fatal");
+  private static final Fingerprint HARMLESS = new Fingerprint("sound");
   private static final long HOUR = 3_600_000;
 
   private final PoisonLedger ledger = new PoisonLedger();
 
-  /** Ends of targets are a second apart, in the order of their names. */
+  /** Makes an end; targets end in the order of their names, seconds apart. */
   private static PoisonFact end(Fingerprint request, String target) {
     long at = 1_000L * target.hashCode();
     return PoisonFact.end(request, new TargetId(target), at - 300, at);
   }
 
-  private List<Fingerprint> ended(Fingerprint request, String... targets) {
-    List<Fingerprint> held = new ArrayList<>();
+  private List<Fingerprint> quarantinedAfterEnds(Fingerprint request, String... targets) {
+    List<Fingerprint> quarantined = new ArrayList<>();
     for (String target : targets) {
       ledger.add(end(request, target));
-      held.addAll(ledger.quarantineDue());
+      quarantined.addAll(ledger.quarantineDue());
     }
-    return held;
+    return quarantined;
   }
 
   @Test
-  void theThirdEndHoldsARequestBack() {
-    assertEquals(List.of(), ended(FATAL, "a", "b"));
-    assertEquals(List.of(FATAL), ended(FATAL, "c"));
-    assertTrue(ledger.isQuarantined(FATAL));
+  void aRequestIsQuarantinedAfterThreeEnds() {
+    assertEquals(List.of(), quarantinedAfterEnds(POISON, "a", "b"));
+    assertEquals(List.of(POISON), quarantinedAfterEnds(POISON, "c"));
+    assertTrue(ledger.isQuarantined(POISON));
   }
 
   @Test
-  void anEndThatSeveralHostsTellOfCountsOnce() {
-    assertEquals(List.of(), ended(FATAL, "a", "b", "a", "b", "a"));
+  void anEndReportedSeveralTimesCountsOnce() {
+    assertEquals(List.of(), quarantinedAfterEnds(POISON, "a", "b", "a", "b", "a"));
   }
 
-  /** A call that many make alike was at three targets of a data centre that lost power. */
+  /** Guards against quarantine of a frequent call after a power failure of its targets. */
   @Test
-  void endsThatCameTogetherCountAsOne() {
+  void simultaneousEndsCountOnce() {
     for (int number = 0; number < 8; number++) {
       ledger.add(
-          PoisonFact.end(SOUND, new TargetId("t" + number), 900 + number, 1_000 + 40 * number));
+          PoisonFact.end(HARMLESS, new TargetId("t" + number), 900 + number, 1_000 + 40 * number));
     }
 
     assertEquals(List.of(), ledger.quarantineDue());
   }
 
   @Test
-  void endsThatFollowEachOtherCountHoweverFast() {
+  void endsInSequenceCountSeparatelyHoweverShortTheInterval() {
     for (int number = 0; number < 3; number++) {
       ledger.add(
           PoisonFact.end(
-              FATAL, new TargetId("t" + number), 1_000 + 5 * number, 1_004 + 5 * number));
+              POISON, new TargetId("t" + number), 1_000 + 5 * number, 1_004 + 5 * number));
     }
 
-    assertEquals(List.of(FATAL), ledger.quarantineDue());
+    assertEquals(List.of(POISON), ledger.quarantineDue());
   }
 
   @Test
-  void endsApartCountThoughTheirRunsWereSentTogether() {
+  void endsAtDifferentTimesCountSeparatelyAfterSimultaneousSends() {
     for (int number = 0; number < 3; number++) {
-      ledger.add(PoisonFact.end(FATAL, new TargetId("t" + number), 1_000, 2_000 + 600 * number));
+      ledger.add(PoisonFact.end(POISON, new TargetId("t" + number), 1_000, 2_000 + 600 * number));
     }
 
-    assertEquals(List.of(FATAL), ledger.quarantineDue());
+    assertEquals(List.of(POISON), ledger.quarantineDue());
   }
 
   @Test
-  void theNextRunUnderANameIsAnotherTarget() {
-    for (long born = 1; born <= 3; born++) {
-      ledger.add(PoisonFact.end(FATAL, new TargetId("a", born), 900 * born, 1_000 * born));
+  void endsOfDifferentIncarnationsCountSeparately() {
+    for (long incarnation = 1; incarnation <= 3; incarnation++) {
+      ledger.add(
+          PoisonFact.end(
+              POISON, new TargetId("a", incarnation), 900 * incarnation, 1_000 * incarnation));
     }
 
-    assertEquals(List.of(FATAL), ledger.quarantineDue());
+    assertEquals(List.of(POISON), ledger.quarantineDue());
   }
 
-  /** Streams move from a target that ends to the same next one as the request that ended it. */
+  /** Guards against quarantine of streams that follow a poison request to its next targets. */
   @Test
-  void aRequestThatWasWithTheOneAtFewerEndsIsNotHeldBack() {
-    ended(FATAL, "a");
+  void endsSharedWithARequestThatHasMoreAreNotAttributed() {
+    quarantinedAfterEnds(POISON, "a");
     for (String target : List.of("b", "c", "d")) {
-      ledger.add(end(FATAL, target));
-      ledger.add(end(SOUND, target));
+      ledger.add(end(POISON, target));
+      ledger.add(end(HARMLESS, target));
       ledger.quarantineDue();
     }
 
-    assertTrue(ledger.isQuarantined(FATAL));
-    assertFalse(ledger.isQuarantined(SOUND));
+    assertTrue(ledger.isQuarantined(POISON));
+    assertFalse(ledger.isQuarantined(HARMLESS));
   }
 
   @Test
-  void ofTwoThatWereAlwaysTogetherNoneIsHeldBackUntilTheyPart() {
+  void ofTwoRequestsWithTheSameEndsNoneIsQuarantinedUntilTheyDiffer() {
     for (String target : List.of("a", "b", "c", "d")) {
-      ledger.add(end(FATAL, target));
-      ledger.add(end(SOUND, target));
+      ledger.add(end(POISON, target));
+      ledger.add(end(HARMLESS, target));
     }
     assertEquals(List.of(), ledger.quarantineDue());
 
-    assertEquals(List.of(FATAL), ended(FATAL, "e"));
-    assertEquals(List.of(), ended(SOUND, "a", "b", "c", "d"));
+    assertEquals(List.of(POISON), quarantinedAfterEnds(POISON, "e"));
+    assertEquals(List.of(), quarantinedAfterEnds(HARMLESS, "a", "b", "c", "d"));
   }
 
   @Test
-  void endsThatAHeldRequestExplainsCountAgainstNobodyElse() {
-    ended(FATAL, "a", "b", "c");
-    ended(FATAL, "d", "e");
+  void endsOfAQuarantinedRequestAreNotAttributedToOthers() {
+    quarantinedAfterEnds(POISON, "a", "b", "c");
+    quarantinedAfterEnds(POISON, "d", "e");
 
-    assertEquals(List.of(), ended(SOUND, "d", "e", "f", "g"));
-    assertEquals(List.of(SOUND), ended(SOUND, "h"));
+    assertEquals(List.of(), quarantinedAfterEnds(HARMLESS, "d", "e", "f", "g"));
+    assertEquals(List.of(HARMLESS), quarantinedAfterEnds(HARMLESS, "h"));
   }
 
   @Test
-  void twoRequestsOfWhichEachEndsTargetsAreBothHeldBack() {
+  void twoPoisonRequestsAreBothQuarantined() {
     Fingerprint other = new Fingerprint("other");
-    ended(FATAL, "a", "both");
-    ended(other, "b", "both");
-    ended(FATAL, "c", "d");
-    ended(other, "e", "f");
+    quarantinedAfterEnds(POISON, "a", "both");
+    quarantinedAfterEnds(other, "b", "both");
+    quarantinedAfterEnds(POISON, "c", "d");
+    quarantinedAfterEnds(other, "e", "f");
 
-    assertTrue(ledger.isQuarantined(FATAL));
+    assertTrue(ledger.isQuarantined(POISON));
     assertTrue(ledger.isQuarantined(other));
   }
 
   @Test
-  void aRunThatLastedOutweighsAllEnds() {
-    ended(SOUND, "a", "b", "c");
-    ledger.add(PoisonFact.clearing(SOUND, 2_000));
+  void aSuccessfulExecutionOutweighsAllEnds() {
+    quarantinedAfterEnds(HARMLESS, "a", "b", "c");
+    ledger.add(PoisonFact.clearing(HARMLESS, 2_000));
 
-    assertFalse(ledger.isQuarantined(SOUND));
-    assertEquals(List.of(), ended(SOUND, "d", "e", "f"));
+    assertFalse(ledger.isQuarantined(HARMLESS));
+    assertEquals(List.of(), quarantinedAfterEnds(HARMLESS, "d", "e", "f"));
   }
 
   @Test
-  void whatIsHeldBackIsRememberedForADayAndSuspicionForAnHour() {
-    ended(FATAL, "a", "b", "c");
-    ended(SOUND, "d", "e");
+  void quarantineExpiresAfterADayAndSuspicionAfterAnHour() {
+    quarantinedAfterEnds(POISON, "a", "b", "c");
+    quarantinedAfterEnds(HARMLESS, "d", "e");
 
     ledger.expire(2 * HOUR + 200_000);
-    assertEquals(0, ledger.endCount(SOUND));
-    assertTrue(ledger.isQuarantined(FATAL));
+    assertEquals(0, ledger.endCount(HARMLESS));
+    assertTrue(ledger.isQuarantined(POISON));
 
     ledger.expire(25 * HOUR + 200_000);
     assertTrue(ledger.isEmpty());
   }
 
   @Test
-  void theTableIsBoundedAndWhatIsHeldBackGoesLast() {
-    ended(FATAL, "a", "b", "c");
+  void theNumberOfCasesIsBoundedAndQuarantinedOnesAreEvictedLast() {
+    quarantinedAfterEnds(POISON, "a", "b", "c");
     for (int number = 0; number < 3_000; number++) {
       ledger.add(
           PoisonFact.end(
               new Fingerprint("r" + number), new TargetId("t" + number), 1_900_000, 2_000_000));
     }
 
-    assertTrue(ledger.isQuarantined(FATAL));
+    assertTrue(ledger.isQuarantined(POISON));
     assertEquals(1_000, ledger.quarantinedCount() + ledger.suspectedCount());
     assertEquals(1_002, ledger.after(0, 5_000).size());
   }
 
   @Test
-  void aReaderIsToldEachFactOnceInTheirOrder() {
-    ended(FATAL, "a", "b", "c");
+  void factsAreReturnedOnceInTheirOrder() {
+    quarantinedAfterEnds(POISON, "a", "b", "c");
     List<SharedFacts.Numbered<PoisonFact>> first = ledger.after(0, 2);
 
     assertEquals(2, first.size());
     assertEquals(
-        List.of(end(FATAL, "c")),
+        List.of(end(POISON, "c")),
         ledger.after(first.get(1).number(), 10).stream().map(SharedFacts.Numbered::fact).toList());
   }
 
-  /** Facts come in any order, by several ways; who knows the same holds the same back. */
+  /** Hosts receive facts in different orders and must come to the same result. */
   @Property(tries = 200, seed = "20261203")
-  void theOrderOfFactsDoesNotMatterToAHostThatLearnsThemTogether(@ForAll long seed) {
+  void theOrderOfFactsThatAreMergedTogetherDoesNotMatter(@ForAll long seed) {
     Random random = new Random(seed);
     List<PoisonFact> facts = new ArrayList<>();
     for (int number = 0; number < 24; number++) {
       Fingerprint request = new Fingerprint("r" + random.nextInt(5));
       facts.add(end(request, "t" + random.nextInt(10)));
     }
-    List<Fingerprint> held = held(facts);
+    List<Fingerprint> quarantined = quarantineDue(facts);
 
     Collections.shuffle(facts, random);
 
-    assertEquals(held, held(facts));
+    assertEquals(quarantined, quarantineDue(facts));
   }
 
-  private static List<Fingerprint> held(List<PoisonFact> facts) {
-    PoisonLedger fresh = new PoisonLedger();
-    facts.forEach(fresh::add);
-    return fresh.quarantineDue().stream()
+  private static List<Fingerprint> quarantineDue(List<PoisonFact> facts) {
+    PoisonLedger newLedger = new PoisonLedger();
+    facts.forEach(newLedger::add);
+    return newLedger.quarantineDue().stream()
         .map(Fingerprint::value)
         .sorted()
         .map(Fingerprint::new)
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
@@ -14,30 +14,30 @@
 import org.gatereel.core.model.TargetId;
 import org.junit.jupiter.api.Test;
 
-/** What hosts write into the store of requests under which targets end, and when they read it. */
+/** When facts about poison requests are written to the store and read from it. */
 class PoisonRecordsTest {
-  private static final Fingerprint FATAL = new Fingerprint("fatal");
+  private static final Fingerprint POISON = new Fingerprint("fatal");
 
   private final CoreContext context =
       new CoreContext(new HostId("h"), new DataCentre("north"), new SplittableRandom(1));
   private final PoisonControl control = new PoisonControl(context);
   private final List<List<PoisonFact>> written = new ArrayList<>();
-  private final List<Consumer<Boolean>> settled = new ArrayList<>();
+  private final List<Consumer<Boolean>> pendingWrites = new ArrayList<>();
   private final PoisonRecords records =
       new PoisonRecords(
           context,
           control,
           (facts, done) -> {
             written.add(facts);
-            settled.add(done);
+            pendingWrites.add(done);
           });
 
   private static PoisonFact end(String target) {
     long at = 1_000L * target.hashCode();
-    return PoisonFact.end(FATAL, new TargetId(target), at - 300, at);
+    return PoisonFact.end(POISON, new TargetId(target), at - 300, at);
   }
 
-  private void ended(String target) {
+  private void recordEnd(String target) {
     control.recordEnd(end(target));
   }
 
@@ -48,49 +48,49 @@
 
   @Test
   void aSingleEndIsNotWritten() {
-    ended("a");
+    recordEnd("a");
 
     assertEquals(List.of(), written);
   }
 
   @Test
-  void theSecondEndIsWrittenWithTheFirstWhoeverSawThat() {
+  void theSecondEndIsWrittenTogetherWithTheFirstOfAnyHost() {
     control.learn(List.of(end("a")));
-    ended("b");
+    recordEnd("b");
 
     assertEquals(2, written.get(0).size());
   }
 
   @Test
-  void whatOthersSawIsTheirsToWrite() {
+  void factsObservedByOtherHostsAreNotWritten() {
     control.learn(List.of(end("a"), end("b")));
 
     assertEquals(List.of(), written);
   }
 
   @Test
-  void whatTheStoreDidNotTakeIsWrittenAgain() {
-    ended("a");
-    ended("b");
-    settled.get(0).accept(false);
-    ended("c");
+  void factsThatTheStoreDidNotAcceptAreWrittenAgain() {
+    recordEnd("a");
+    recordEnd("b");
+    pendingWrites.get(0).accept(false);
+    recordEnd("c");
     assertEquals(1, written.size());
     pass(500);
 
     assertEquals(3, written.get(1).size());
-    settled.get(1).accept(true);
+    pendingWrites.get(1).accept(true);
     assertEquals(2, written.size());
   }
 
   @Test
-  void rowsAreReadAfterAStartAndOnceAfterEachFurtherEndOfARequest() {
+  void rowsAreReadAtStartAndOnceAfterEachFurtherEndOfARequest() {
     assertTrue(records.needsReading());
     pass(1_000);
     records.onRowsRead(List.of(), context.now());
     assertFalse(records.needsReading());
 
     pass(1_000);
-    ended("a");
+    recordEnd("a");
     assertFalse(records.needsReading());
     control.learn(List.of(end("b")));
     assertTrue(records.needsReading());
@@ -103,19 +103,19 @@
   }
 
   @Test
-  void whatTheStoreHoldsIsHeldBackAfterAStart() {
+  void requestsAreQuarantinedByTheRowsReadAtStart() {
     records.onRowsRead(List.of(end("a"), end("b"), end("c")), context.now());
 
-    assertTrue(control.isQuarantined(() -> FATAL));
+    assertTrue(control.isQuarantined(() -> POISON));
     assertEquals(List.of(), written);
   }
 
   @Test
-  void thatARequestRunsWellIsWrittenWhereItsEndsStand() {
-    ended("a");
-    ended("b");
-    settled.get(0).accept(true);
-    control.recordSuccess(() -> FATAL);
+  void aSuccessfulExecutionIsWrittenIfEndsWereWritten() {
+    recordEnd("a");
+    recordEnd("b");
+    pendingWrites.get(0).accept(true);
+    control.recordSuccess(() -> POISON);
 
     assertEquals(1, written.get(1).size());
     assertTrue(written.get(1).get(0).isClearing());
