--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/ApprovedVersions.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/ApprovedVersions.java
@@ -9,19 +9,18 @@
 import org.gatereel.core.model.TargetDescription;
 
 /**
- * Which versions of a service may be used without a word of the operators.
+ * Which versions of a service may be used without an order.
  *
- * <p>Targets of a new version start when an order is given, and their entries may be known here
- * before the order is. A version that a service did not have is therefore held back until the
- * operators' documents were read after it was seen. Where as many new targets start as there were
- * (arithmetic, no measurement), it would have half of all requests until then.
+ * <p>Targets of a new version may be listed before their order is known to this host. A new version
+ * is therefore not used until the operators' documents were read after it was first listed: from
+ * then on any order for it is known.
  */
 final class ApprovedVersions {
-  private final Map<ServiceName, Set<String>> vouched = new HashMap<>();
-  private final Map<ServiceName, Map<String, Long>> pending = new HashMap<>();
+  private final Map<ServiceName, Set<String>> approved = new HashMap<>();
+  private final Map<ServiceName, Map<String, Long>> firstListedAt = new HashMap<>();
   private Map<ServiceName, Set<String>> listed = Map.of();
 
-  /** Takes in the versions of a list that came now. */
+  /** Replaces the listed versions. All versions in the first list of a service are approved. */
   void update(HostList list, long now) {
     Map<ServiceName, Set<String>> latest = new HashMap<>();
     for (TargetDescription target : list.targets()) {
@@ -32,26 +31,26 @@
   }
 
   private void update(ServiceName service, Set<String> versions, long now) {
-    Set<String> known = vouched.get(service);
+    Set<String> known = approved.get(service);
     if (known == null) {
-      vouched.put(service, new HashSet<>(versions));
+      approved.put(service, new HashSet<>(versions));
       return;
     }
-    Map<String, Long> waiting = pending.computeIfAbsent(service, any -> new HashMap<>());
-    waiting.keySet().retainAll(versions);
+    Map<String, Long> pending = firstListedAt.computeIfAbsent(service, any -> new HashMap<>());
+    pending.keySet().retainAll(versions);
     versions.stream()
         .filter(version -> !known.contains(version))
-        .forEach(version -> waiting.putIfAbsent(version, now));
+        .forEach(version -> pending.putIfAbsent(version, now));
   }
 
-  /** The operators' documents were read at a time: what was seen before then has no order. */
-  void approveSeenBefore(long provenAt) {
-    pending.forEach(
-        (service, waiting) -> {
-          Set<String> known = vouched.get(service);
-          waiting
+  /** Approves versions that were first listed before the operators' documents were read. */
+  void approveSeenBefore(long readAt) {
+    firstListedAt.forEach(
+        (service, pending) -> {
+          Set<String> known = approved.get(service);
+          pending
               .entrySet()
-              .removeIf(version -> version.getValue() < provenAt && known.add(version.getKey()));
+              .removeIf(version -> version.getValue() < readAt && known.add(version.getKey()));
         });
   }
 
@@ -60,8 +59,8 @@
     return Set.of(version).equals(listed.get(service));
   }
 
-  /** Returns the versions of a service that are to be held back for now. */
+  /** Returns the listed versions of a service that are not approved yet. */
   Set<String> unapproved(ServiceName service) {
-    return pending.getOrDefault(service, Map.of()).keySet();
+    return firstListedAt.getOrDefault(service, Map.of()).keySet();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/CanarySampler.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/CanarySampler.java
@@ -3,12 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws the requests of one route that go to the new version, spread evenly.
+ * Selects the requests of one route that go to the new version, evenly spaced.
  *
- * <p>Each request adds the share; what passes a whole is drawn. Since the first whole lies at a
- * random place, the number that a host draws is the share of its requests in the mean also where it
- * has few, and off by less than one, so that all hosts together stay near the share without a word
- * between them, however their first requests come together.
+ * <p>Each request adds the ratio to a sum that starts at random, and is selected when the sum
+ * reaches 1. The random start keeps the expected ratio exact for hosts with few requests, and keeps
+ * hosts from selecting their first requests at the same time.
  */
 final class CanarySampler {
   private double sum;
@@ -17,8 +16,9 @@
     this.sum = random.nextDouble();
   }
 
-  boolean sample(double share) {
-    sum += share;
+  /** Returns whether the next request is selected. */
+  boolean sample(double ratio) {
+    sum += ratio;
     if (sum < 1) {
       return false;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/EvidenceKey.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/EvidenceKey.java
@@ -3,15 +3,14 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * Under which answers are counted together.
+ * The responses that are counted together.
  *
- * @param orderRevision the order during which they came
- * @param route a version may be bad on one route alone
- * @param newVersion whether they came from the version that the order names
+ * @param orderRevision the revision of the order during which they were received
+ * @param newVersion whether they are of the version that the order names
  */
 public record EvidenceKey(
     ServiceName service, long orderRevision, String route, Signal signal, boolean newVersion) {
-  EvidenceKey withNewVersion(boolean version) {
-    return new EvidenceKey(service, orderRevision, route, signal, version);
+  EvidenceKey withNewVersion(boolean isNew) {
+    return new EvidenceKey(service, orderRevision, route, signal, isNew);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/LocalEvidence.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/LocalEvidence.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import org.gatereel.core.model.ServiceName;
 
-/** What this host counted of both versions during the roll-outs that are running. */
+/** Counts this host's requests and responses of both versions during running rollouts. */
 final class LocalEvidence {
-  /** "Several times slower" begins here; single answers of sound targets are seldom so slow. */
+  /** A response is slow above this multiple of the mean time. */
   private static final double SLOW_FACTOR = 3;
 
-  /** Before so many times are known of the versions before, nothing is called slow. */
-  private static final long ENOUGH_TIMES = 10;
+  /** With fewer times of the old version, no response counts as slow. */
+  private static final long MIN_TIMED_RESPONSES = 10;
 
   private final Map<EvidenceKey, ResponseTally> tallies = new HashMap<>();
 
@@ -18,39 +18,39 @@
     return tallies;
   }
 
-  /** Forgets what was counted during other orders of a service. */
+  /** Removes the evidence of all other orders of a service. */
   void retainOrder(ServiceName service, long orderRevision) {
     tallies
         .keySet()
         .removeIf(key -> key.service().equals(service) && key.orderRevision() != orderRevision);
   }
 
-  /** Counts a request. */
   void recordSent(EvidenceKey key) {
     tallies.merge(key, new ResponseTally(1, 0, 0, 0), ResponseTally::plus);
   }
 
   /**
-   * Counts an answer.
+   * Records a response.
    *
-   * @param usual what is known of the versions before under this key, of all hosts
+   * @param reference the tally of the old version under this key, over all hosts
    */
-  void recordResponse(EvidenceKey key, double millis, boolean failed, ResponseTally usual) {
+  void recordResponse(EvidenceKey key, double millis, boolean failed, ResponseTally reference) {
     double logMillis = Math.log(Math.max(1, millis));
-    boolean bad = failed || isSlow(millis, usual);
-    ResponseTally one =
+    boolean bad = failed || isSlow(millis, reference);
+    ResponseTally tally =
         failed ? new ResponseTally(1, 1, 0, 0) : new ResponseTally(1, bad ? 1 : 0, 1, logMillis);
-    tallies.merge(key, one, ResponseTally::plus);
+    tallies.merge(key, tally, ResponseTally::plus);
   }
 
-  /** Counts an answer that was given up after a time, if that alone says that it was slow. */
-  void recordAbandoned(EvidenceKey key, double millis, ResponseTally usual) {
-    if (isSlow(millis, usual)) {
+  /** Records a request that was abandoned without response, if its time already counts as slow. */
+  void recordAbandoned(EvidenceKey key, double millis, ResponseTally reference) {
+    if (isSlow(millis, reference)) {
       tallies.merge(key, new ResponseTally(1, 1, 0, 0), ResponseTally::plus);
     }
   }
 
-  private static boolean isSlow(double millis, ResponseTally usual) {
-    return usual.timed() >= ENOUGH_TIMES && millis > SLOW_FACTOR * usual.meanMillis();
+  private static boolean isSlow(double millis, ResponseTally reference) {
+    return reference.timed() >= MIN_TIMED_RESPONSES
+        && millis > SLOW_FACTOR * reference.meanMillis();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/ResponseTally.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/ResponseTally.java
@@ -1,18 +1,17 @@
 package org.gatereel.core.rollout;
 
 /**
- * Answers of one version, counted by one or more hosts.
+ * Responses of one version, counted by one or more hosts.
  *
- * @param responses all that came
- * @param bad those of them that were failures, or several times slower than is usual
- * @param timed those whose time was taken
- * @param logMillis the sum of the natural logarithms of those times in milliseconds
+ * @param responses the number of all responses
+ * @param bad those that were errors or slow
+ * @param timed those with a recorded time
+ * @param logMillis the sum of the natural logarithms of these times in milliseconds
  */
 public record ResponseTally(long responses, long bad, long timed, double logMillis) {
-  /** Nothing was counted. */
   public static final ResponseTally NONE = new ResponseTally(0, 0, 0, 0);
 
-  /** Adds what other hosts counted. */
+  /** Adds the counts of another tally. */
   public ResponseTally plus(ResponseTally other) {
     return new ResponseTally(
         responses + other.responses,
@@ -21,7 +20,7 @@
         logMillis + other.logMillis);
   }
 
-  /** Returns the geometric mean of the times in milliseconds; 0 if none was taken. */
+  /** Returns the geometric mean of the times in milliseconds; 0 if there are none. */
   double meanMillis() {
     return timed == 0 ? 0 : Math.exp(logMillis / timed);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/Rollout.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/Rollout.java
@@ -7,31 +7,28 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** What this host knows of one service's latest order, and what follows from it for requests. */
+/** The latest order of one service as known to this host, and the version rules that it implies. */
 final class Rollout {
-  /** Of the exposure that is allowed, this part is spent on the canary up to the last moments. */
-  private static final double CANARY_PART = 0.4;
+  /** The ratio of the allowed exposure used by the canary stage. */
+  private static final double CANARY_EXPOSURE_RATIO = 0.4;
 
-  /** A rare route shows its answers too, but most of them must come from the version before. */
-  private static final double MOST_OF_ROUTE = 0.5;
+  /** The upper limit of the canary ratio on a rare route. */
+  private static final double MAX_CANARY_RATIO = 0.5;
 
-  /**
-   * A row that was proved longer ago vouches for nothing: readers and askers prove it every 0.5 of
-   * a bound of 3 s, one after the other.
-   */
-  private static final long TRUSTED_MILLIS = 2_500;
+  /** The row is used for this long after the last read that confirmed it. */
+  private static final long RECORD_LEASE_MILLIS = 2_500;
 
   private final RolloutBounds bounds;
   private final RandomGenerator random;
   private final RolloutOrder order;
   private final long knownAt;
-  private final Map<String, CanarySampler> draws = new HashMap<>();
+  private final Map<String, CanarySampler> samplers = new HashMap<>();
   private Optional<RolloutRecord> record = Optional.empty();
   private long storeOffset;
   private long provenAt = Long.MIN_VALUE / 2;
   private VersionVerdict verdict = VersionVerdict.UNKNOWN;
-  private Optional<SentRequests> atShift = Optional.empty();
-  private boolean loaded;
+  private Optional<SentRequests> sentAtShift = Optional.empty();
+  private boolean tookLoad;
 
   Rollout(RolloutBounds bounds, RandomGenerator random, RolloutOrder order, long knownAt) {
     this.bounds = bounds;
@@ -52,7 +49,12 @@
     return verdict;
   }
 
-  /** Takes the row in; an end is never left, whoever says so. */
+  /**
+   * Updates the row, unless it is older than the known one or that one is final.
+   *
+   * @param offset the store's clock minus this host's
+   * @param readAt when the row was read, on this host's clock
+   */
   void updateRecord(RolloutRecord latest, long offset, long readAt) {
     boolean older = record.isPresent() && latest.revision() < record.get().revision();
     if (older || isEnded()) {
@@ -79,17 +81,17 @@
     return record.isPresent() && !isEnded();
   }
 
-  /** Takes the evidence of all hosts in; what was found bad stays bad for this order. */
+  /** Evaluates the evidence of all hosts. A version found bad stays bad for this order. */
   void evaluate(Map<EvidenceKey, ResponseTally> evidence, long now) {
     if (verdict.kind() != VersionVerdict.Kind.BAD) {
       verdict = VersionComparison.compare(evidence);
     }
     if (stage(now) != RolloutSchedule.Stage.CANARY) {
       SentRequests sent = SentRequests.of(evidence);
-      if (atShift.isEmpty()) {
-        atShift = Optional.of(sent);
+      if (sentAtShift.isEmpty()) {
+        sentAtShift = Optional.of(sent);
       }
-      loaded = sent.tookLoadSince(atShift.get());
+      tookLoad = sent.tookLoadSince(sentAtShift.get());
     }
   }
 
@@ -98,31 +100,31 @@
   }
 
   private RolloutSchedule schedule() {
-    RolloutRecord known = record.orElseThrow();
-    return new RolloutSchedule(known.startedAt(), known.durationMillis(), bounds);
+    RolloutRecord current = record.orElseThrow();
+    return new RolloutSchedule(current.startedAt(), current.durationMillis(), bounds);
   }
 
   RolloutSchedule.Stage stage(long now) {
     return schedule().stage(storeMillis(now));
   }
 
-  private boolean isTrusted(long now) {
-    return isRunning() && now - provenAt <= TRUSTED_MILLIS;
+  private boolean hasCurrentRecord(long now) {
+    return isRunning() && now - provenAt <= RECORD_LEASE_MILLIS;
   }
 
-  /** Returns whether some requests, or all, go to a version because it is tried out now. */
+  /** Returns whether requests may go to a version because it is the new one of this rollout. */
   boolean isTryingOut(String version, long now) {
     return order.version().equals(version) && isTryingOut(now);
   }
 
   private boolean isTryingOut(long now) {
-    if (!isTrusted(now) || verdict.kind() == VersionVerdict.Kind.BAD) {
+    if (!hasCurrentRecord(now) || verdict.kind() == VersionVerdict.Kind.BAD) {
       return false;
     }
     return takesAllRequests(now) || storeMillis(now) < schedule().deadline();
   }
 
-  /** Returns the part of a route's requests that goes to the new version now. */
+  /** Returns the ratio of a route's requests that goes to the new version now. */
   double newVersionRatio(long now, RouteTraffic traffic) {
     if (!isTryingOut(now)) {
       return 0;
@@ -130,80 +132,82 @@
     if (takesAllRequests(now)) {
       return 1;
     }
-    double base = CANARY_PART * bounds.exposureRatio();
-    return Math.min(MOST_OF_ROUTE, base * traffic.boost());
+    double canaryRatio = CANARY_EXPOSURE_RATIO * bounds.exposureRatio();
+    return Math.min(MAX_CANARY_RATIO, canaryRatio * traffic.boost());
   }
 
   /**
-   * Returns whether all requests are to go to the new version before its end is known here. At the
-   * versions before, targets stop at once when it is written, so nobody goes back to them for not
-   * having heard of it yet.
+   * Returns whether all requests go to the new version, from the shift stage on. This lasts until
+   * the end is known to this host, since the targets of other versions stop as soon as completion
+   * is written.
    */
   boolean takesAllRequests(long now) {
-    return isTrusted(now)
+    return hasCurrentRecord(now)
         && verdict.kind() == VersionVerdict.Kind.GOOD
         && stage(now) != RolloutSchedule.Stage.CANARY;
   }
 
-  boolean sample(String route, double share) {
-    return draws.computeIfAbsent(route, any -> new CanarySampler(random)).sample(share);
+  boolean sample(String route, double ratio) {
+    return samplers.computeIfAbsent(route, any -> new CanarySampler(random)).sample(ratio);
   }
 
   /**
-   * Returns what holds for requests that are not drawn, for repeats and for copies.
+   * Returns the rule for requests that were not selected for the canary, and for retries and
+   * copies.
    *
-   * @param alone whether all targets have the version that is ordered: it was in service before, or
-   *     nothing else is left; without it the service would be refused as a whole
+   * @param unapproved versions that must not be used
+   * @param onlyVersion whether all targets have the ordered version, so that excluding it would
+   *     make the service unavailable
    */
-  VersionRule rule(long now, Set<String> heldBack, boolean alone) {
-    boolean inVain = isIn(RolloutState.ROLLED_BACK) || verdict.kind() == VersionVerdict.Kind.BAD;
-    if (isCompleted() || takesAllRequests(now) || (alone && !inVain)) {
+  VersionRule rule(long now, Set<String> unapproved, boolean onlyVersion) {
+    boolean failed = isIn(RolloutState.ROLLED_BACK) || verdict.kind() == VersionVerdict.Kind.BAD;
+    if (isCompleted() || takesAllRequests(now) || (onlyVersion && !failed)) {
       return VersionRule.prefer(order.version());
     }
-    Set<String> excluded = new HashSet<>(heldBack);
+    Set<String> excluded = new HashSet<>(unapproved);
     excluded.add(order.version());
     return VersionRule.except(excluded);
   }
 
-  /** Returns a time on this host's clock by which the order was not known to be given. */
+  /** Returns a time on this host's clock that is not later than the order. */
   long knownAt() {
     return knownAt;
   }
 
   /**
-   * Returns the row that is to be written now, if this host may decide.
+   * Returns the row to write now, if a decision is due and this host may make it.
    *
-   * @param reader whether this host reads the store for others; hosts that do not write only what
-   *     readers have left undone
+   * @param reader whether this host reads the store for others; other hosts write only overdue
+   *     decisions
    * @param openBefore whether requests that cannot move are still open at the versions before
    */
   Optional<RolloutRecord> nextRecord(long now, boolean reader, boolean openBefore) {
-    if (!isTrusted(now)) {
+    if (!hasCurrentRecord(now)) {
       return Optional.empty();
     }
-    RolloutRecord known = record.orElseThrow();
+    RolloutRecord current = record.orElseThrow();
     RolloutSchedule.Stage stage = stage(now);
     boolean overdue = stage == RolloutSchedule.Stage.OVERDUE;
     if (!reader && !overdue) {
       return Optional.empty();
     }
     if (verdict.kind() == VersionVerdict.Kind.BAD) {
-      return Optional.of(known.withState(RolloutState.ROLLED_BACK));
+      return Optional.of(current.withState(RolloutState.ROLLED_BACK));
     }
     if (stage.compareTo(RolloutSchedule.Stage.DECISION) < 0) {
       return Optional.empty();
     }
-    boolean good = verdict.kind() == VersionVerdict.Kind.GOOD && loaded;
-    boolean mayBecomeGood = verdict.kind() == VersionVerdict.Kind.GOOD && (!loaded || openBefore);
+    boolean good = verdict.kind() == VersionVerdict.Kind.GOOD && tookLoad;
+    boolean mayBecomeGood = verdict.kind() == VersionVerdict.Kind.GOOD && (!tookLoad || openBefore);
     if (mayBecomeGood && !overdue) {
       return Optional.empty();
     }
     boolean inTime = storeMillis(now) < schedule().deadline();
     return Optional.of(
-        known.withState(good && inTime ? RolloutState.COMPLETED : RolloutState.ROLLED_BACK));
+        current.withState(good && inTime ? RolloutState.COMPLETED : RolloutState.ROLLED_BACK));
   }
 
-  /** Returns the first row of this order, written where none follows it yet. */
+  /** Returns the first row of this order. */
   RolloutRecord initialRecord(long startedAt, long replacedRevision) {
     return new RolloutRecord(
         order.service(),
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutBounds.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutBounds.java
@@ -1,14 +1,14 @@
 package org.gatereel.core.rollout;
 
 /**
- * What operators promise about versions that turn out to be bad.
+ * The limits within which a bad version may receive requests.
  *
- * @param exposureRatio the part of a service's requests that a bad version may get between the
- *     order and its deadline
- * @param exposureSlack how many requests it may get beside
- * @param rollbackMillis how long after a bound's number of bad answers it may still get any
+ * @param exposureRatio the ratio of a service's requests between an order and its deadline
+ * @param exposureSlack a number of requests in addition to that ratio
+ * @param rollbackMillis how long the version may still receive requests after a certain number of
+ *     bad responses
  */
 public record RolloutBounds(double exposureRatio, double exposureSlack, long rollbackMillis) {
-  /** What holds where settings say nothing else. */
+  /** The defaults. */
   public static final RolloutBounds STANDARD = new RolloutBounds(0.1, 50, 5_000);
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
@@ -19,39 +19,39 @@
 import org.gatereel.core.model.ServiceName;
 import org.gatereel.core.target.TargetState;
 
-/** The roll-outs of all services, as this host knows and carries them. */
+/** The rollouts of all services: their state, the version rules and the decisions of this host. */
 public final class RolloutControl {
-  /** How often it is looked whether something is to be decided while a roll-out runs. */
-  static final long TICK_MILLIS = 100;
+  /** How often running rollouts are evaluated. */
+  static final long TICK_INTERVAL_MILLIS = 100;
 
-  /** A row that was written without an answer is written again after this time. */
-  private static final long WRITE_MILLIS = 300;
+  /** The time after which a write without response is repeated. */
+  private static final long WRITE_RETRY_INTERVAL_MILLIS = 300;
 
-  /** Hosts that are no readers write what is left undone after a part of this, drawn by each. */
-  private static final long SPREAD_MILLIS = 400;
+  /** The maximum of the random delay before a host that is not a reader writes a decision. */
+  private static final long MAX_WRITE_DELAY_MILLIS = 400;
 
   private static final Comparator<ServiceName> BY_NAME = Comparator.comparing(ServiceName::value);
 
   private final CoreContext context;
   private final RolloutBounds bounds;
-  private final ApprovedVersions versions = new ApprovedVersions();
-  private final LocalEvidence book = new LocalEvidence();
+  private final ApprovedVersions approvedVersions = new ApprovedVersions();
+  private final LocalEvidence localEvidence = new LocalEvidence();
   private final Map<ServiceName, Rollout> rollouts = new TreeMap<>(BY_NAME);
   private final Map<ServiceName, RolloutRecord> records = new HashMap<>();
-  private final Map<ServiceName, Long> writeAt = new HashMap<>();
+  private final Map<ServiceName, Long> nextWriteAt = new HashMap<>();
 
-  /** Versions of earlier orders that were not completed: nobody vouches for them. */
+  /** Versions of earlier orders that were not completed; they must not be used. */
   private final Map<ServiceName, Set<String>> abandoned = new HashMap<>();
 
-  private Supplier<Map<EvidenceKey, ResponseTally>> others = Map::of;
-  private BooleanSupplier reader = () -> false;
+  private Supplier<Map<EvidenceKey, ResponseTally>> othersEvidence = Map::of;
+  private BooleanSupplier isReader = () -> false;
   private Predicate<Rollout> openBefore = rollout -> false;
   private Consumer<RolloutWrite> writer = write -> {};
   private Optional<Reading> reading = Optional.empty();
   private long ordersProvenAt = Long.MIN_VALUE / 2;
   private boolean ticking;
 
-  /** When the rows were read, on both clocks. */
+  /** When the rows were read, on the store's and on this host's clock. */
   private record Reading(long storeMillis, long provenAt) {
     long offset() {
       return storeMillis - provenAt;
@@ -63,78 +63,81 @@
     this.bounds = bounds;
   }
 
-  /** Says where the evidence of all other hosts is found. */
-  public void setOthersEvidence(Supplier<Map<EvidenceKey, ResponseTally>> heard) {
-    others = heard;
+  /** Sets the source of the evidence of all other hosts. */
+  public void setOthersEvidence(Supplier<Map<EvidenceKey, ResponseTally>> source) {
+    othersEvidence = source;
   }
 
   /**
-   * Says who writes rows.
+   * Sets what is needed to write decisions.
    *
-   * @param isReader tells whether this host reads the store for others
-   * @param open tells whether requests that cannot move are open at other versions of a service
-   * @param write writes a row under its condition; it is asked again while the row is not read
+   * @param isReader returns whether this host reads the store for others
+   * @param hasOpenRequestsBefore returns whether requests that cannot move are open at other
+   *     versions than the ordered one
+   * @param writer writes a row conditionally; called again until the row is read back
    */
   public void setRecordWriter(
-      BooleanSupplier isReader, Predicate<RolloutOrder> open, Consumer<RolloutWrite> write) {
-    reader = isReader;
-    openBefore = rollout -> open.test(rollout.order());
-    writer = write;
+      BooleanSupplier isReader,
+      Predicate<RolloutOrder> hasOpenRequestsBefore,
+      Consumer<RolloutWrite> writer) {
+    this.isReader = isReader;
+    openBefore = rollout -> hasOpenRequestsBefore.test(rollout.order());
+    this.writer = writer;
   }
 
-  /** Returns what this host counted, to be told to others. */
+  /** Returns the evidence counted by this host, for its reports. */
   public Map<EvidenceKey, ResponseTally> ownEvidence() {
-    return Map.copyOf(book.tallies());
+    return Map.copyOf(localEvidence.tallies());
   }
 
-  /** Returns whether rows have to be read: an order is known whose end is not. */
+  /** Returns whether rows must be read, since a known order has not ended. */
   public boolean needsRecords() {
     return rollouts.values().stream().anyMatch(rollout -> !rollout.isEnded());
   }
 
-  /** Takes in the list of targets that the registry takes in next. */
+  /** Updates the listed versions; must be called before the registry receives the list. */
   public void updateTargets(HostList list) {
-    versions.update(list, context.knowledgeTime());
+    approvedVersions.update(list, context.knowledgeTime());
   }
 
   /**
-   * Takes in all orders that the operators have given.
+   * Updates the orders of all services.
    *
-   * @param provenAt when the question was sent that the store answered with them
+   * @param provenAt when the request that returned them was sent to the store
    */
   public void updateOrders(List<RolloutOrder> orders, long provenAt) {
     for (RolloutOrder order : orders) {
-      learnOrder(order);
+      updateOrder(order);
     }
     ordersProvenAt = Math.max(ordersProvenAt, provenAt);
-    versions.approveSeenBefore(provenAt);
+    approvedVersions.approveSeenBefore(provenAt);
   }
 
-  /** Notes that the operators' documents still were as known at a time. */
+  /** Records that the orders were still current at a time. */
   public void confirmOrders(long provenAt) {
     ordersProvenAt = Math.max(ordersProvenAt, provenAt);
-    versions.approveSeenBefore(provenAt);
+    approvedVersions.approveSeenBefore(provenAt);
   }
 
-  private void learnOrder(RolloutOrder order) {
+  private void updateOrder(RolloutOrder order) {
     Rollout known = rollouts.get(order.service());
     if (known != null && known.order().revision() >= order.revision()) {
       return;
     }
-    abandon(known, order);
+    abandonReplaced(known, order);
     long notBefore = Math.max(ordersProvenAt, context.knowledgeTime() - order.durationMillis());
     rollouts.put(order.service(), new Rollout(bounds, context.random(), order, notBefore));
-    book.retainOrder(order.service(), order.revision());
+    localEvidence.retainOrder(order.service(), order.revision());
     context.note(
         EventCode.ROLLOUT_ORDERED,
         order.service().value(),
         "version=" + order.version() + " durationMillis=" + order.durationMillis());
-    learnRecord(order.service());
-    tickSoon();
+    updateRecord(order.service());
+    scheduleTick();
   }
 
-  /** A later order takes an earlier one's place, but makes its version no better. */
-  private void abandon(Rollout replaced, RolloutOrder order) {
+  /** Excludes the version of a replaced order that was not completed. */
+  private void abandonReplaced(Rollout replaced, RolloutOrder order) {
     Set<String> versions = abandoned.computeIfAbsent(order.service(), any -> new HashSet<>());
     if (replaced != null && !replaced.isCompleted()) {
       versions.add(replaced.order().version());
@@ -143,20 +146,20 @@
   }
 
   /**
-   * Takes in all rows.
+   * Updates the rows of all rollouts.
    *
-   * @param storeMillis the store's clock when it was read
-   * @param provenAt when the question was sent that the store answered
+   * @param storeMillis the store's clock when the rows were read
+   * @param provenAt when the request that returned them was sent to the store
    */
   public void updateRecords(List<RolloutRecord> rows, long storeMillis, long provenAt) {
     reading = Optional.of(new Reading(storeMillis, provenAt));
     for (RolloutRecord row : rows) {
       records.put(row.service(), row);
     }
-    rollouts.keySet().forEach(this::learnRecord);
+    rollouts.keySet().forEach(this::updateRecord);
   }
 
-  private void learnRecord(ServiceName service) {
+  private void updateRecord(ServiceName service) {
     Rollout rollout = rollouts.get(service);
     RolloutRecord row = records.get(service);
     if (row == null || reading.isEmpty() || !row.follows(rollout.order())) {
@@ -170,54 +173,55 @@
           EventCode.ROLLOUT_STATE,
           service.value(),
           "version=" + row.version() + " state=" + after.orElseThrow() + " " + inputs(rollout));
-      writeAt.remove(service);
+      nextWriteAt.remove(service);
     }
   }
 
-  /** Returns which versions a new request may go to; some are drawn for the new one. */
+  /** Returns the rule for a new request, which may be selected for the canary. */
   public VersionRule ruleForNewRequest(ServiceName service, String route) {
     Rollout rollout = rollouts.get(service);
     if (rollout != null && rollout.isRunning()) {
       RouteTraffic traffic = RouteTraffic.of(route, evidence(rollout));
-      double share = rollout.newVersionRatio(context.knowledgeTime(), traffic);
-      if (share > 0 && share < 1 && rollout.sample(route, share)) {
+      double ratio = rollout.newVersionRatio(context.knowledgeTime(), traffic);
+      if (ratio > 0 && ratio < 1 && rollout.sample(route, ratio)) {
         return VersionRule.only(rollout.order().version());
       }
     }
     return rule(service);
   }
 
-  /** Returns which versions repeats, continuations and copies may go to. */
+  /** Returns the rule for retries, resumed streams and copies. */
   public VersionRule rule(ServiceName service) {
-    Set<String> heldBack = new HashSet<>(versions.unapproved(service));
-    heldBack.addAll(abandoned.getOrDefault(service, Set.of()));
+    Set<String> unapproved = new HashSet<>(approvedVersions.unapproved(service));
+    unapproved.addAll(abandoned.getOrDefault(service, Set.of()));
     Rollout rollout = rollouts.get(service);
     if (rollout == null) {
-      return VersionRule.except(heldBack);
+      return VersionRule.except(unapproved);
     }
-    boolean alone = versions.isOnlyListed(service, rollout.order().version());
-    return rollout.rule(context.knowledgeTime(), heldBack, alone);
+    boolean onlyVersion = approvedVersions.isOnlyListed(service, rollout.order().version());
+    return rollout.rule(context.knowledgeTime(), unapproved, onlyVersion);
   }
 
   /**
-   * Returns whether a target may be sent a request.
+   * Returns whether a request may be sent to a target.
    *
-   * @param fresh whether the request ran nowhere yet, so that it may try out a new version
+   * @param firstAttempt whether the request was not executed before, so that it may use a version
+   *     that is being tried out
    */
-  public boolean maySend(ServiceName service, TargetState target, boolean fresh) {
+  public boolean maySend(ServiceName service, TargetState target, boolean firstAttempt) {
     Rollout rollout = rollouts.get(service);
     String version = target.description().version();
     boolean triedOut =
-        fresh && rollout != null && rollout.isTryingOut(version, context.knowledgeTime());
+        firstAttempt && rollout != null && rollout.isTryingOut(version, context.knowledgeTime());
     return triedOut || rule(service).admits(target);
   }
 
-  /** Counts a request that is sent to a target of a version. */
+  /** Counts a request sent to a target of a version. */
   public void recordSent(ServiceName service, String route, String version) {
-    counted(service, route, version, Signal.SENT).ifPresent(book::recordSent);
+    keyIfRunning(service, route, version, Signal.SENT).ifPresent(localEvidence::recordSent);
   }
 
-  /** Counts an answer of a target. */
+  /** Counts a response or its failure, with the time until then. */
   public void recordResponse(
       ServiceName service,
       String route,
@@ -225,18 +229,18 @@
       Signal signal,
       double millis,
       boolean failed) {
-    counted(service, route, version, signal)
-        .ifPresent(key -> book.recordResponse(key, millis, failed, usual(key)));
+    keyIfRunning(service, route, version, signal)
+        .ifPresent(key -> localEvidence.recordResponse(key, millis, failed, reference(key)));
   }
 
-  /** Counts an answer that did not come for a time and was given up. */
+  /** Counts a request that was abandoned without response after a time. */
   public void recordAbandoned(
       ServiceName service, String route, String version, Signal signal, double millis) {
-    counted(service, route, version, signal)
-        .ifPresent(key -> book.recordAbandoned(key, millis, usual(key)));
+    keyIfRunning(service, route, version, signal)
+        .ifPresent(key -> localEvidence.recordAbandoned(key, millis, reference(key)));
   }
 
-  private Optional<EvidenceKey> counted(
+  private Optional<EvidenceKey> keyIfRunning(
       ServiceName service, String route, String version, Signal signal) {
     return Optional.ofNullable(rollouts.get(service))
         .filter(Rollout::isRunning)
@@ -247,18 +251,20 @@
                     service, order.revision(), route, signal, version.equals(order.version())));
   }
 
-  private ResponseTally usual(EvidenceKey key) {
-    EvidenceKey before = key.withNewVersion(false);
-    return book.tallies()
-        .getOrDefault(before, ResponseTally.NONE)
-        .plus(others.get().getOrDefault(before, ResponseTally.NONE));
+  private ResponseTally reference(EvidenceKey key) {
+    EvidenceKey oldVersion = key.withNewVersion(false);
+    return localEvidence
+        .tallies()
+        .getOrDefault(oldVersion, ResponseTally.NONE)
+        .plus(othersEvidence.get().getOrDefault(oldVersion, ResponseTally.NONE));
   }
 
   private Map<EvidenceKey, ResponseTally> evidence(Rollout rollout) {
     RolloutOrder order = rollout.order();
     Map<EvidenceKey, ResponseTally> sums = new HashMap<>();
-    for (Map<EvidenceKey, ResponseTally> part : List.of(book.tallies(), others.get())) {
-      part.forEach(
+    for (Map<EvidenceKey, ResponseTally> source :
+        List.of(localEvidence.tallies(), othersEvidence.get())) {
+      source.forEach(
           (key, tally) -> {
             if (key.service().equals(order.service()) && key.orderRevision() == order.revision()) {
               sums.merge(key, tally, ResponseTally::plus);
@@ -268,10 +274,10 @@
     return sums;
   }
 
-  private void tickSoon() {
+  private void scheduleTick() {
     if (!ticking) {
       ticking = true;
-      context.after(TICK_MILLIS, this::tick);
+      context.after(TICK_INTERVAL_MILLIS, this::tick);
     }
   }
 
@@ -280,7 +286,7 @@
     for (Rollout rollout : List.copyOf(rollouts.values())) {
       if (!rollout.isEnded()) {
         tick(rollout);
-        tickSoon();
+        scheduleTick();
       }
     }
   }
@@ -296,15 +302,15 @@
           rollout.order().service().value(),
           "verdict=" + rollout.verdict().kind() + " " + inputs(rollout));
     }
-    due(rollout).ifPresent(record -> write(rollout, record));
+    recordToWrite(rollout).ifPresent(record -> write(rollout, record));
   }
 
-  private Optional<RolloutRecord> due(Rollout rollout) {
+  private Optional<RolloutRecord> recordToWrite(Rollout rollout) {
     if (rollout.record().isPresent()) {
-      boolean open = openBefore.test(rollout);
-      return rollout.nextRecord(context.knowledgeTime(), reader.getAsBoolean(), open);
+      boolean hasOpenBefore = openBefore.test(rollout);
+      return rollout.nextRecord(context.knowledgeTime(), isReader.getAsBoolean(), hasOpenBefore);
     }
-    if (reading.isEmpty() || !reader.getAsBoolean()) {
+    if (reading.isEmpty() || !isReader.getAsBoolean()) {
       return Optional.empty();
     }
     long startedAt = rollout.knownAt() + reading.get().offset();
@@ -313,16 +319,17 @@
         rollout.initialRecord(startedAt, replaced == null ? 0 : replaced.revision()));
   }
 
-  /** Writes at once if this host reads for others, else a little later if nobody has by then. */
+  /** Writes at once as a reader, else after a random delay unless a row was read by then. */
   private void write(Rollout rollout, RolloutRecord record) {
     ServiceName service = rollout.order().service();
     long now = context.knowledgeTime();
-    long wait = reader.getAsBoolean() ? 0 : context.random().nextLong(SPREAD_MILLIS);
-    long at = writeAt.computeIfAbsent(service, any -> now + wait);
-    if (now < at) {
+    long delayMillis =
+        isReader.getAsBoolean() ? 0 : context.random().nextLong(MAX_WRITE_DELAY_MILLIS);
+    long writeTime = nextWriteAt.computeIfAbsent(service, any -> now + delayMillis);
+    if (now < writeTime) {
       return;
     }
-    writeAt.put(service, now + WRITE_MILLIS);
+    nextWriteAt.put(service, now + WRITE_RETRY_INTERVAL_MILLIS);
     context.note(
         EventCode.ROLLOUT_DECIDED,
         service.value(),
@@ -334,7 +341,7 @@
     return "verdict=" + rollout.verdict().kind() + " " + rollout.verdict().reason();
   }
 
-  /** Describes all roll-outs, a line each, for people. */
+  /** Returns a description of all rollouts and their evidence, for operators. */
   public List<String> describe() {
     List<String> lines = new ArrayList<>();
     for (Rollout rollout : rollouts.values()) {
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutOrder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutOrder.java
@@ -5,9 +5,9 @@
 /**
  * An operator's request to move a service to a version.
  *
- * @param version the version of the targets that are to take the service's requests
- * @param durationMillis the time from the order within which it has to be decided
- * @param revision rises with each order; tells two orders of one version apart
+ * @param version the version of the targets that will receive the service's requests
+ * @param durationMillis the time from the order to its deadline
+ * @param revision rises with each order, also of the same version
  */
 public record RolloutOrder(
     ServiceName service, String version, long durationMillis, long revision) {}
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutRecord.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutRecord.java
@@ -3,12 +3,12 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * The row of the store on which hosts agree about one roll-out.
+ * The row of the store that holds the agreed state of one rollout.
  *
- * @param orderRevision the revision of the order that it follows
- * @param startedAt a time by which the order was not given yet, or was just given, on the store's
- *     clock in milliseconds, so that the deadline is not taken for later than it is
- * @param revision the version of this row; 0 for one that is not written yet
+ * @param orderRevision the revision of the order that is executed
+ * @param startedAt a time not later than the order, on the store's clock in milliseconds, so that
+ *     the deadline computed from it is not too late
+ * @param revision the version of this row; 0 if it is not written yet
  */
 public record RolloutRecord(
     ServiceName service,
@@ -18,7 +18,7 @@
     long durationMillis,
     RolloutState state,
     long revision) {
-  /** Returns the row that follows this one. */
+  /** Returns the row to write over this one for a change of state. */
   RolloutRecord withState(RolloutState next) {
     return new RolloutRecord(
         service, version, orderRevision, startedAt, durationMillis, next, revision);
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutSchedule.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutSchedule.java
@@ -1,42 +1,39 @@
 package org.gatereel.core.rollout;
 
 /**
- * The course of one roll-out on the store's clock, alike at all hosts without a word between them.
+ * The stages of one rollout on the store's clock, which all hosts compute alike.
  *
- * <p>A small part of the requests goes to the new version nearly up to the deadline, since it may
- * turn bad late. Only the last moments bear the whole load: so long that failures under load show,
- * and so short that a version which turns bad just then stays within the exposure that is allowed.
+ * <p>During the canary stage, which takes most of the time, a small ratio of the requests goes to
+ * the new version. The shift stage is long enough to show failures under full load, and short
+ * enough that a version that fails only then stays within the allowed exposure.
  *
  * @param startedAt milliseconds
  */
 record RolloutSchedule(long startedAt, long durationMillis, RolloutBounds bounds) {
-  /**
-   * What is left for the row that ends a roll-out: two tries with a store that takes 250 ms, and a
-   * little for clocks.
-   */
-  private static final long LEFT_FOR_END_MILLIS = 700;
+  /** The time for writing the decision before the deadline, with one retry and clock errors. */
+  private static final long DECISION_RESERVE_MILLIS = 700;
 
-  /** Of a short roll-out the end may take no more than this part. */
-  private static final double MOST_FOR_END_PART = 0.15;
+  /** The upper limit of that time in short rollouts, as a ratio of the duration. */
+  private static final double MAX_DECISION_RESERVE_RATIO = 0.15;
 
   /**
-   * The part of the allowed exposure that is spent on bearing the whole load before the end. As
-   * much again passes between the end and the deadline, and the rest is the canary's.
+   * The ratio of the allowed exposure used by the shift stage. The rest covers the canary stage and
+   * the time between decision and deadline.
    */
-  private static final double SHIFT_PART = 0.6;
+  private static final double SHIFT_EXPOSURE_RATIO = 0.6;
 
-  /** What is left undecided for so long after its time is decided by any host that knows it. */
-  private static final long OVERDUE_MILLIS = 400;
+  /** The time after which any host may write a missing decision. */
+  private static final long OVERDUE_TIMEOUT_MILLIS = 400;
 
-  /** A stage of a roll-out that is running. */
+  /** A stage of a running rollout. */
   enum Stage {
-    /** A small part of the requests goes to the new version. */
+    /** A small ratio of the requests goes to the new version. */
     CANARY,
-    /** All requests go there if nothing speaks against it. */
+    /** All requests go to the new version if the evidence is good. */
     SHIFT,
-    /** It is to be decided now. */
+    /** The decision is due. */
     DECISION,
-    /** It should have been decided. */
+    /** The decision is late. */
     OVERDUE
   }
 
@@ -47,7 +44,7 @@
     if (storeMillis < decideAt()) {
       return Stage.SHIFT;
     }
-    return storeMillis < decideAt() + OVERDUE_MILLIS ? Stage.DECISION : Stage.OVERDUE;
+    return storeMillis < decideAt() + OVERDUE_TIMEOUT_MILLIS ? Stage.DECISION : Stage.OVERDUE;
   }
 
   long deadline() {
@@ -55,11 +52,11 @@
   }
 
   long decideAt() {
-    long left = (long) (MOST_FOR_END_PART * durationMillis);
-    return deadline() - Math.min(LEFT_FOR_END_MILLIS, left);
+    long maxReserve = (long) (MAX_DECISION_RESERVE_RATIO * durationMillis);
+    return deadline() - Math.min(DECISION_RESERVE_MILLIS, maxReserve);
   }
 
   long shiftAt() {
-    return decideAt() - (long) (SHIFT_PART * bounds.exposureRatio() * durationMillis);
+    return decideAt() - (long) (SHIFT_EXPOSURE_RATIO * bounds.exposureRatio() * durationMillis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutState.java
@@ -1,12 +1,12 @@
 package org.gatereel.core.rollout;
 
-/** How far a roll-out has come, as all hosts have agreed. */
+/** The state of a rollout, on which all hosts agree through the store. */
 public enum RolloutState {
   /** Some requests may go to the new version. */
   RUNNING(false),
-  /** All requests go to the new version; the targets of others are gone. */
+  /** All requests go to the new version; the targets of other versions are removed. */
   COMPLETED(true),
-  /** No request may go to the new version any more. */
+  /** No requests go to the new version. */
   ROLLED_BACK(true);
 
   private final boolean end;
@@ -15,7 +15,7 @@
     this.end = end;
   }
 
-  /** Returns whether the state is never left. */
+  /** Returns whether the state is final. */
   public boolean isEnd() {
     return end;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutWrite.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutWrite.java
@@ -1,8 +1,8 @@
 package org.gatereel.core.rollout;
 
 /**
- * A row that is to be written if nobody wrote it meanwhile.
+ * A conditional write of a row.
  *
- * @param record the row; its revision is the one that the store must still hold, 0 for none
+ * @param record the row; the store must still hold its {@code revision}, or no row if that is 0
  */
 public record RolloutWrite(RolloutRecord record) {}
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RouteTraffic.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RouteTraffic.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * How a route's requests stand among those of its service.
+ * The traffic of a route in relation to its service.
  *
  * @param routes how many routes the service has requests on
- * @param routeRequests those of the route
- * @param serviceRequests those of all routes
+ * @param routeRequests the requests on the route
+ * @param serviceRequests the requests on all routes
  */
 record RouteTraffic(int routes, long routeRequests, long serviceRequests) {
-  /** Below so many requests shares of routes are chance. */
-  private static final long ENOUGH_REQUESTS = 30;
+  /** With fewer requests, the traffic of routes is not compared. */
+  private static final long MIN_REQUESTS = 30;
 
   static RouteTraffic of(String route, Map<EvidenceKey, ResponseTally> evidence) {
     Map<String, Long> byRoute = new HashMap<>();
@@ -27,12 +27,12 @@
   }
 
   /**
-   * Returns by how much a route's share is above the mean, so that each route shows the new version
-   * as many requests: a version may be bad on a rare one alone. The sum over all routes stays the
-   * same.
+   * Returns the factor for the canary ratio of the route, which is higher the fewer requests the
+   * route has. The new version then receives equally many requests on each route, and as many in
+   * total as without the factor.
    */
   double boost() {
-    if (serviceRequests < ENOUGH_REQUESTS || routes == 0) {
+    if (serviceRequests < MIN_REQUESTS || routes == 0) {
       return 1;
     }
     return (double) serviceRequests / (routes * Math.max(1, routeRequests));
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/Signal.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/Signal.java
@@ -1,13 +1,13 @@
 package org.gatereel.core.rollout;
 
-/** What of an answer is compared between two versions. */
+/** What is counted of requests and responses to compare two versions. */
 public enum Signal {
-  /** That a request was sent; says nothing of an answer. */
+  /** Requests sent; not a property of responses. */
   SENT,
-  /** The time to the whole of a plain answer, and whether it is an error. */
+  /** The time until the whole response of a plain service, and whether it is an error. */
   WHOLE,
-  /** The time to a stream's first event, and whether an error came in its place. */
+  /** The time until a stream's first event, and whether an error was received instead. */
   FIRST_EVENT,
-  /** The mean time between a stream's events, and whether it broke off with an error. */
+  /** The mean time between a stream's events, and whether the stream ended with an error. */
   EVENT_GAP
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionComparison.java
@@ -4,40 +4,33 @@
 import org.apache.commons.statistics.distribution.HypergeometricDistribution;
 
 /**
- * Compares the answers of two versions that came at the same time, route by route.
+ * Compares the responses of two versions over the same period, by route and signal.
  *
- * <p>Both versions are taken for alike, and the chance is computed that so many of the bad answers
- * fall to the new one (Fisher's exact test, one-sided). It makes no difference how many answers of
- * a route are errors at any time: 14 in 100 do no harm where the version before makes as many.
+ * <p>Uses Fisher's exact test, one-sided: the probability that at least as many of the bad
+ * responses are of the new version if both versions are alike. The result depends on the difference
+ * between the versions, not on the error ratio of a route.
  */
 final class VersionComparison {
-  /**
-   * Looked at after each answer, some 100 times a roll-out, with this bound 2 in 1,000 good
-   * versions are called bad (VersionComparisonTest prints the table).
-   */
-  private static final double BAD_CHANCE = 0.0005;
+  /** The significance level for BAD; low, since the test is repeated after each response. */
+  private static final double BAD_PROBABILITY = 0.0005;
 
-  /**
-   * Looked at once, when it is to be decided: of good versions 2 in 100 are not completed at most,
-   * and of those that spoil a quarter of the answers 2 in 100 are (VersionComparisonTest).
-   */
-  private static final double SUSPECT_CHANCE = 0.03;
+  /** The significance level for SUSPECT, which is evaluated once, at the decision. */
+  private static final double SUSPECT_PROBABILITY = 0.03;
 
-  /** Fewer bad answers than this are no pattern. */
-  private static final long LEAST_BAD = 3;
+  private static final long MIN_BAD_RESPONSES = 3;
 
-  /** A difference that users would not notice is no reason to go back. */
-  private static final double LEAST_DIFFERENCE = 0.05;
+  /** Smaller differences of the bad ratios are ignored. */
+  private static final double MIN_BAD_RATIO_DIFFERENCE = 0.05;
 
-  /** With fewer answers of a signal nothing is completed. */
-  private static final long ENOUGH_ANSWERS = 8;
+  /** The responses of the new version that are needed on a route and signal. */
+  private static final long MIN_RESPONSES = 8;
 
-  /** A route that has fewer answers asks for no more than this part of them. */
-  private static final double ENOUGH_PART = 0.02;
+  /** On rare routes, this ratio of the responses of both versions is enough. */
+  private static final double MIN_RESPONSE_RATIO = 0.02;
 
   private VersionComparison() {}
 
-  /** Judges a version by all that was counted during one order: by the worst that it shows. */
+  /** Returns the worst result over all routes and signals in the evidence of one order. */
   static VersionVerdict compare(Map<EvidenceKey, ResponseTally> evidence) {
     VersionVerdict worst = new VersionVerdict(VersionVerdict.Kind.GOOD, "no worse on any route");
     boolean enough = false;
@@ -45,10 +38,10 @@
       if (key.signal() == Signal.SENT) {
         continue;
       }
-      ResponseTally before = evidence.getOrDefault(key.withNewVersion(false), ResponseTally.NONE);
-      ResponseTally fresh = evidence.getOrDefault(key.withNewVersion(true), ResponseTally.NONE);
-      enough |= fresh.responses() >= ENOUGH_ANSWERS;
-      VersionVerdict verdict = compare(key, before, fresh);
+      ResponseTally oldTally = evidence.getOrDefault(key.withNewVersion(false), ResponseTally.NONE);
+      ResponseTally newTally = evidence.getOrDefault(key.withNewVersion(true), ResponseTally.NONE);
+      enough |= newTally.responses() >= MIN_RESPONSES;
+      VersionVerdict verdict = compare(key, oldTally, newTally);
       if (verdict.kind().compareTo(worst.kind()) < 0) {
         worst = verdict;
       }
@@ -57,41 +50,41 @@
   }
 
   private static VersionVerdict compare(
-      EvidenceKey key, ResponseTally before, ResponseTally fresh) {
-    double chance = chance(before, fresh);
+      EvidenceKey key, ResponseTally oldTally, ResponseTally newTally) {
+    double probability = probability(oldTally, newTally);
     String reason =
         "route=%s signal=%s bad=%d of=%d before=%d of=%d chance=%.5f"
             .formatted(
                 key.route(),
                 key.signal(),
-                fresh.bad(),
-                fresh.responses(),
-                before.bad(),
-                before.responses(),
-                chance);
-    boolean worse = fresh.badRatio() > before.badRatio() + LEAST_DIFFERENCE;
-    if (worse && chance < BAD_CHANCE && fresh.bad() >= LEAST_BAD) {
+                newTally.bad(),
+                newTally.responses(),
+                oldTally.bad(),
+                oldTally.responses(),
+                probability);
+    boolean worse = newTally.badRatio() > oldTally.badRatio() + MIN_BAD_RATIO_DIFFERENCE;
+    if (worse && probability < BAD_PROBABILITY && newTally.bad() >= MIN_BAD_RESPONSES) {
       return new VersionVerdict(VersionVerdict.Kind.BAD, reason);
     }
-    if (worse && chance < SUSPECT_CHANCE) {
+    if (worse && probability < SUSPECT_PROBABILITY) {
       return new VersionVerdict(VersionVerdict.Kind.SUSPECT, reason);
     }
-    long all = before.responses() + fresh.responses();
-    long needed = Math.min(ENOUGH_ANSWERS, (long) Math.ceil(ENOUGH_PART * all));
-    return fresh.responses() < needed
+    long all = oldTally.responses() + newTally.responses();
+    long needed = Math.min(MIN_RESPONSES, (long) Math.ceil(MIN_RESPONSE_RATIO * all));
+    return newTally.responses() < needed
         ? new VersionVerdict(VersionVerdict.Kind.UNKNOWN, reason)
         : new VersionVerdict(VersionVerdict.Kind.GOOD, reason);
   }
 
-  /** Returns the chance of as many bad answers or more if both versions are alike. */
-  private static double chance(ResponseTally before, ResponseTally fresh) {
-    long all = before.responses() + fresh.responses();
-    long bad = before.bad() + fresh.bad();
-    if (fresh.bad() == 0 || all > Integer.MAX_VALUE) {
+  /** Returns the probability of at least as many bad responses if both versions are alike. */
+  private static double probability(ResponseTally oldTally, ResponseTally newTally) {
+    long all = oldTally.responses() + newTally.responses();
+    long bad = oldTally.bad() + newTally.bad();
+    if (newTally.bad() == 0 || all > Integer.MAX_VALUE) {
       return 1;
     }
-    HypergeometricDistribution alike =
-        HypergeometricDistribution.of((int) all, (int) bad, (int) fresh.responses());
-    return alike.survivalProbability((int) fresh.bad() - 1);
+    HypergeometricDistribution distribution =
+        HypergeometricDistribution.of((int) all, (int) bad, (int) newTally.responses());
+    return distribution.survivalProbability((int) newTally.bad() - 1);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionRule.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionRule.java
@@ -4,35 +4,35 @@
 import java.util.Set;
 import org.gatereel.core.target.TargetState;
 
-/** Which versions of targets a request may go to. */
+/** Which versions of targets a request may be sent to. */
 public record VersionRule(Kind kind, Set<String> versions) {
-  /** Any version will do. */
+  /** Allows all versions. */
   public static final VersionRule ANY = new VersionRule(Kind.ANY, Set.of());
 
-  /** How versions are named. */
+  /** How the named versions are used. */
   public enum Kind {
-    /** All may be used. */
+    /** All versions are allowed. */
     ANY {
       @Override
       boolean admits(boolean named) {
         return true;
       }
     },
-    /** Only those named. */
+    /** Only the named versions are allowed. */
     ONLY {
       @Override
       boolean admits(boolean named) {
         return named;
       }
     },
-    /** All but those named. */
+    /** All but the named versions are allowed. */
     EXCEPT {
       @Override
       boolean admits(boolean named) {
         return !named;
       }
     },
-    /** Those named as long as there are any, else others. */
+    /** Others than the named versions are used only if there are no targets of these. */
     PREFER {
       @Override
       boolean admits(boolean named) {
@@ -40,7 +40,7 @@
       }
     };
 
-    /** Returns whether a version may be used that is {@code named} or not. */
+    /** Returns whether a version is allowed, depending on whether it is {@code named}. */
     abstract boolean admits(boolean named);
   }
 
@@ -60,7 +60,7 @@
     return versions.isEmpty() ? ANY : new VersionRule(Kind.EXCEPT, versions);
   }
 
-  /** Returns whether a target may be used, whichever others there are. */
+  /** Returns whether a target is allowed, regardless of other targets. */
   public boolean admits(TargetState target) {
     return kind.admits(names(target));
   }
@@ -69,7 +69,7 @@
     return versions.contains(target.description().version());
   }
 
-  /** Returns the targets to choose from, out of those of a service. */
+  /** Returns those of a service's targets from which one may be selected. */
   public List<TargetState> among(List<TargetState> targets) {
     if (kind == Kind.ANY) {
       return targets;
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionVerdict.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/VersionVerdict.java
@@ -1,22 +1,22 @@
 package org.gatereel.core.rollout;
 
 /**
- * What the evidence says of the new version.
+ * The result of comparing the new version with the one before.
  *
- * @param reason for people: the route and figures that settled it
+ * @param reason the decisive route and figures, for logs
  */
 record VersionVerdict(Kind kind, String reason) {
   static final VersionVerdict UNKNOWN = new VersionVerdict(Kind.UNKNOWN, "too few answers");
 
-  /** What may be concluded, the worst first. */
+  /** The possible results, the worst first. */
   enum Kind {
-    /** It does worse than the versions before; no more evidence is needed. */
+    /** Significantly worse; the rollout is rolled back at once. */
     BAD,
-    /** It may do worse, which is reason enough not to complete. */
+    /** Possibly worse; the rollout is not completed. */
     SUSPECT,
-    /** Nothing can be said yet. */
+    /** Not enough evidence. */
     UNKNOWN,
-    /** It may take everything. */
+    /** Not worse; the new version may receive all requests. */
     GOOD
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/package-info.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/package-info.java
@@ -1,10 +1,9 @@
 /**
- * Progressive delivery: moves a service's requests to another version of its targets in steps, and
- * back.
+ * Progressive delivery: moves the requests of a service to another version of its targets in
+ * stages, or back.
  *
- * <p>No host leads. What all must agree on (the state, and that it never leaves its end) is one row
- * in the platform's store that is written under a condition; everything else each host decides by
- * itself from the row's times, from what all hosts have seen of both versions, and from how old its
- * knowledge is. Nothing here does input or output; time and randomness are passed in.
+ * <p>There is no leader. The state of a rollout is one row in the platform's store, written
+ * conditionally. All other decisions each host makes from the times in this row, the evidence of
+ * all hosts and the age of both.
  */
 package org.gatereel.core.rollout;
