--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
@@ -23,8 +23,8 @@
 import org.gatereel.core.target.TargetRegistry;
 
 /**
- * Hosts with their real roll-out control before a store and a service of two versions, on virtual
- * time; each message takes a while and may be lost, hosts may be cut off, paused and killed.
+ * A simulation, in virtual time, of hosts with their rollout control, a store and a service with
+ * two versions. Hosts may be disconnected or stopped, and the store may be unavailable.
  */
 final class RolloutWorld {
   static final ServiceName SERVICE = new ServiceName("service");
@@ -32,9 +32,9 @@
   static final String NEW = "v2";
   static final long DURATION_MILLIS = 12_000;
 
-  private static final long POLL_MILLIS = 900;
-  private static final long TOLD_MILLIS = 300;
-  private static final long LOAD_MILLIS = 200;
+  private static final long POLL_INTERVAL_MILLIS = 900;
+  private static final long REPORT_INTERVAL_MILLIS = 300;
+  private static final long RECENT_MILLIS = 200;
   private static final long STORE_EPOCH = 500_000;
 
   final SplittableRandom random;
@@ -42,7 +42,7 @@
   final List<Host> hosts = new ArrayList<>();
   final Map<String, Integer> arrivals = new TreeMap<>();
   final List<RolloutState> states = new ArrayList<>();
-  private final Deque<Arrival> recent = new ArrayDeque<>();
+  private final Deque<RecentRequest> recent = new ArrayDeque<>();
   private final PriorityQueue<Step> steps = new PriorityQueue<>();
   private final Behaviour behaviour;
   private long now;
@@ -51,27 +51,27 @@
   private long revision = 100;
   private long orderedAt = Long.MAX_VALUE;
   private long orderRevision;
-  boolean storeAway;
+  boolean storeUnavailable;
 
-  /** What is promised holds where the store has served all this long. */
-  private static final long CONTACT_MILLIS = 4_000;
+  /** The bounds apply after the store was available for this time. */
+  private static final long MIN_CONTACT_MILLIS = 4_000;
 
-  private long lastAwayAt = Long.MIN_VALUE / 2;
+  private long lastUnavailableAt = Long.MIN_VALUE / 2;
   long fiftiethBadAt = Long.MAX_VALUE;
-  int badAnswers;
-  int lateToBad;
-  int toStopped;
+  int badResponses;
+  int lateRequestsToBad;
+  int sentToStopped;
   int newBeforeDeadline;
   int allBeforeDeadline;
   long endedAt = Long.MAX_VALUE;
 
-  /** How the new version answers. */
+  /** How the new version responds. */
   interface Behaviour {
-    /** Returns the time of an answer in milliseconds, or a negative number for an error. */
-    double answer(String route, long sinceOrder, double loadShare, SplittableRandom random);
+    /** Returns the time of a response in milliseconds, negated for an error. */
+    double respond(String route, long sinceOrder, double loadRatio, SplittableRandom random);
   }
 
-  private record Arrival(long at, boolean fresh) {}
+  private record RecentRequest(long at, boolean newVersion) {}
 
   private record Step(long at, long number, Runnable task) implements Comparable<Step> {
     @Override
@@ -80,16 +80,16 @@
     }
   }
 
-  /** One host: what it was told, and what it decides. */
+  /** One host with the evidence that it received and its rollout control. */
   final class Host {
     final String name;
     final CoreContext context;
     final TargetRegistry targets;
     final RolloutControl control;
     final boolean reader;
-    final Map<String, Map<EvidenceKey, ResponseTally>> heard = new HashMap<>();
-    boolean cutOff;
-    boolean dead;
+    final Map<String, Map<EvidenceKey, ResponseTally>> received = new HashMap<>();
+    boolean disconnected;
+    boolean stopped;
 
     Host(int index, boolean reader) {
       this.name = "h" + index;
@@ -100,14 +100,14 @@
       context.moveTo(now);
       targets = new TargetRegistry(context, new PolicyTable());
       control = new RolloutControl(context, bounds);
-      control.setOthersEvidence(this::others);
+      control.setOthersEvidence(this::othersEvidence);
       control.setRecordWriter(() -> this.reader, order -> false, this::write);
     }
 
-    private Map<EvidenceKey, ResponseTally> others() {
+    private Map<EvidenceKey, ResponseTally> othersEvidence() {
       Map<EvidenceKey, ResponseTally> sums = new HashMap<>();
-      heard.forEach(
-          (from, evidence) ->
+      received.forEach(
+          (sender, evidence) ->
               evidence.forEach((key, tally) -> sums.merge(key, tally, ResponseTally::plus)));
       return sums;
     }
@@ -116,11 +116,11 @@
       if (!reachesStore()) {
         return;
       }
-      after(5, () -> stored(this, write.record()));
+      after(5, () -> writeRow(this, write.record()));
     }
 
     private boolean reachesStore() {
-      return !cutOff && !dead && !storeAway;
+      return !disconnected && !stopped && !storeUnavailable;
     }
 
     void poll() {
@@ -133,7 +133,7 @@
         HostList list = list();
         List<RolloutRecord> rows = row == null ? List.of() : List.of(row);
         long storeMillis = STORE_EPOCH + now;
-        // A host that is no reader learns by way of one, so that its knowledge is as old as that.
+        // Other hosts than readers receive the documents through a reader, with a delay.
         after(
             reader ? 5 : 5 + random.nextInt(600),
             () ->
@@ -147,26 +147,26 @@
                       }
                     }));
       }
-      if (!dead) {
-        after(POLL_MILLIS, this::poll);
+      if (!stopped) {
+        after(POLL_INTERVAL_MILLIS, this::poll);
       }
     }
 
-    void tell() {
-      if (dead) {
+    void report() {
+      if (stopped) {
         return;
       }
-      if (!cutOff) {
+      if (!disconnected) {
         Map<EvidenceKey, ResponseTally> own = control.ownEvidence();
         hosts.stream()
-            .filter(other -> other != this && !other.cutOff && !other.dead)
-            .forEach(other -> after(20, () -> other.heard.put(name, own)));
+            .filter(other -> other != this && !other.disconnected && !other.stopped)
+            .forEach(other -> after(20, () -> other.received.put(name, own)));
       }
-      after(TOLD_MILLIS, this::tell);
+      after(REPORT_INTERVAL_MILLIS, this::report);
     }
 
     void step(Runnable task) {
-      if (dead) {
+      if (stopped) {
         return;
       }
       context.moveTo(now);
@@ -190,30 +190,30 @@
         return;
       }
       String version = usable.get(random.nextInt(usable.size())).description().version();
-      arrived(this, version);
+      countSent(this, version);
       control.recordSent(SERVICE, route, version);
-      double millis = answer(version, route);
+      double millis = respond(version, route);
       long took = (long) Math.max(5, Math.abs(millis));
       after(
           took,
           () ->
               step(
                   () -> {
-                    answered(version, millis);
+                    countResponse(version, millis);
                     control.recordResponse(
                         SERVICE, route, version, Signal.WHOLE, Math.abs(millis), millis < 0);
                   }));
     }
 
-    private double answer(String version, String route) {
+    private double respond(String version, String route) {
       return version.equals(OLD)
-          ? usual(random)
-          : behaviour.answer(route, now - orderedAt, recentShareOfNew(), random);
+          ? typicalResponse(random)
+          : behaviour.respond(route, now - orderedAt, recentRatioOfNew(), random);
     }
   }
 
-  /** Returns the time of an answer of a sound target; one in 200 is an error. */
-  static double usual(SplittableRandom random) {
+  /** Returns the time of a response of a healthy target; one in 200 is an error. */
+  static double typicalResponse(SplittableRandom random) {
     double millis = 60 * Math.exp(0.45 * random.nextGaussian());
     return random.nextInt(200) == 0 ? -millis : millis;
   }
@@ -229,8 +229,8 @@
   Host add(int index, boolean reader) {
     Host host = new Host(index, reader);
     hosts.add(host);
-    after(random.nextInt((int) POLL_MILLIS), host::poll);
-    after(random.nextInt((int) TOLD_MILLIS), host::tell);
+    after(random.nextInt((int) POLL_INTERVAL_MILLIS), host::poll);
+    after(random.nextInt((int) REPORT_INTERVAL_MILLIS), host::report);
     return host;
   }
 
@@ -260,40 +260,40 @@
         version);
   }
 
-  /** Returns which part of the latest requests of all hosts went to the new version. */
-  private double recentShareOfNew() {
-    recent.removeIf(arrival -> arrival.at() < now - LOAD_MILLIS);
-    long fresh = recent.stream().filter(Arrival::fresh).count();
-    return (double) fresh / Math.max(1, recent.size());
+  /** Returns the ratio of recent requests of all hosts that were sent to the new version. */
+  private double recentRatioOfNew() {
+    recent.removeIf(sent -> sent.at() < now - RECENT_MILLIS);
+    long toNew = recent.stream().filter(RecentRequest::newVersion).count();
+    return (double) toNew / Math.max(1, recent.size());
   }
 
-  private void arrived(Host host, String version) {
-    recent.add(new Arrival(now, version.equals(NEW)));
+  private void countSent(Host host, String version) {
+    recent.add(new RecentRequest(now, version.equals(NEW)));
     arrivals.merge(version, 1, Integer::sum);
     boolean completed = row != null && row.state() == RolloutState.COMPLETED;
     if (version.equals(OLD) && completed) {
-      toStopped++;
+      sentToStopped++;
     }
-    boolean inTouch = !host.cutOff && now - CONTACT_MILLIS >= lastAwayAt;
-    if (inTouch && now >= orderedAt && now < orderedAt + DURATION_MILLIS) {
+    boolean connected = !host.disconnected && now - MIN_CONTACT_MILLIS >= lastUnavailableAt;
+    if (connected && now >= orderedAt && now < orderedAt + DURATION_MILLIS) {
       allBeforeDeadline++;
       newBeforeDeadline += version.equals(NEW) ? 1 : 0;
     }
-    if (inTouch && version.equals(NEW) && now - bounds.rollbackMillis() > fiftiethBadAt) {
-      lateToBad++;
+    if (connected && version.equals(NEW) && now - bounds.rollbackMillis() > fiftiethBadAt) {
+      lateRequestsToBad++;
     }
   }
 
-  private void answered(String version, double millis) {
+  private void countResponse(String version, double millis) {
     boolean bad = millis < 0 || millis > 180;
-    if (version.equals(NEW) && bad && ++badAnswers == 50) {
+    if (version.equals(NEW) && bad && ++badResponses == 50) {
       fiftiethBadAt = now;
     }
   }
 
-  private void stored(Host writer, RolloutRecord record) {
-    long known = row == null ? 0 : row.revision();
-    if (storeAway || known != record.revision()) {
+  private void writeRow(Host writer, RolloutRecord record) {
+    long currentRevision = row == null ? 0 : row.revision();
+    if (storeUnavailable || currentRevision != record.revision()) {
       return;
     }
     row =
@@ -321,12 +321,12 @@
     steps.add(new Step(now + millis, number++, task));
   }
 
-  /** Plays a while with requests at a rate of all hosts together. */
+  /** Advances the time with requests at a total rate of all hosts. */
   void pass(long millis, double perSecond) {
     long end = now + millis;
     while (now < end) {
       now++;
-      lastAwayAt = storeAway ? now : lastAwayAt;
+      lastUnavailableAt = storeUnavailable ? now : lastUnavailableAt;
       while (!steps.isEmpty() && steps.peek().at() <= now) {
         steps.remove().task().run();
       }
@@ -350,21 +350,21 @@
     return states.isEmpty() ? null : states.get(states.size() - 1);
   }
 
-  /** Returns by how much the requests that a bad version got pass what is allowed. */
+  /** Returns by how many requests the new version exceeded its bound. */
   double excessExposure() {
     return newBeforeDeadline - bounds.exposureRatio() * allBeforeDeadline - bounds.exposureSlack();
   }
 
   @Override
   public String toString() {
-    return "states=%s arrivals=%s new=%d all=%d bad=%d late=%d toStopped=%d"
+    return "states=%s arrivals=%s new=%d all=%d bad=%d late=%d sentToStopped=%d"
         .formatted(
             states,
             arrivals,
             newBeforeDeadline,
             allBeforeDeadline,
-            badAnswers,
-            lateToBad,
-            toStopped);
+            badResponses,
+            lateRequestsToBad,
+            sentToStopped);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/VersionComparisonTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/VersionComparisonTest.java
@@ -10,36 +10,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How often a version is called bad that is, and that is not.
- *
- * <p>Each simulated roll-out takes 12 s at 68 requests a second on one route, 4 in 100 of them to
- * the new version, judged after each of its answers as it is every 100 ms, and once at the end.
+ * The frequencies of wrong verdicts in simulated rollouts, where the comparison is repeated after
+ * each response of the new version and once at the end.
  */
 class VersionComparisonTest {
   private static final int ROLLOUTS = 1_000;
   private static final int REQUESTS = 816;
-  private static final double SHARE = 0.04;
+  private static final double CANARY_RATIO = 0.04;
 
-  /** What became of one simulated roll-out. */
+  /** The result of one simulated rollout. */
   private enum End {
     CALLED_BAD,
     NOT_COMPLETED,
     COMPLETED
   }
 
-  private static EvidenceKey key(boolean fresh) {
-    return new EvidenceKey(new ServiceName("s"), 1, "r", Signal.WHOLE, fresh);
+  private static EvidenceKey key(boolean newVersion) {
+    return new EvidenceKey(new ServiceName("s"), 1, "r", Signal.WHOLE, newVersion);
   }
 
-  private static End play(SplittableRandom random, double before, double fresh) {
+  private static End simulate(SplittableRandom random, double oldBadRatio, double newBadRatio) {
     Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
     evidence.put(key(false), ResponseTally.NONE);
     evidence.put(key(true), ResponseTally.NONE);
     for (int request = 0; request < REQUESTS; request++) {
-      boolean drawn = random.nextDouble() < SHARE;
-      boolean bad = random.nextDouble() < (drawn ? fresh : before);
-      evidence.merge(key(drawn), new ResponseTally(1, bad ? 1 : 0, 1, 4), ResponseTally::plus);
-      if (drawn && VersionComparison.compare(evidence).kind() == VersionVerdict.Kind.BAD) {
+      boolean isCanary = random.nextDouble() < CANARY_RATIO;
+      boolean bad = random.nextDouble() < (isCanary ? newBadRatio : oldBadRatio);
+      evidence.merge(key(isCanary), new ResponseTally(1, bad ? 1 : 0, 1, 4), ResponseTally::plus);
+      if (isCanary && VersionComparison.compare(evidence).kind() == VersionVerdict.Kind.BAD) {
         return End.CALLED_BAD;
       }
     }
@@ -47,20 +45,20 @@
     return good ? End.COMPLETED : End.NOT_COMPLETED;
   }
 
-  private static Map<End, Integer> play(double before, double fresh) {
+  private static Map<End, Integer> simulate(double oldBadRatio, double newBadRatio) {
     SplittableRandom random = new SplittableRandom(20261203);
     Map<End, Integer> ends = new HashMap<>();
     for (int rollout = 0; rollout < ROLLOUTS; rollout++) {
-      ends.merge(play(random, before, fresh), 1, Integer::sum);
+      ends.merge(simulate(random, oldBadRatio, newBadRatio), 1, Integer::sum);
     }
-    System.out.printf("bad before %.3f, bad now %.3f: %s%n", before, fresh, ends);
+    System.out.printf("bad before %.3f, bad now %.3f: %s%n", oldBadRatio, newBadRatio, ends);
     return ends;
   }
 
   @Test
-  void goodVersionsAreSeldomRolledBackAlsoOnRoutesWithManyErrors() {
+  void goodVersionsAreRarelyRolledBackEvenOnRoutesWithManyErrors() {
     for (double errors : new double[] {0, 0.004, 0.03, 0.14}) {
-      Map<End, Integer> ends = play(errors, errors);
+      Map<End, Integer> ends = simulate(errors, errors);
 
       assertTrue(ends.getOrDefault(End.CALLED_BAD, 0) <= ROLLOUTS / 100, ends.toString());
       assertTrue(ends.getOrDefault(End.COMPLETED, 0) >= ROLLOUTS * 95 / 100, ends.toString());
@@ -68,23 +66,23 @@
   }
 
   @Test
-  void versionsOfWhichAQuarterOfTheAnswersAreBadAreNotCompleted() {
+  void versionsWithAQuarterMoreBadResponsesAreNotCompleted() {
     for (double errors : new double[] {0, 0.004, 0.03}) {
-      Map<End, Integer> ends = play(errors, errors + 0.25);
+      Map<End, Integer> ends = simulate(errors, errors + 0.25);
 
       assertTrue(ends.getOrDefault(End.COMPLETED, 0) <= ROLLOUTS * 2 / 100, ends.toString());
     }
   }
 
   @Test
-  void whereManyAnswersAreErrorsAnywayHalfOfThemMustBeBad() {
-    Map<End, Integer> ends = play(0.14, 0.5);
+  void versionsWithHalfOfTheirResponsesBadAreNotCompletedOnRoutesWithManyErrors() {
+    Map<End, Integer> ends = simulate(0.14, 0.5);
 
     assertTrue(ends.getOrDefault(End.COMPLETED, 0) <= ROLLOUTS / 50, ends.toString());
   }
 
   @Test
-  void nothingIsSaidBeforeThereAreAnswers() {
+  void theVerdictIsUnknownWithTooFewResponses() {
     assertEquals(VersionVerdict.Kind.UNKNOWN, VersionComparison.compare(Map.of()).kind());
     assertEquals(
         VersionVerdict.Kind.UNKNOWN,
@@ -92,7 +90,7 @@
   }
 
   @Test
-  void aVersionThatIsBadOnOneRouteAloneIsBad() {
+  void aVersionThatIsBadOnOneRouteOnlyIsBad() {
     Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
     evidence.put(key(false), new ResponseTally(900, 4, 900, 3_600));
     evidence.put(key(true), new ResponseTally(40, 0, 40, 160));
@@ -107,7 +105,7 @@
   }
 
   @Test
-  void aRouteThatShowedTheNewVersionNothingIsNotCompleted() {
+  void theVerdictIsUnknownIfARouteHasNoResponsesOfTheNewVersion() {
     Map<EvidenceKey, ResponseTally> evidence = new HashMap<>();
     evidence.put(key(false), new ResponseTally(900, 4, 900, 3_600));
     evidence.put(key(true), new ResponseTally(40, 0, 40, 160));
