--- a/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/choice/TargetSelector.java
@@ -117,12 +117,13 @@
   }
 
   private double errors(TargetState target) {
-    return target.localErrors(context.now()) + loads.othersAt(target.description().id()).errors();
+    return target.localErrors(context.now()) + loads.othersLoad(target.description().id()).errors();
   }
 
   private Candidate candidate(TargetState target, SelectionContext selectionContext) {
     TargetId id = target.description().id();
-    return new Candidate(target, loads.othersAt(id), backsOffElsewhere.test(id), selectionContext);
+    return new Candidate(
+        target, loads.othersLoad(id), backsOffElsewhere.test(id), selectionContext);
   }
 
   /**
@@ -167,7 +168,8 @@
   private DataCentreFailures dataCentreFailures(ServiceName service) {
     return DataCentreFailures.of(
         targets.known(service),
-        target -> TargetHealth.of(target, loads.othersAt(target.description().id()), context.now()),
+        target ->
+            TargetHealth.of(target, loads.othersLoad(target.description().id()), context.now()),
         context.now());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -2,20 +2,20 @@
 
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.TimerQueue;
-import org.gatereel.core.overload.Arrival;
+import org.gatereel.core.overload.ArrivingRequest;
 import org.gatereel.core.overload.OverloadControl;
-import org.gatereel.core.overload.Verdict;
+import org.gatereel.core.overload.OverloadDecision;
 
 /** Submits one request to {@link OverloadControl} and waits until it is admitted or rejected. */
 final class AdmissionWait {
   private final Forwarder forwarder;
   private final Exchange exchange;
   private final ExchangeLog log;
-  private final Arrival arrival;
+  private final ArrivingRequest arrival;
   private TimerQueue.Timer timer;
   private boolean waiting;
 
-  AdmissionWait(Forwarder forwarder, Exchange exchange, ExchangeLog log, Arrival arrival) {
+  AdmissionWait(Forwarder forwarder, Exchange exchange, ExchangeLog log, ArrivingRequest arrival) {
     this.forwarder = forwarder;
     this.exchange = exchange;
     this.log = log;
@@ -29,21 +29,21 @@
    *     without waiting
    */
   void begin(boolean resumed) {
-    Verdict verdict = forwarder.overload().arrive(arrival);
-    if (verdict instanceof Verdict.Wait wait) {
+    OverloadDecision verdict = forwarder.overload().decide(arrival);
+    if (verdict instanceof OverloadDecision.Wait wait) {
       waiting = true;
       log.log(EventCode.REQUEST_QUEUED, wait.inputs());
     }
-    apply(resumed ? new Verdict.Send() : verdict);
+    apply(resumed ? new OverloadDecision.Send() : verdict);
   }
 
-  private void apply(Verdict verdict) {
-    if (verdict instanceof Verdict.Wait wait) {
+  private void apply(OverloadDecision verdict) {
+    if (verdict instanceof OverloadDecision.Wait wait) {
       timer = forwarder.context().after(wait.retryMillis(), this::recheck);
       return;
     }
     end();
-    if (verdict instanceof Verdict.Refuse refuse) {
+    if (verdict instanceof OverloadDecision.Reject refuse) {
       exchange.reject(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
     } else {
       exchange.onAdmitted();
@@ -55,7 +55,7 @@
       end();
       exchange.endForShutdown();
     } else {
-      apply(forwarder.overload().askAgain(arrival));
+      apply(forwarder.overload().decideWaiting(arrival));
     }
   }
 
@@ -63,7 +63,7 @@
   void end() {
     if (waiting) {
       waiting = false;
-      forwarder.overload().waitedEnough(arrival);
+      forwarder.overload().endWaiting(arrival);
     }
     if (timer != null) {
       timer.cancel();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -9,7 +9,7 @@
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.ServiceName;
-import org.gatereel.core.overload.Arrival;
+import org.gatereel.core.overload.ArrivingRequest;
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.target.TargetState;
 
@@ -85,7 +85,8 @@
             forwarder,
             this,
             log,
-            new Arrival(service, route.priority(), account, route.objectiveMillis(), deadline));
+            new ArrivingRequest(
+                service, route.priority(), account, route.objectiveMillis(), deadline));
   }
 
   /** Rejects a quarantined request; queues any other for admission. */
@@ -223,7 +224,7 @@
             copyName,
             callerResponse.hasBegun());
     log.logForwarded(route, dispatch, choice, attemptCounter.started());
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
     attempt.setCall(forwarder.port().send(dispatch, attempt));
     stallDetector.watch(attempt);
   }
@@ -264,9 +265,9 @@
   void onFirstEvent(Attempt from) {
     versions.recordFirstEvent(from, context.now());
     stallDetector.watch(from);
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
     if (!from.isContinuation()) {
-      forwarder.overload().learn(service, context.now() - from.startedAt());
+      forwarder.overload().recordServiceTime(service, context.now() - from.startedAt());
     }
     log.log(EventCode.FIRST_TOKEN, "target=" + from.target().description().id());
   }
@@ -280,7 +281,7 @@
     releaseAttempt(from);
     attemptCounter.recordExecution();
     if (route.kind() != RouteKind.STREAM) {
-      forwarder.overload().learn(service, from.endedAt() - from.startedAt());
+      forwarder.overload().recordServiceTime(service, from.endedAt() - from.startedAt());
     }
     TargetResponse response = from.takeResponse();
     search.recordResponse(from, response);
@@ -384,7 +385,7 @@
     stallDetector.stop();
     search.copies().release();
     forwarder.targets().recordClosed(closing.target());
-    forwarder.loads().changed();
+    forwarder.loads().scheduleReports();
   }
 
   private void finish() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -96,9 +96,9 @@
     this.overload =
         new OverloadControl(
             context, targets, loads, limits.announced()::perSecond, backoffs::isBackingOff);
-    loads.exchangeTargetFacts(facts);
+    loads.setTargetFacts(facts);
     facts.onChange(this::onTargetFact);
-    poison.onHeld(this::onQuarantined);
+    poison.onQuarantined(this::onQuarantined);
   }
 
   /** Handles an announcement of a target, received by this host or by another one. */
@@ -106,7 +106,7 @@
     if (fact.kind() == FactKind.LEAVING) {
       targets.recordLeaving(fact.target());
     }
-    loads.changed();
+    loads.scheduleReports();
   }
 
   /**
@@ -195,7 +195,7 @@
   private void onTargetUnreachable(TargetState target, long probedAt) {
     context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.recordFailure(target, TargetFailure.TIMEOUT);
-    loads.changed();
+    loads.scheduleReports();
     for (Exchange exchange : List.copyOf(exchanges)) {
       boolean isAffected =
           exchange.canMove()
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -209,7 +209,7 @@
    * skipped.
    */
   public Optional<Address> issuer(long now) {
-    return before().stream().filter(address -> !isAvoided(address, now)).findFirst();
+    return higherRankedHosts().stream().filter(address -> !isAvoided(address, now)).findFirst();
   }
 
   private boolean isAvoided(Address address, long now) {
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public List<Address> before() {
+  public List<Address> higherRankedHosts() {
     return localReaders.stream()
         .takeWhile(entry -> !entry.host().equals(self))
         .map(Entry::address)
@@ -225,7 +225,7 @@
   }
 
   @Override
-  public List<List<Address>> elsewhere() {
+  public List<List<Address>> hostsOfOtherDataCentres() {
     return readersElsewhere;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -154,7 +154,8 @@
         && forwarder.context().now() + millisToUsable.getAsLong() <= waitUntil) {
       forwarder.context().after(millisToUsable.getAsLong(), this::chooseUnlessFinished);
     } else if (millisToAny.isPresent()) {
-      long retryAfterMillis = forwarder.overload().returnMillisAfter(millisToAny.getAsLong());
+      long retryAfterMillis =
+          forwarder.overload().drawRetryAfterRestMillis(millisToAny.getAsLong());
       reject(retryAfterMillis, "restMillis=" + millisToAny.getAsLong());
     } else {
       exchange.failRequest(exchange.rejectionWhenUnserved(Rejection.NO_TARGET));
@@ -164,7 +165,7 @@
   private void waitForTokens() {
     denials = 0;
     if (isWaitOver()) {
-      reject(forwarder.overload().returnMillis(search.service(), deadline), "limits=spent");
+      reject(forwarder.overload().drawRetryAfterMillis(search.service(), deadline), "limits=spent");
       return;
     }
     long remainingMillis = waitUntil - forwarder.context().now();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/PoisonDetector.java
@@ -42,12 +42,12 @@
   }
 
   boolean isQuarantined() {
-    return poison.isHeld(fingerprint);
+    return poison.isQuarantined(fingerprint);
   }
 
   /** Returns the reason for the quarantine as {@code key=value} pairs for the log. */
   String reason() {
-    return "request=" + fingerprint() + " ends=" + poison.ends(fingerprint());
+    return "request=" + fingerprint() + " ends=" + poison.endCount(fingerprint());
   }
 
   /** Records that an attempt has received another event. */
@@ -60,7 +60,7 @@
   /** Records that the request is harmless to its targets. */
   void recordSuccess() {
     harmless = true;
-    poison.ranWell(fingerprint);
+    poison.recordSuccess(fingerprint);
   }
 
   /**
@@ -77,7 +77,7 @@
   /** Records that a probe found the target's process ended after its connection closed. */
   void recordTargetGone(Attempt attempt) {
     if (!harmless && executionMillis(attempt, attempt.endedAt()) <= MAX_CRASH_DELAY_MILLIS) {
-      poison.ended(
+      poison.recordEnd(
           PoisonFact.end(
               fingerprint(),
               attempt.target().description().id(),
@@ -102,7 +102,7 @@
    * last target.
    */
   void beforeNextAttempt(Attempt lastAttempt, Runnable step) {
-    if (poison.isInDoubt(fingerprint)) {
+    if (poison.isNearQuarantine(fingerprint)) {
       forwarder.exitDetector().afterFirstProbe(lastAttempt.target(), step);
     } else {
       step.run();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
@@ -63,7 +63,7 @@
         pendingChecks.remove(id());
       }
       if (result == ProbeResult.GONE) {
-        requests.values().forEach(poison::ended);
+        requests.values().forEach(poison::recordEnd);
       }
       releaseWaiters();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -95,7 +95,7 @@
     RolloutControl rollouts = forwarder.rollouts();
     VersionRule rule = rollouts.rule(service);
     if (isFirstAttempt()) {
-      VersionRule drawnRule = rollouts.ruleForNew(service, route.name());
+      VersionRule drawnRule = rollouts.ruleForNewRequest(service, route.name());
       Optional<TargetChoice> chosen = choose(query.withVersions(drawnRule), unavailable, false);
       if (chosen.isPresent()) {
         return chosen;
@@ -169,7 +169,7 @@
   }
 
   private boolean mayReceive(TargetState target, boolean isFirstAttempt) {
-    return !target.isLeaving() && forwarder.rollouts().mayHave(service, target, isFirstAttempt);
+    return !target.isLeaving() && forwarder.rollouts().maySend(service, target, isFirstAttempt);
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/VersionObserver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/VersionObserver.java
@@ -25,7 +25,7 @@
   }
 
   void recordSent(Attempt attempt) {
-    rollouts.sent(service, route.name(), version(attempt));
+    rollouts.recordSent(service, route.name(), version(attempt));
   }
 
   void recordFirstEvent(Attempt attempt, long now) {
@@ -73,7 +73,7 @@
   void recordAbandoned(Attempt attempt, long now) {
     if (attempt.mayHaveExecuted() && !attempt.hasForwardedEvents() && !attempt.isContinuation()) {
       Signal signal = isStream() ? Signal.FIRST_EVENT : Signal.WHOLE;
-      rollouts.givenUp(
+      rollouts.recordAbandoned(
           service, route.name(), version(attempt), signal, (double) (now - attempt.startedAt()));
     }
   }
@@ -85,7 +85,7 @@
   }
 
   private void recordResponse(Attempt attempt, Signal signal, double millis, boolean failed) {
-    rollouts.answered(service, route.name(), version(attempt), signal, millis, failed);
+    rollouts.recordResponse(service, route.name(), version(attempt), signal, millis, failed);
   }
 
   private boolean isStream() {
--- a/gatereel-core/src/main/java/org/gatereel/core/load/Contribution.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/SourceState.java
@@ -5,31 +5,31 @@
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.rollout.EvidenceKey;
-import org.gatereel.core.rollout.Tally;
+import org.gatereel.core.rollout.ResponseTally;
 
-/** What one sender has said last, under a lease that each of its reports renews. */
-final class Contribution {
+/** The load of one source as of its latest report; each report renews its lease. */
+final class SourceState {
   private final Map<TargetId, TargetLoad> loads = new HashMap<>();
   private Map<DemandKey, Double> demand = Map.of();
-  private Map<EvidenceKey, Tally> evidence = Map.of();
+  private Map<EvidenceKey, ResponseTally> evidence = Map.of();
   private Address replyTo;
   private long session;
   private long sequence = Long.MIN_VALUE;
-  private long heardAt;
+  private long receivedAt;
 
-  /** Takes a report in; returns false if it builds on one that is not known here. */
-  boolean take(LoadReport report, long now) {
+  /** Applies a report; returns false if the report that it is based on was not received. */
+  boolean update(LoadReport report, long now) {
     boolean sameSession = sequence != Long.MIN_VALUE && report.session() == session;
     if (sameSession && report.sequence() <= sequence) {
-      // Came late, over a connection that was given up; what is known is younger.
+      // Delayed on a connection that the sender gave up; a later report was applied already.
       return true;
     }
-    boolean whole = report.builtOn().isEmpty();
-    boolean follows = sameSession && !whole && report.builtOn().getAsLong() == sequence;
-    if (!whole && !follows) {
+    boolean complete = report.baseSequence().isEmpty();
+    boolean follows = sameSession && !complete && report.baseSequence().getAsLong() == sequence;
+    if (!complete && !follows) {
       return false;
     }
-    if (whole) {
+    if (complete) {
       loads.clear();
     }
     report.loads().forEach(this::put);
@@ -38,7 +38,7 @@
     replyTo = report.replyTo();
     session = report.session();
     sequence = report.sequence();
-    heardAt = now;
+    receivedAt = now;
     return true;
   }
 
@@ -58,7 +58,7 @@
     return demand;
   }
 
-  Map<EvidenceKey, Tally> evidence() {
+  Map<EvidenceKey, ResponseTally> evidence() {
     return evidence;
   }
 
@@ -66,7 +66,7 @@
     return replyTo;
   }
 
-  long heardAt() {
-    return heardAt;
+  long receivedAt() {
+    return receivedAt;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonCase.java
@@ -7,49 +7,46 @@
 import java.util.Set;
 import org.gatereel.core.model.TargetId;
 
-/** What is known of one request under which targets ended. */
+/** The facts known about one request during which targets ended. */
 final class PoisonCase {
-  /**
-   * Targets of a data centre that lose power end within less; calls that many callers make alike
-   * are at several of them in that moment.
-   */
-  private static final long TOGETHER_MILLIS = 500;
+  /** Ends within this time may have a common cause, such as a power failure. */
+  private static final long SIMULTANEOUS_MILLIS = 500;
 
   private final Map<TargetId, PoisonFact> ends = new LinkedHashMap<>();
-  private boolean sound;
-  private boolean held;
-  private long changedAt;
+  private boolean cleared;
+  private boolean quarantined;
+  private long lastFactAt;
 
-  /** Notes an end; returns whether it is news. */
-  boolean end(TargetId target, PoisonFact fact) {
-    if (sound || ends.containsKey(target)) {
+  /** Adds the end of a target; returns whether it is new. */
+  boolean addEnd(TargetId target, PoisonFact fact) {
+    if (cleared || ends.containsKey(target)) {
       return false;
     }
     ends.put(target, fact);
-    changedAt = Math.max(changedAt, fact.at());
+    lastFactAt = Math.max(lastFactAt, fact.at());
     return true;
   }
 
-  /** Notes that the request runs as it should; returns whether that is news. */
-  boolean sound(long at) {
-    changedAt = Math.max(changedAt, at);
-    boolean news = !sound;
-    sound = true;
-    held = false;
+  /** Clears the request after a successful execution; returns whether that is new. */
+  boolean clear(long at) {
+    lastFactAt = Math.max(lastFactAt, at);
+    boolean isNew = !cleared;
+    cleared = true;
+    quarantined = false;
     ends.clear();
-    return news;
+    return isNew;
   }
 
-  void hold() {
-    held = true;
+  void quarantine() {
+    quarantined = true;
   }
 
-  boolean isSound() {
-    return sound;
+  boolean isCleared() {
+    return cleared;
   }
 
-  boolean isHeld() {
-    return held;
+  boolean isQuarantined() {
+    return quarantined;
   }
 
   Set<TargetId> ends() {
@@ -57,20 +54,20 @@
   }
 
   /**
-   * Returns how often targets of a set ended under the request, where ends that came together count
-   * once: in the same moment, and each of a run that had been sent before the others' end.
+   * Counts the ends of some targets during the request. Simultaneous ends count once: those within
+   * {@link #SIMULTANEOUS_MILLIS} whose requests were all sent before the first of them.
    */
-  int occasions(Set<TargetId> among) {
+  int countOccasions(Set<TargetId> counted) {
     List<PoisonFact> inOrder =
         ends.entrySet().stream()
-            .filter(end -> among.contains(end.getKey()))
+            .filter(end -> counted.contains(end.getKey()))
             .map(Map.Entry::getValue)
             .sorted(Comparator.comparingLong(PoisonFact::at))
             .toList();
     int count = 0;
     long last = 0;
     for (PoisonFact end : inOrder) {
-      if (count == 0 || end.sentAt() >= last || end.at() - last >= TOGETHER_MILLIS) {
+      if (count == 0 || end.sentAt() >= last || end.at() - last >= SIMULTANEOUS_MILLIS) {
         count++;
         last = end.at();
       }
@@ -78,8 +75,7 @@
     return count;
   }
 
-  /** Returns when the last fact was seen. */
-  long changedAt() {
-    return changedAt;
+  long lastFactAt() {
+    return lastFactAt;
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
@@ -102,7 +102,7 @@
   private void reportLoadsOfOtherHosts(Map<String, TargetLoad> loadsById) {
     Map<TargetId, TargetLoad> loadsByTarget = new HashMap<>();
     loadsById.forEach((id, load) -> loadsByTarget.put(new TargetId(id), load));
-    loads.take(
+    loads.receive(
         new LoadReport(
             new HostId("h2"),
             ELSEWHERE,
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -106,11 +106,11 @@
     loadClient = new LoadClient(control);
     loadExchange = new LoadExchange(context, targets, directory, peerAddress, loadClient);
     poison = new PoisonControl(context);
-    loadExchange.exchangePoison(poison);
-    poison.onNews((fact, source) -> loadExchange.changed());
+    loadExchange.setPoisonFacts(poison);
+    poison.onNewFact((fact, source) -> loadExchange.scheduleReports());
     rollouts = new RolloutControl(context, bounds.rollouts());
-    rollouts.hearOthers(loadExchange::othersEvidence);
-    loadExchange.tellEvidence(rollouts::ownEvidence);
+    rollouts.setOthersEvidence(loadExchange::othersEvidence);
+    loadExchange.setEvidenceSource(rollouts::ownEvidence);
     forwarder =
         new Forwarder(
             context,
@@ -135,10 +135,10 @@
     metrics.gauge("configuration_version", configuration::version);
     metrics.gauge("configuration_age_millis", configuration::ageMillis);
     metrics.gauge("hosts", directory::estimatedHosts);
-    metrics.gauge("load_sources", loadExchange::sources);
-    metrics.gauge("load_age_millis", loadExchange::ageMillis);
-    metrics.gauge("poison_requests_suspected", poison::suspected);
-    metrics.gauge("poison_requests_held", poison::held);
+    metrics.gauge("load_sources", loadExchange::sourceCount);
+    metrics.gauge("load_age_millis", loadExchange::oldestReportAgeMillis);
+    metrics.gauge("poison_requests_suspected", poison::suspectedCount);
+    metrics.gauge("poison_requests_held", poison::quarantinedCount);
     metrics.gauge("limited_targets", forwarder.limits().announced()::size);
     metrics.gauge("resting_targets", forwarder.backoffs()::size);
     metrics.gauge("leaving_targets", () -> targets.leavingTargets().size());
@@ -198,7 +198,7 @@
   /** Processes another host's load report; returns false if the full report is needed. */
   public boolean receiveLoadReport(LoadReport report) {
     boolean[] accepted = new boolean[1];
-    control.run(() -> accepted[0] = loadExchange.take(report));
+    control.run(() -> accepted[0] = loadExchange.receive(report));
     return accepted[0];
   }
 
--- a/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
+++ b/gatereel-forward/src/test/java/org/gatereel/forward/peer/LoadMessagesTest.java
@@ -24,8 +24,8 @@
 import org.gatereel.core.poison.Fingerprint;
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.rollout.EvidenceKey;
+import org.gatereel.core.rollout.ResponseTally;
 import org.gatereel.core.rollout.Signal;
-import org.gatereel.core.rollout.Tally;
 import org.gatereel.core.statement.AnnouncedLimit;
 import org.gatereel.core.statement.BackoffFact;
 import org.gatereel.core.statement.LeavingFact;
@@ -125,12 +125,12 @@
             minimal.scope(),
             minimal.session(),
             minimal.sequence(),
-            minimal.builtOn(),
+            minimal.baseSequence(),
             minimal.loads(),
             minimal.demand(),
             Map.of(
                 new EvidenceKey(ENGINES, 7, "r", Signal.FIRST_EVENT, true),
-                new Tally(5, 1, 4, 12.25)),
+                new ResponseTally(5, 1, 4, 12.25)),
             List.of(),
             List.of());
 
@@ -151,7 +151,7 @@
             minimal.scope(),
             minimal.session(),
             minimal.sequence(),
-            minimal.builtOn(),
+            minimal.baseSequence(),
             minimal.loads(),
             minimal.demand(),
             Map.of(),
@@ -161,7 +161,7 @@
                     new TargetId("i-9a102b0d4e", 1_790_000_000_000L),
                     SENT_AT - 1_080,
                     SENT_AT),
-                PoisonFact.sound(request, SENT_AT - 3_000)),
+                PoisonFact.clearing(request, SENT_AT - 3_000)),
             List.of());
     byte[] json = LoadMessages.write(sent, SENT_AT);
 
@@ -174,7 +174,7 @@
                 new TargetId("i-9a102b0d4e", 1_790_000_000_000L),
                 RECEIVED_AT - 1_080,
                 RECEIVED_AT),
-            PoisonFact.sound(request, RECEIVED_AT - 3_000)),
+            PoisonFact.clearing(request, RECEIVED_AT - 3_000)),
         read.poison());
     int bytes = json.length - LoadMessages.write(minimal, SENT_AT).length;
     assertTrue(bytes <= 2 * 90, "bytes: " + bytes);
@@ -192,7 +192,7 @@
             minimal.scope(),
             minimal.session(),
             minimal.sequence(),
-            minimal.builtOn(),
+            minimal.baseSequence(),
             minimal.loads(),
             minimal.demand(),
             Map.of(),
@@ -279,7 +279,7 @@
         minimal.scope(),
         minimal.session(),
         minimal.sequence(),
-        minimal.builtOn(),
+        minimal.baseSequence(),
         minimal.loads(),
         minimal.demand(),
         Map.of(),
