--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
@@ -27,17 +27,17 @@
   private final CoreContext context;
   private final TargetFacts facts;
   private final AnnouncedLimits limits;
-  private final TargetBackoffs rests;
+  private final TargetBackoffs backoffs;
   private final UnknownHeaders unknownHeaders;
   private long unreadableLoggedAt = Long.MIN_VALUE / 2;
   private long contradictionLoggedAt = Long.MIN_VALUE / 2;
 
   AnnouncementReceiver(
-      CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs rests) {
+      CoreContext context, TargetFacts facts, AnnouncedLimits limits, TargetBackoffs backoffs) {
     this.context = context;
     this.facts = facts;
     this.limits = limits;
-    this.rests = rests;
+    this.backoffs = backoffs;
     this.unknownHeaders = new UnknownHeaders(context);
   }
 
@@ -67,7 +67,7 @@
       facts.observe(new LeavingFact(id, context.now()));
     }
     if (announcements.backoffMillisOrZero() > 0) {
-      rests.observe(id, announcements.backoffMillisOrZero());
+      backoffs.observe(id, announcements.backoffMillisOrZero());
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Exchange.java
@@ -276,7 +276,10 @@
     endCheck.onResponseEnd(from, end);
   }
 
-  /** Handles a complete response: holds an error back and retries if allowed, else delivers it. */
+  /**
+   * Handles a complete response: an error is held and the request retried if allowed; otherwise the
+   * response is delivered.
+   */
   void onCompleteResponse(Attempt from) {
     releaseAttempt(from);
     attemptCounter.recordExecution();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -88,15 +88,15 @@
     log(EventCode.ANSWER_ENDED, inputs);
   }
 
-  void logAttemptFailed(Attempt attempt, TargetFailure failure, boolean mayHaveRun) {
+  void logAttemptFailed(Attempt attempt, TargetFailure failure, boolean mayHaveExecuted) {
     String inputs =
         "target="
             + attempt.target().description().id()
             + " failure="
             + failure
             + " mayHaveRun="
-            + mayHaveRun;
-    log(EventCode.ATTEMPT_FAILED, mayHaveRun ? inputs + executionDetails(attempt) : inputs);
+            + mayHaveExecuted;
+    log(EventCode.ATTEMPT_FAILED, mayHaveExecuted ? inputs + executionDetails(attempt) : inputs);
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -164,8 +164,8 @@
         .toList();
   }
 
-  private static boolean isYounger(Entry entry, long storeMillis, long age) {
-    return storeMillis - entry.seenAt() < age;
+  private static boolean isYounger(Entry entry, long storeMillis, long ageMillis) {
+    return storeMillis - entry.seenAt() < ageMillis;
   }
 
   /** Returns the estimated number of hosts, including this one; at least one. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEnd.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEnd.java
@@ -16,8 +16,8 @@
 
   private final boolean confirmedByTarget;
 
-  ResponseEnd(boolean targetsWord) {
-    this.confirmedByTarget = targetsWord;
+  ResponseEnd(boolean confirmedByTarget) {
+    this.confirmedByTarget = confirmedByTarget;
   }
 
   /** Returns whether the target itself marked the response as complete. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseHead.java
@@ -38,7 +38,8 @@
   /**
    * Returns whether the response may be forwarded to the caller.
    *
-   * <p>Statuses that imply "not executed" are not forwarded, since the target did not declare it.
+   * <p>Callers take 408, 421, 429 and 503 to mean that the request was not executed, so responses
+   * with these statuses are not forwarded.
    */
   default boolean isForwardable() {
     boolean impliesNotExecuted =
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/SharedDocument.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/SharedDocument.java
@@ -14,7 +14,7 @@
     DocumentKind kind, String content, String digest, long version, long confirmedAt) {
 
   /** Returns this document with another version and confirmation time. */
-  SharedDocument withConfirmation(long laterVersion, long at) {
-    return new SharedDocument(kind, content, digest, laterVersion, at);
+  SharedDocument withConfirmation(long newVersion, long newConfirmedAt) {
+    return new SharedDocument(kind, content, digest, newVersion, newConfirmedAt);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetSearch.java
@@ -44,11 +44,11 @@
     this.copiesMemory =
         route.kind() == RouteKind.STREAM
             && engine.map(ServiceConfiguration.EngineConfiguration::copiesMemory).orElse(false);
-    int fitting =
+    int fittingRequests =
         engine
             .map(configuration -> configuration.fittingRequests(request.promptTokens()))
             .orElse(Integer.MAX_VALUE);
-    this.query = new TargetQuery(service, Optional.empty(), fitting);
+    this.query = new TargetQuery(service, Optional.empty(), fittingRequests);
   }
 
   ServiceName service() {
