--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -266,9 +266,9 @@
 
   private TargetLoad engineLoad(TargetState target) {
     return new TargetLoad(
-        target.openHere(),
-        target.readingHere(),
-        target.copiesHere(),
+        target.localOpenRequests(),
+        target.localPrefills(),
+        target.localCopies(),
         recentErrors(target),
         recentFailureAt(target));
   }
@@ -282,7 +282,7 @@
   }
 
   private int recentErrors(TargetState target) {
-    return (int) Math.round(target.errorsHere(context.now()));
+    return (int) Math.round(target.localErrors(context.now()));
   }
 
   private long recentFailureAt(TargetState target) {
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -197,7 +197,7 @@
   }
 
   private Capacity capacity(ServiceName service) {
-    List<TargetState> listed = targets.listed(service);
+    List<TargetState> listed = targets.notLeaving(service);
     boolean engines =
         listed.stream().anyMatch(target -> target.description().kind() == TargetKind.ENGINE);
     ServiceTimeEstimate estimate = serviceTimes.get(service);
@@ -238,14 +238,14 @@
 
   private boolean wasFull(ServiceName service) {
     long since = context.now() - FULL_MILLIS;
-    return targets.listed(service).stream().anyMatch(target -> target.lastFullAt() > since);
+    return targets.notLeaving(service).stream().anyMatch(target -> target.lastRefusalAt() > since);
   }
 
   /** Returns how many prompts of all hosts the engines have not finished reading. */
   private int promptsInProgress(ServiceName service) {
     int prompts = 0;
-    for (TargetState target : targets.listed(service)) {
-      prompts += target.readingHere() + loads.othersLoad(target.description().id()).reading();
+    for (TargetState target : targets.notLeaving(service)) {
+      prompts += target.localPrefills() + loads.othersLoad(target.description().id()).reading();
     }
     return prompts;
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadExchangeTest.java
@@ -55,7 +55,7 @@
   void anObservedFailureIsReportedWithItsTime() {
     LoadWorld world = settledWorld();
     LoadWorld.Host observer = world.member("north");
-    observer.targets.failed(observer.engineState(), TargetFailure.TIMEOUT);
+    observer.targets.recordFailure(observer.engineState(), TargetFailure.TIMEOUT);
     long failedAt = observer.context.now();
     observer.loads.scheduleReports();
     world.pass(REPORTED_MILLIS);
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -62,7 +62,7 @@
           new CoreContext(new HostId(name), new DataCentre(dataCentre), new SplittableRandom(seed));
       context.moveTo(now);
       targets = new TargetRegistry(context, new PolicyTable());
-      targets.see(new HostList(1, List.of(), List.of(engine())));
+      targets.applyList(new HostList(1, List.of(), List.of(engine())));
       directory = new HostDirectory(context, address);
       loads = new LoadExchange(context, targets, directory, address, this::send);
       poison = new PoisonControl(context);
@@ -108,14 +108,14 @@
 
     void open(int count) {
       for (int index = 0; index < count; index++) {
-        targets.opened(engineState());
+        targets.recordOpened(engineState());
       }
       loads.scheduleReports();
     }
 
     void close(int count) {
       for (int index = 0; index < count; index++) {
-        targets.closed(engineState());
+        targets.recordClosed(engineState());
       }
       loads.scheduleReports();
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
@@ -80,7 +80,7 @@
       listed.add(target("e" + index, TargetKind.ENGINE, ENGINES, index));
       listed.add(target("c" + index, TargetKind.PLAIN_SERVICE, COUNTERS, TARGETS + index));
     }
-    targets.see(new HostList(1, List.of(), listed));
+    targets.applyList(new HostList(1, List.of(), listed));
   }
 
   private static TargetDescription target(
@@ -258,7 +258,7 @@
     receiveReport(0, demand(COUNTERS, 3_000, 10));
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
     TargetState full = targets.find(new TargetId("c3")).orElseThrow();
-    targets.failed(full, TargetFailure.FULL);
+    targets.recordFailure(full, TargetFailure.FULL);
 
     OverloadDecision rejected = overload.decide(call(HOT));
 
@@ -274,7 +274,7 @@
   void anAccountAboveItsShareIsServedUpToIt() {
     recordCalls();
     receiveReport(0, demand(COUNTERS, 2_390, 10));
-    targets.failed(targets.find(new TargetId("c3")).orElseThrow(), TargetFailure.FULL);
+    targets.recordFailure(targets.find(new TargetId("c3")).orElseThrow(), TargetFailure.FULL);
 
     int sent = 0;
     for (int index = 0; index < 200; index++) {
@@ -314,7 +314,7 @@
   void restingTargetsDoNotCountAsCapacity() {
     recordCalls();
     receiveReport(0, demand(COUNTERS, 900, 10));
-    targets.failed(targets.find(new TargetId("c9")).orElseThrow(), TargetFailure.RESTING);
+    targets.recordFailure(targets.find(new TargetId("c9")).orElseThrow(), TargetFailure.RESTING);
     for (int index = 0; index < TARGETS / 2; index++) {
       resting.add(new TargetId("c" + index));
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
@@ -140,7 +140,7 @@
                 step(
                     () -> {
                       control.updateTargets(list);
-                      targets.see(list);
+                      targets.applyList(list);
                       control.updateOrders(orders, askedAt);
                       if (control.needsRecords()) {
                         control.updateRecords(rows, storeMillis, askedAt);
@@ -181,9 +181,9 @@
 
     private void send(String route) {
       VersionRule rule = control.ruleForNewRequest(SERVICE, route);
-      var usable = rule.among(targets.listed(SERVICE));
+      var usable = rule.among(targets.notLeaving(SERVICE));
       if (usable.isEmpty()) {
-        usable = control.rule(SERVICE).among(targets.listed(SERVICE));
+        usable = control.rule(SERVICE).among(targets.notLeaving(SERVICE));
       }
       if (usable.isEmpty()) {
         arrivals.merge(now < orderedAt ? "before" : "refused", 1, Integer::sum);
