--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -11,10 +11,10 @@
 import org.gatereel.core.edit.RevisionKeeper;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
-import org.gatereel.core.generation.CopyKeeper;
+import org.gatereel.core.generation.CopyStore;
 import org.gatereel.core.generation.GenerationOwner;
 import org.gatereel.core.generation.GenerationService;
-import org.gatereel.core.generation.ServiceBudgets;
+import org.gatereel.core.generation.RetryBudgets;
 import org.gatereel.core.generation.TakeoverService;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.member.Membership;
@@ -61,7 +61,7 @@
   private final RevisionKeeper revisions;
   private final EditService edits;
   private final Admission admission;
-  private final CopyKeeper copies;
+  private final CopyStore copies;
   private final GenerationOwner owner;
   private final GenerationService generations;
   private final TakeoverService takeOvers;
@@ -83,8 +83,8 @@
     revisions = new RevisionKeeper(context, table, members, platform);
     edits = new EditService(context, table, platform, revisions);
     admission = new Admission(context, targets);
-    copies = new CopyKeeper(context);
-    ServiceBudgets budgets = new ServiceBudgets();
+    copies = new CopyStore(context);
+    RetryBudgets budgets = new RetryBudgets();
     owner = new GenerationOwner(context, table, targets, members, budgets, this::requestDispatch);
     generations = new GenerationService(context, table, targets, admission, owner, budgets);
     takeOvers = new TakeoverService(context, table, members, owner, copies);
@@ -96,8 +96,8 @@
 
   /** Starts heartbeats and reads; {@code seeds} are peers known from the settings. */
   public List<Action> start(long now, List<HostDescription> seeds) {
-    context.moveTo(now);
-    context.note(EventCode.HOST_STARTED, context.self().value(), context.dataCentre().value());
+    context.advanceTo(now);
+    context.logEvent(EventCode.HOST_STARTED, context.self().value(), context.dataCentre().value());
     members.start(seeds);
     revisions.start();
     copies.start();
@@ -121,7 +121,7 @@
   public List<Action> handle(Event event, long now) {
     moveTo(now);
     if (event instanceof Event.TokenArrived token) {
-      owner.token(token);
+      owner.handleToken(token);
     } else if (event instanceof Event.PeerSaid said) {
       peerSaid(said.from(), said.message());
     } else if (!handleCaller(event) && !handleTarget(event)) {
@@ -134,28 +134,28 @@
   private void moveTo(long now) {
     OptionalLong due = context.timers().nextDeadline();
     long lastRun = context.now();
-    context.moveTo(now);
+    context.advanceTo(now);
     long late = due.isPresent() ? now - Math.max(due.getAsLong(), lastRun) : 0;
     if (late > PAUSE_MILLIS) {
-      context.notePause();
-      context.note(EventCode.PAUSE_NOTICED, context.self().value(), late + " ms");
+      context.recordPause();
+      context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), late + " ms");
     }
   }
 
   private boolean handleCaller(Event event) {
     if (event instanceof Event.GenerationRequested request) {
       if (mayTakeNew(request.caller(), Outcome.NOT_RUN)) {
-        generations.requested(request);
+        generations.handleRequest(request);
       }
     } else if (event instanceof Event.CallRequested request) {
       // Under the same key another host may have run the call already.
       Outcome known = request.idempotencyKey().isPresent() ? Outcome.UNKNOWN : Outcome.NOT_RUN;
       if (mayTakeNew(request.caller(), known)) {
-        calls.requested(request);
+        calls.handleRequest(request);
       }
     } else if (event instanceof Event.ResumeRequested request) {
       if (hasTable(request.caller(), Outcome.RAN)) {
-        takeOvers.resumeRequested(request);
+        takeOvers.handleResume(request);
       }
     } else if (event instanceof Event.CallerGone gone) {
       callerGone(gone.caller());
@@ -191,10 +191,10 @@
 
   private void callerGone(long caller) {
     boolean known =
-        owner.callerGone(caller)
-            || generations.callerGone(caller)
-            || takeOvers.callerGone(caller)
-            || calls.callerGone(caller);
+        owner.handleCallerDisconnected(caller)
+            || generations.handleCallerDisconnected(caller)
+            || takeOvers.handleCallerDisconnected(caller)
+            || calls.handleCallerDisconnected(caller);
     if (!known) {
       edits.callerGone(caller);
     }
@@ -202,13 +202,13 @@
 
   private boolean handleTarget(Event event) {
     if (event instanceof Event.AttemptFinished finished) {
-      owner.finished(finished);
+      owner.handleAttemptFinished(finished);
     } else if (event instanceof Event.AttemptFailed failed) {
-      owner.failed(failed);
+      owner.handleAttemptFailed(failed);
     } else if (event instanceof Event.CallAnswered answered) {
-      calls.answered(answered);
+      calls.handleResponse(answered);
     } else if (event instanceof Event.CallFailed failed) {
-      calls.failed(failed);
+      calls.handleFailure(failed);
     } else if (event instanceof Event.TargetAnswered answered) {
       targetAnswered(answered);
     } else {
@@ -246,14 +246,14 @@
 
   private void peerUnreachable(Event.PeerUnreachable event) {
     members.unreachable(event.peer());
-    takeOvers.peerUnreachable(event.peer(), event.processGone());
-    calls.peerUnreachable(event.peer());
+    takeOvers.handlePeerUnreachable(event.peer(), event.processGone());
+    calls.handlePeerUnreachable(event.peer());
   }
 
   private void drain() {
     if (!draining) {
       draining = true;
-      context.note(EventCode.HOST_DRAINING, context.self().value(), open() + " requests open");
+      context.logEvent(EventCode.HOST_DRAINING, context.self().value(), open() + " requests open");
       members.beatNow();
     }
   }
@@ -279,24 +279,24 @@
       if (message instanceof PeerMessage.TargetLeaving leaving) {
         targets.leaving(leaving.target());
       } else {
-        calls.peerSaid(from, message);
+        calls.handlePeerMessage(from, message);
       }
     }
   }
 
   private boolean copySaid(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.CopyAppend append) {
-      copies.append(from, append);
+      copies.handleAppend(from, append);
     } else if (message instanceof PeerMessage.CopyHeld held) {
-      owner.held(from, held);
+      owner.handleHeld(from, held);
     } else if (message instanceof PeerMessage.CopyOpen open) {
-      copies.open(from, open);
+      copies.handleOpen(from, open);
     } else if (message instanceof PeerMessage.CopyDrop drop) {
-      copies.drop(from, drop);
+      copies.handleDrop(from, drop);
     } else if (message instanceof PeerMessage.CopyFenced fenced) {
-      owner.fenced(fenced);
+      owner.handleFenced(fenced);
     } else if (message instanceof PeerMessage.CopyMissing missing) {
-      owner.missing(from, missing);
+      owner.handleMissing(from, missing);
     } else {
       return false;
     }
@@ -305,11 +305,11 @@
 
   private boolean takeOverSaid(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.TakeOver ask) {
-      takeOvers.asked(from, ask);
+      takeOvers.handleTakeOver(from, ask);
     } else if (message instanceof PeerMessage.TakeOverGranted granted) {
-      takeOvers.granted(from, granted);
+      takeOvers.handleGranted(from, granted);
     } else if (message instanceof PeerMessage.TakeOverRefused refused) {
-      takeOvers.refused(from, refused);
+      takeOvers.handleRefused(from, refused);
     } else {
       return false;
     }
@@ -342,7 +342,7 @@
 
   /** Returns how many callers wait for an answer. */
   public int open() {
-    return owner.open() + admission.waiting() + calls.open() + edits.open();
+    return owner.openCount() + admission.waiting() + calls.openCount() + edits.open();
   }
 
   /** Returns whether callers are served: there is a table, and no planned stop. */
@@ -370,11 +370,11 @@
         context.dataCentre(),
         table.revision(),
         draining,
-        owner.open(),
+        owner.openCount(),
         owner.size(),
         copies.size(),
         admission.waiting(),
-        calls.open(),
+        calls.openCount(),
         peers,
         shown);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
@@ -1,9 +1,9 @@
 package org.gatereel.core.action;
 
 import java.util.List;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.Measurement;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.generation.EventId;
 import org.gatereel.core.model.GenerationSpec;
 import org.gatereel.core.model.HostId;
@@ -78,6 +78,6 @@
   record Note(EventCode code, String subject, String detail) implements Action {}
 
   /** Adds a value to the statistics of a service and arm. */
-  record Measure(Measurement measurement, ServiceName service, Arm arm, long value)
+  record Measure(Measurement measurement, ServiceName service, PolicyVariant arm, long value)
       implements Action {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.Measurement;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.internal.TimerQueue;
 import org.gatereel.core.model.AccountId;
@@ -128,7 +128,7 @@
     context.measure(
         Measurement.QUEUE_MILLIS,
         permit.applicant.service(),
-        Arm.FIRST,
+        PolicyVariant.FIRST,
         context.now() - permit.askedAt);
     return true;
   }
@@ -142,14 +142,14 @@
           new Problem(ProblemType.OVERLOADED, Outcome.NOT_RUN, detail, expected - patienceMillis));
       return;
     }
-    permit.patience = context.after(patienceMillis, () -> permit.patienceEnded(patienceMillis));
+    permit.patience = context.schedule(patienceMillis, () -> permit.patienceEnded(patienceMillis));
     permit.entry =
         permit.lane.queue.add(
             permit.applicant.account(),
             account.number(Column.ACCOUNT_WEIGHT),
             permit.applicant.cost(),
             permit);
-    context.note(
+    context.logEvent(
         EventCode.REQUEST_QUEUED,
         permit.applicant.account().value(),
         permit.applicant.service() + ", waiting: " + permit.lane.queue.size());
--- a/gatereel-core/src/main/java/org/gatereel/core/call/OnceOnlyCalls.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
@@ -30,21 +30,22 @@
  * a claim up remembers the value it wrote and says so when asked; only then may another value
  * replace it, by compare and swap, so that of several hosts one goes on.
  */
-final class OnceOnlyCalls {
-  private static final long REMEMBER_MILLIS = 600_000;
-  private static final long ASK_MILLIS = 1_000;
-  private static final long RETRY_MILLIS = 1_000;
-  private static final long SILENT_RETRY_MILLIS = 2_000;
-  private static final int MOST_SWAPS = 4;
+final class AtMostOnceCalls {
+  private static final long RECORD_EXPIRY_TIMEOUT_MILLIS = 600_000;
+  private static final long OUTCOME_TIMEOUT_MILLIS = 1_000;
+  private static final long RETRY_DELAY_MILLIS = 1_000;
+  private static final long UNRESPONSIVE_HOST_RETRY_DELAY_MILLIS = 2_000;
+  private static final int MAX_CLAIM_REPLACEMENTS = 4;
 
   private final CoreContext context;
   private final Membership members;
   private final ClaimRouter claims;
   private final CallRunner runner;
   private final Map<String, CallRecord> records = new HashMap<>();
-  private final Map<Long, Question> questions = new HashMap<>();
+  private final Map<Long, OutcomeQuery> queries = new HashMap<>();
 
-  OnceOnlyCalls(CoreContext context, Membership members, PlatformPort platform, CallRunner runner) {
+  AtMostOnceCalls(
+      CoreContext context, Membership members, PlatformPort platform, CallRunner runner) {
     this.context = context;
     this.members = members;
     this.claims = new ClaimRouter(context, members, platform);
@@ -52,7 +53,7 @@
   }
 
   /** One caller's wish to have a call run. */
-  private record Wish(
+  private record CallRequest(
       CallRunner.Call call,
       Row account,
       Row service,
@@ -64,99 +65,101 @@
   }
 
   /** A question to the host that holds a claim. */
-  private record Question(HostId host, Wish wish, String present, TimerQueue.Timer timer) {}
+  private record OutcomeQuery(
+      HostId host, CallRequest request, String present, TimerQueue.Timer timer) {}
 
   /** Runs a call, or gives the answer that an earlier request with its key had. */
-  void run(CallRunner.Call call, Row account, Row service, CallRunner.Listener listener) {
+  void execute(CallRunner.Call call, Row account, Row service, CallRunner.Listener listener) {
     String digest =
         Hashing.sipHash24()
             .hashString(call.service().value() + "|" + call.body(), StandardCharsets.UTF_8)
             .toString();
-    Wish wish = new Wish(call, account, service, listener, digest);
+    CallRequest wish = new CallRequest(call, account, service, listener, digest);
     CallRecord record = records.get(wish.key());
     if (record == null) {
       record = new CallRecord(wish.key(), digest);
       records.put(wish.key(), record);
       claim(wish, record, Optional.empty(), 0);
     } else if (!record.bodyDigest().equals(digest)) {
-      listener.failed(changed(wish));
+      listener.onFailure(bodyChanged(wish));
     } else if (record.state() == CallState.NOT_SENT) {
       claim(wish, record, Optional.empty(), 0);
     } else if (record.state() == CallState.RUNNING) {
-      record.whenEnded(ended -> tell(wish, ended));
+      record.addListener(ended -> notifyListener(wish, ended));
     } else {
-      tell(wish, record);
+      notifyListener(wish, record);
     }
   }
 
-  private void claim(Wish wish, CallRecord record, Optional<String> replaced, int swaps) {
+  private void claim(CallRequest wish, CallRecord record, Optional<String> replaced, int swaps) {
     String nonce = Long.toHexString(context.random().nextLong());
     String value = new ClaimValue(context.self(), nonce, wish.bodyDigest()).toString();
-    record.claimingWith(value);
+    record.startClaim(value);
     TableWrite write =
         replaced
             .map(old -> TableWrite.replace(wish.key(), old, value))
             .orElseGet(() -> TableWrite.insert(wish.key(), value));
-    claims.claim(write, present -> claimEnded(wish, record, value, present, swaps));
+    claims.claim(write, present -> handleClaimResult(wish, record, value, present, swaps));
   }
 
-  private void claimEnded(
-      Wish wish, CallRecord record, String value, Optional<String> present, int swaps) {
+  private void handleClaimResult(
+      CallRequest wish, CallRecord record, String value, Optional<String> present, int swaps) {
     if (present.isEmpty()) {
-      context.note(EventCode.CLAIM_FAILED, wish.call().executionId(), "the table did not answer");
-      endUnsent(wish, record, unconfirmed("the claim was not confirmed"));
+      context.logEvent(
+          EventCode.CLAIM_FAILED, wish.call().executionId(), "the table did not answer");
+      failUnsent(wish, record, claimUnconfirmed("the claim was not confirmed"));
     } else if (present.get().equals(value)) {
-      context.note(EventCode.CLAIM_GRANTED, wish.call().executionId(), value);
+      context.logEvent(EventCode.CLAIM_GRANTED, wish.call().executionId(), value);
       send(wish, record);
     } else {
-      taken(wish, record, present.get(), swaps);
+      handleClaimTaken(wish, record, present.get(), swaps);
     }
   }
 
-  private void endUnsent(Wish wish, CallRecord record, Problem problem) {
-    record.abandon();
-    wish.listener().failed(problem);
-    record.end(CallState.NOT_SENT);
-    forgetLater(record);
+  private void failUnsent(CallRequest wish, CallRecord record, Problem problem) {
+    record.abandonClaim();
+    wish.listener().onFailure(problem);
+    record.finish(CallState.NOT_SENT);
+    scheduleExpiry(record);
   }
 
-  private void send(Wish wish, CallRecord record) {
-    runner.run(wish.call(), wish.account(), wish.service(), new Ending(wish, record));
+  private void send(CallRequest wish, CallRecord record) {
+    runner.execute(wish.call(), wish.account(), wish.service(), new ResultListener(wish, record));
   }
 
   /** Remembers how the call ended and tells all who wait for it. */
-  private final class Ending implements CallRunner.Listener {
-    private final Wish wish;
+  private final class ResultListener implements CallRunner.Listener {
+    private final CallRequest wish;
     private final CallRecord record;
 
-    private Ending(Wish wish, CallRecord record) {
+    private ResultListener(CallRequest wish, CallRecord record) {
       this.wish = wish;
       this.record = record;
     }
 
     @Override
-    public void answered(int status, String body) {
-      wish.listener().answered(status, body);
-      record.answered(status, body);
-      forgetLater(record);
+    public void onResponse(int status, String body) {
+      wish.listener().onResponse(status, body);
+      record.complete(status, body);
+      scheduleExpiry(record);
     }
 
     @Override
-    public void failed(Problem problem) {
+    public void onFailure(Problem problem) {
       if (problem.outcome() == Outcome.NOT_RUN) {
-        endUnsent(wish, record, problem);
+        failUnsent(wish, record, problem);
         return;
       }
-      wish.listener().failed(problem);
-      record.end(CallState.FAILED);
-      forgetLater(record);
+      wish.listener().onFailure(problem);
+      record.finish(CallState.FAILED);
+      scheduleExpiry(record);
     }
   }
 
-  private void forgetLater(CallRecord record) {
+  private void scheduleExpiry(CallRecord record) {
     String value = record.claimValue();
-    context.after(
-        REMEMBER_MILLIS,
+    context.schedule(
+        RECORD_EXPIRY_TIMEOUT_MILLIS,
         () -> {
           boolean unchanged =
               record.claimValue().equals(value) && record.state() != CallState.RUNNING;
@@ -166,147 +169,152 @@
         });
   }
 
-  private void taken(Wish wish, CallRecord record, String present, int swaps) {
+  private void handleClaimTaken(CallRequest wish, CallRecord record, String present, int swaps) {
     Optional<ClaimValue> claim = ClaimValue.parse(present);
     boolean otherBody = claim.isPresent() && !claim.get().bodyDigest().equals(wish.bodyDigest());
     if (otherBody) {
-      endElsewhere(wish, record, changed(wish));
-    } else if (claim.isEmpty() || swaps >= MOST_SWAPS) {
-      endElsewhere(wish, record, alreadyClaimed(wish, "the claim cannot be followed"));
+      failClaimedElsewhere(wish, record, bodyChanged(wish));
+    } else if (claim.isEmpty() || swaps >= MAX_CLAIM_REPLACEMENTS) {
+      failClaimedElsewhere(wish, record, alreadyClaimed(wish, "the claim cannot be followed"));
     } else if (record.hasAbandoned(present)) {
       claim(wish, record, Optional.of(present), swaps + 1);
     } else {
-      ask(wish, record, claim.get().host(), present, swaps);
+      queryOutcome(wish, record, claim.get().host(), present, swaps);
     }
   }
 
-  private void ask(Wish wish, CallRecord record, HostId host, String present, int swaps) {
-    context.note(EventCode.CLAIM_TAKEN, wish.call().executionId(), "by " + host);
+  private void queryOutcome(
+      CallRequest wish, CallRecord record, HostId host, String present, int swaps) {
+    context.logEvent(EventCode.CLAIM_TAKEN, wish.call().executionId(), "by " + host);
     if (host.equals(context.self())) {
-      endElsewhere(wish, record, alreadyClaimed(wish, "an earlier process of this host had it"));
+      failClaimedElsewhere(
+          wish, record, alreadyClaimed(wish, "an earlier process of this host had it"));
       return;
     }
     if (!members.isAnswering(host)) {
-      endElsewhere(wish, record, silent(wish, host));
+      failClaimedElsewhere(wish, record, hostUnresponsive(wish, host));
       return;
     }
     long ticket = context.nextTicket();
-    long patience = ASK_MILLIS + wish.service().number(Column.CALL_TIMEOUT_MILLIS);
-    TimerQueue.Timer timer = context.after(patience, () -> unanswered(ticket));
-    questions.put(ticket, new Question(host, wish, present, timer));
-    record.swaps(swaps);
+    long patience = OUTCOME_TIMEOUT_MILLIS + wish.service().number(Column.CALL_TIMEOUT_MILLIS);
+    TimerQueue.Timer timer = context.schedule(patience, () -> handleQueryTimeout(ticket));
+    queries.put(ticket, new OutcomeQuery(host, wish, present, timer));
+    record.claimReplacements(swaps);
     context.emit(
         new Action.SendPeer(host, new PeerMessage.OutcomeAsk(ticket, wish.key(), present)));
   }
 
-  private void unanswered(long ticket) {
-    Question question = questions.remove(ticket);
+  private void handleQueryTimeout(long ticket) {
+    OutcomeQuery question = queries.remove(ticket);
     if (question != null) {
       question.timer().cancel();
-      endElsewhere(
-          question.wish(),
-          records.get(question.wish().key()),
-          silent(question.wish(), question.host()));
+      failClaimedElsewhere(
+          question.request(),
+          records.get(question.request().key()),
+          hostUnresponsive(question.request(), question.host()));
     }
   }
 
   /** Ends a wish whose claim another host has; this host then knows nothing of the call. */
-  private void endElsewhere(Wish wish, CallRecord record, Problem problem) {
+  private void failClaimedElsewhere(CallRequest wish, CallRecord record, Problem problem) {
     records.remove(wish.key());
-    wish.listener().failed(problem);
+    wish.listener().onFailure(problem);
     if (record != null) {
-      record.end(CallState.FORGOTTEN);
+      record.finish(CallState.FORGOTTEN);
     }
   }
 
-  private void tell(Wish wish, CallRecord ended) {
+  private void notifyListener(CallRequest wish, CallRecord ended) {
     switch (ended.state()) {
-      case ANSWERED -> wish.listener().answered(ended.status(), ended.body());
-      case NOT_SENT -> wish.listener().failed(unconfirmed("the call was not sent from here"));
-      default -> wish.listener().failed(alreadyClaimed(wish, "its target failed or is unknown"));
+      case ANSWERED -> wish.listener().onResponse(ended.status(), ended.body());
+      case NOT_SENT ->
+          wish.listener().onFailure(claimUnconfirmed("the call was not sent from here"));
+      default -> wish.listener().onFailure(alreadyClaimed(wish, "its target failed or is unknown"));
     }
   }
 
   /** This host did not send the call; but another one may have, under the same key. */
-  private static Problem unconfirmed(String detail) {
-    return new Problem(ProblemType.PLATFORM_UNAVAILABLE, Outcome.UNKNOWN, detail, RETRY_MILLIS);
+  private static Problem claimUnconfirmed(String detail) {
+    return new Problem(
+        ProblemType.PLATFORM_UNAVAILABLE, Outcome.UNKNOWN, detail, RETRY_DELAY_MILLIS);
   }
 
-  private static Problem changed(Wish wish) {
+  private static Problem bodyChanged(CallRequest wish) {
     // The request with the other body may have run under this key.
     String detail = "key " + wish.call().executionId();
     return new Problem(ProblemType.REQUEST_CHANGED, Outcome.UNKNOWN, detail, 0);
   }
 
   /** The host with the claim may come back; asking again is safe, and may then bring the answer. */
-  private static Problem silent(Wish wish, HostId host) {
+  private static Problem hostUnresponsive(CallRequest wish, HostId host) {
     String detail = wish.call().executionId() + " is with " + host + ", which does not answer";
-    return new Problem(ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, detail, SILENT_RETRY_MILLIS);
+    return new Problem(
+        ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, detail, UNRESPONSIVE_HOST_RETRY_DELAY_MILLIS);
   }
 
-  private static Problem alreadyClaimed(Wish wish, String detail) {
+  private static Problem alreadyClaimed(CallRequest wish, String detail) {
     return new Problem(
         ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, wish.call().executionId() + ": " + detail, 0);
   }
 
   /** Takes in what a peer says about claims and calls. */
-  void peerSaid(HostId from, PeerMessage message) {
+  void handlePeerMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.ClaimAsk ask) {
-      claims.asked(from, ask);
+      claims.handleClaimAsk(from, ask);
     } else if (message instanceof PeerMessage.ClaimResult result) {
-      claims.answered(result);
+      claims.handleClaimResult(result);
     } else if (message instanceof PeerMessage.OutcomeAsk ask) {
-      outcomeAsked(from, ask);
+      handleOutcomeAsk(from, ask);
     } else if (message instanceof PeerMessage.OutcomeAnswer answer) {
-      outcomeAnswered(answer);
+      handleOutcomeAnswer(answer);
     }
   }
 
-  private void outcomeAsked(HostId from, PeerMessage.OutcomeAsk ask) {
+  private void handleOutcomeAsk(HostId from, PeerMessage.OutcomeAsk ask) {
     CallRecord record = records.get(ask.key());
     if (record != null && record.hasAbandoned(ask.claimValue())) {
-      answer(from, ask.ticket(), CallRecord.ended(ask.key(), CallState.NOT_SENT));
+      sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.NOT_SENT));
     } else if (record == null || !record.claimValue().equals(ask.claimValue())) {
       // A claim of an earlier process of this host: whether it was acted on is not known here.
-      answer(from, ask.ticket(), CallRecord.ended(ask.key(), CallState.FORGOTTEN));
+      sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.FORGOTTEN));
     } else if (record.state() == CallState.RUNNING) {
-      record.whenEnded(ended -> answer(from, ask.ticket(), ended));
+      record.addListener(ended -> sendOutcome(from, ask.ticket(), ended));
     } else {
-      answer(from, ask.ticket(), record);
+      sendOutcome(from, ask.ticket(), record);
     }
   }
 
-  private void answer(HostId to, long ticket, CallRecord record) {
-    context.emit(new Action.SendPeer(to, record.toAnswer(ticket)));
+  private void sendOutcome(HostId to, long ticket, CallRecord record) {
+    context.emit(new Action.SendPeer(to, record.toOutcomeAnswer(ticket)));
   }
 
-  private void outcomeAnswered(PeerMessage.OutcomeAnswer answer) {
-    Question question = questions.remove(answer.ticket());
+  private void handleOutcomeAnswer(PeerMessage.OutcomeAnswer answer) {
+    OutcomeQuery question = queries.remove(answer.ticket());
     if (question == null) {
       return;
     }
     question.timer().cancel();
-    Wish wish = question.wish();
+    CallRequest wish = question.request();
     CallRecord record = records.get(wish.key());
     if (answer.state() == CallState.NOT_SENT && record != null) {
-      claim(wish, record, Optional.of(question.present()), record.swaps() + 1);
+      claim(wish, record, Optional.of(question.present()), record.claimReplacements() + 1);
     } else if (answer.state() == CallState.ANSWERED) {
       records.remove(wish.key());
-      wish.listener().answered(answer.status(), answer.body());
+      wish.listener().onResponse(answer.status(), answer.body());
       if (record != null) {
-        record.answered(answer.status(), answer.body());
+        record.complete(answer.status(), answer.body());
       }
     } else {
-      endElsewhere(wish, record, alreadyClaimed(wish, "the call failed or is unknown"));
+      failClaimedElsewhere(wish, record, alreadyClaimed(wish, "the call failed or is unknown"));
     }
   }
 
   /** Gives up questions to a lost peer, and writes the claims it was to write. */
-  void peerUnreachable(HostId peer) {
-    claims.peerUnreachable(peer);
-    for (Map.Entry<Long, Question> entry : List.copyOf(questions.entrySet())) {
+  void handlePeerUnreachable(HostId peer) {
+    claims.handlePeerUnreachable(peer);
+    for (Map.Entry<Long, OutcomeQuery> entry : List.copyOf(queries.entrySet())) {
       if (entry.getValue().host().equals(peer)) {
-        unanswered(entry.getKey());
+        handleQueryTimeout(entry.getKey());
       }
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
@@ -12,11 +12,11 @@
 final class CallRecord {
   private final String key;
   private final String bodyDigest;
-  private final List<Consumer<CallRecord>> waiters = new ArrayList<>();
+  private final List<Consumer<CallRecord>> listeners = new ArrayList<>();
   private CallState state = CallState.RUNNING;
   private final Set<String> abandoned = new HashSet<>();
   private String claimValue = "";
-  private int swaps;
+  private int claimReplacements;
   private int status;
   private String body = "";
 
@@ -26,7 +26,7 @@
   }
 
   /** Returns a record of a call that ended before. */
-  static CallRecord ended(String key, CallState state) {
+  static CallRecord ofState(String key, CallState state) {
     CallRecord record = new CallRecord(key, "");
     record.state = state;
     return record;
@@ -58,16 +58,16 @@
   }
 
   /** Returns how often this host tried to replace an abandoned claim. */
-  int swaps() {
-    return swaps;
+  int claimReplacements() {
+    return claimReplacements;
   }
 
-  void swaps(int count) {
-    swaps = count;
+  void claimReplacements(int count) {
+    claimReplacements = count;
   }
 
   /** Remembers that this host will never act on the value it last tried to write. */
-  void abandon() {
+  void abandonClaim() {
     abandoned.add(claimValue);
   }
 
@@ -75,30 +75,30 @@
     return abandoned.contains(value);
   }
 
-  void claimingWith(String value) {
+  void startClaim(String value) {
     claimValue = value;
     state = CallState.RUNNING;
   }
 
   /** Has {@code waiter} called when the call has ended. */
-  void whenEnded(Consumer<CallRecord> waiter) {
-    waiters.add(waiter);
+  void addListener(Consumer<CallRecord> waiter) {
+    listeners.add(waiter);
   }
 
-  void answered(int answerStatus, String answerBody) {
+  void complete(int answerStatus, String answerBody) {
     status = answerStatus;
     body = answerBody;
-    end(CallState.ANSWERED);
+    finish(CallState.ANSWERED);
   }
 
-  void end(CallState ended) {
+  void finish(CallState ended) {
     state = ended;
-    List<Consumer<CallRecord>> told = List.copyOf(waiters);
-    waiters.clear();
+    List<Consumer<CallRecord>> told = List.copyOf(listeners);
+    listeners.clear();
     told.forEach(waiter -> waiter.accept(this));
   }
 
-  PeerMessage.OutcomeAnswer toAnswer(long ticket) {
+  PeerMessage.OutcomeAnswer toOutcomeAnswer(long ticket) {
     return new PeerMessage.OutcomeAnswer(ticket, state, status, body);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -8,13 +8,13 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
 import org.gatereel.core.admission.Applicant;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.Measurement;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.event.TargetFailure;
-import org.gatereel.core.generation.Placements;
-import org.gatereel.core.generation.ServiceBudgets;
+import org.gatereel.core.generation.RequestPlacement;
+import org.gatereel.core.generation.RetryBudgets;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.Outcome;
@@ -36,22 +36,22 @@
  * did not run; after the first byte left, silence proves nothing.
  */
 final class CallRunner {
-  private static final int MOST_TRIES = 4;
-  private static final long RETRY_AFTER_MILLIS = 500;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final long RETRY_DELAY_MILLIS = 500;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final TargetRegistry targets;
   private final Admission admission;
-  private final ServiceBudgets budgets;
-  private final Runnable targetFreed;
-  private final Map<Long, Run> running = new HashMap<>();
+  private final RetryBudgets budgets;
+  private final Runnable onTargetFreed;
+  private final Map<Long, CallExecution> pendingByTicket = new HashMap<>();
 
   /** Who wants to know how a call ended. */
   interface Listener {
-    void answered(int status, String body);
+    void onResponse(int status, String body);
 
-    void failed(Problem problem);
+    void onFailure(Problem problem);
   }
 
   CallRunner(
@@ -59,32 +59,32 @@
       PolicyTable table,
       TargetRegistry targets,
       Admission admission,
-      ServiceBudgets budgets,
+      RetryBudgets budgets,
       Runnable targetFreed) {
     this.context = context;
     this.table = table;
     this.targets = targets;
     this.admission = admission;
     this.budgets = budgets;
-    this.targetFreed = targetFreed;
+    this.onTargetFreed = targetFreed;
   }
 
   /** What is to be sent. */
   record Call(AccountId account, ServiceName service, String executionId, String body) {}
 
-  private final class Run implements Applicant {
+  private final class CallExecution implements Applicant {
     private final Call call;
     private final boolean repeatable;
     private final int priority;
     private final Listener listener;
-    private final Set<TargetId> tried = new HashSet<>();
-    private final long askedAt = context.now();
+    private final Set<TargetId> triedTargets = new HashSet<>();
+    private final long requestedAt = context.now();
     private Admission.Permit permit;
     private TargetState target;
-    private boolean mayHaveRun;
-    private int tries;
+    private boolean mayHaveExecuted;
+    private int attempts;
 
-    private Run(Call call, boolean repeatable, int priority, Listener listener) {
+    private CallExecution(Call call, boolean repeatable, int priority, Listener listener) {
       this.call = call;
       this.repeatable = repeatable;
       this.priority = priority;
@@ -117,17 +117,21 @@
     private Optional<TargetState> choose(Row service, boolean overShare) {
       PlacementQuery query =
           new PlacementQuery(call.executionId(), Optional.empty(), overShare, context.now());
-      return targets.choose(call.service(), Placements.policy(service, Arm.FIRST), query, tried);
+      return targets.choose(
+          call.service(),
+          RequestPlacement.placementPolicy(service, PolicyVariant.FIRST),
+          query,
+          triedTargets);
     }
 
     private void send(TargetState chosen, Row service) {
       target = chosen;
-      tries++;
+      attempts++;
       TargetId id = chosen.description().id();
-      tried.add(id);
+      triedTargets.add(id);
       targets.opened(chosen);
       long ticket = context.nextTicket();
-      running.put(ticket, this);
+      pendingByTicket.put(ticket, this);
       context.emit(
           new Action.SendCall(
               ticket,
@@ -136,46 +140,52 @@
               call.body(),
               service.number(Column.CALL_TIMEOUT_MILLIS),
               priority));
-      context.note(EventCode.CALL_SENT, call.executionId(), id.value());
+      context.logEvent(EventCode.CALL_SENT, call.executionId(), id.value());
     }
 
-    private void answered(Event.CallAnswered event) {
+    private void handleResponse(Event.CallAnswered event) {
       targets.answered(target, event.load());
       closeTarget();
-      context.note(EventCode.CALL_ANSWERED, call.executionId(), target.description().id().value());
-      context.measure(Measurement.CALL_MILLIS, call.service(), Arm.FIRST, context.now() - askedAt);
+      context.logEvent(
+          EventCode.CALL_ANSWERED, call.executionId(), target.description().id().value());
+      context.measure(
+          Measurement.CALL_MILLIS,
+          call.service(),
+          PolicyVariant.FIRST,
+          context.now() - requestedAt);
       permit.close();
-      listener.answered(event.status(), event.body());
-      targetFreed.run();
+      listener.onResponse(event.status(), event.body());
+      onTargetFreed.run();
     }
 
-    private void failed(TargetFailure failure) {
-      mayHaveRun |= !failure.provesNotRun();
-      context.note(
+    private void handleFailure(TargetFailure failure) {
+      mayHaveExecuted |= !failure.provesNotRun();
+      context.logEvent(
           EventCode.CALL_FAILED, call.executionId(), target.description().id() + ": " + failure);
       closeTarget();
       targets.failed(target, failure);
       boolean allowed = failure.provesNotRun() || repeatable;
-      boolean again = allowed && tries < MOST_TRIES && budgets.of(call.service()).spend();
+      boolean again =
+          allowed && attempts < MAX_ATTEMPTS && budgets.forService(call.service()).spend();
       if (again && tryStart(false)) {
-        context.note(EventCode.CALL_RETRIED, call.executionId(), "try " + tries);
+        context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "try " + attempts);
       } else {
         giveUp(failure);
       }
-      targetFreed.run();
+      onTargetFreed.run();
     }
 
     private void giveUp(TargetFailure failure) {
       permit.close();
-      Outcome outcome = mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-      ProblemType type = mayHaveRun ? ProblemType.TARGET_FAILED : ProblemType.NO_TARGET;
-      boolean mayComeBack = repeatable || !mayHaveRun;
-      listener.failed(
+      Outcome outcome = mayHaveExecuted ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+      ProblemType type = mayHaveExecuted ? ProblemType.TARGET_FAILED : ProblemType.NO_TARGET;
+      boolean mayComeBack = repeatable || !mayHaveExecuted;
+      listener.onFailure(
           new Problem(
               type,
               outcome,
               target.description().id() + ": " + failure,
-              mayComeBack ? RETRY_AFTER_MILLIS : 0));
+              mayComeBack ? RETRY_DELAY_MILLIS : 0));
     }
 
     private void closeTarget() {
@@ -184,35 +194,36 @@
 
     @Override
     public void refuse(Problem problem) {
-      context.note(
+      context.logEvent(
           EventCode.REQUEST_REFUSED, call.executionId(), problem.type() + " for " + account());
-      listener.failed(problem);
+      listener.onFailure(problem);
     }
   }
 
   /** Sends a call once a target is free for it. */
-  void run(Call call, Row account, Row service, Listener listener) {
+  void execute(Call call, Row account, Row service, Listener listener) {
     boolean repeatable = service.truth(Column.REPEATABLE);
-    budgets.of(call.service()).earn(service.number(Column.RETRY_PERCENT));
-    Run run = new Run(call, repeatable, account.number(Column.PRIORITY), listener);
+    budgets.forService(call.service()).earn(service.number(Column.RETRY_PERCENT));
+    CallExecution run =
+        new CallExecution(call, repeatable, account.number(Column.PRIORITY), listener);
     run.permit = admission.apply(run, account, service);
   }
 
-  void answered(Event.CallAnswered event) {
-    Run run = running.remove(event.ticket());
+  void handleResponse(Event.CallAnswered event) {
+    CallExecution run = pendingByTicket.remove(event.ticket());
     if (run != null) {
-      run.answered(event);
+      run.handleResponse(event);
     }
   }
 
-  void failed(Event.CallFailed event) {
-    Run run = running.remove(event.ticket());
+  void handleFailure(Event.CallFailed event) {
+    CallExecution run = pendingByTicket.remove(event.ticket());
     if (run != null) {
-      run.failed(event.failure());
+      run.handleFailure(event.failure());
     }
   }
 
-  int size() {
-    return running.size();
+  int pendingCount() {
+    return pendingByTicket.size();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
@@ -22,23 +22,23 @@
  * that sees other members than its peers, or gets no answer, may write on its own.
  */
 final class ClaimRouter {
-  private static final int WRITERS_IN_DATA_CENTRE = 2;
-  private static final int MILLIS_A_SECOND = 1_000;
+  private static final int WRITERS_PER_DATA_CENTRE = 2;
+  private static final int MILLIS_PER_SECOND = 1_000;
 
   /** Claims take this share of the store's writing calls; the rest is left to edits and repeats. */
-  private static final double SHARE_OF_WRITES = 0.7;
+  private static final double CLAIM_WRITES_RATIO = 0.7;
 
-  private static final long PEER_MILLIS = 400;
-  private static final String WRITERS = "claim-writers";
+  private static final long PEER_TIMEOUT_MILLIS = 400;
+  private static final String WRITER_RANKING_KEY = "claim-writers";
 
   private final CoreContext context;
   private final Membership members;
   private final PlatformPort platform;
   private final ClaimWriter writer;
-  private final Map<Long, Asked> asked = new HashMap<>();
+  private final Map<Long, DelegatedClaim> delegated = new HashMap<>();
 
   /** A claim that a peer is to write. */
-  private record Asked(
+  private record DelegatedClaim(
       HostId peer, TableWrite write, Consumer<Optional<String>> done, TimerQueue.Timer timer) {}
 
   ClaimRouter(CoreContext context, Membership members, PlatformPort platform) {
@@ -50,36 +50,36 @@
 
   /** Returns how long a writer waits between two transactions, so that all keep within the rate. */
   private int intervalMillis() {
-    int writers = WRITERS_IN_DATA_CENTRE * members.dataCentres();
-    double perSecond = SHARE_OF_WRITES * platform.limits().writesPerSecond();
-    return Math.max(1, (int) Math.ceil(MILLIS_A_SECOND * writers / perSecond));
+    int writers = WRITERS_PER_DATA_CENTRE * members.dataCentres();
+    double perSecond = CLAIM_WRITES_RATIO * platform.limits().writesPerSecond();
+    return Math.max(1, (int) Math.ceil(MILLIS_PER_SECOND * writers / perSecond));
   }
 
   /** Claims a row; {@code done} gets the value in force, or empty if nothing is known. */
   void claim(TableWrite write, Consumer<Optional<String>> done) {
-    HostId home = home(write.key());
+    HostId home = writerFor(write.key());
     if (home.equals(context.self()) || write.expected().isPresent()) {
       writer.claim(write, done);
       return;
     }
     long ticket = context.nextTicket();
-    TimerQueue.Timer timer = context.after(PEER_MILLIS, () -> writeHere(ticket));
-    asked.put(ticket, new Asked(home, write, done, timer));
+    TimerQueue.Timer timer = context.schedule(PEER_TIMEOUT_MILLIS, () -> writeLocally(ticket));
+    delegated.put(ticket, new DelegatedClaim(home, write, done, timer));
     context.emit(
         new Action.SendPeer(home, new PeerMessage.ClaimAsk(ticket, write.key(), write.value())));
   }
 
-  private HostId home(String key) {
+  private HostId writerFor(String key) {
     List<HostId> here = members.answeringIn(context.dataCentre());
     List<HostId> writers =
-        Rendezvous.rank(WRITERS, here, HostId::value).stream()
-            .limit(WRITERS_IN_DATA_CENTRE)
+        Rendezvous.rank(WRITER_RANKING_KEY, here, HostId::value).stream()
+            .limit(WRITERS_PER_DATA_CENTRE)
             .toList();
     return Rendezvous.rank(key, writers, HostId::value).get(0);
   }
 
-  private void writeHere(long ticket) {
-    Asked claim = asked.remove(ticket);
+  private void writeLocally(long ticket) {
+    DelegatedClaim claim = delegated.remove(ticket);
     if (claim != null) {
       claim.timer().cancel();
       writer.claim(claim.write(), claim.done());
@@ -87,16 +87,16 @@
   }
 
   /** Writes the claims on this host that a lost peer was to write. */
-  void peerUnreachable(HostId peer) {
-    for (Map.Entry<Long, Asked> entry : List.copyOf(asked.entrySet())) {
+  void handlePeerUnreachable(HostId peer) {
+    for (Map.Entry<Long, DelegatedClaim> entry : List.copyOf(delegated.entrySet())) {
       if (entry.getValue().peer().equals(peer)) {
-        writeHere(entry.getKey());
+        writeLocally(entry.getKey());
       }
     }
   }
 
   /** Writes a claim for a peer. */
-  void asked(HostId from, PeerMessage.ClaimAsk ask) {
+  void handleClaimAsk(HostId from, PeerMessage.ClaimAsk ask) {
     writer.claim(
         TableWrite.insert(ask.key(), ask.value()),
         present ->
@@ -105,8 +105,8 @@
   }
 
   /** Takes in what a peer says of a claim. */
-  void answered(PeerMessage.ClaimResult result) {
-    Asked claim = asked.remove(result.ticket());
+  void handleClaimResult(PeerMessage.ClaimResult result) {
+    DelegatedClaim claim = delegated.remove(result.ticket());
     if (claim != null) {
       claim.timer().cancel();
       claim.done().accept(result.present());
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
@@ -23,27 +23,27 @@
  */
 final class ClaimWriter {
   static final String KEY_PREFIX = "claim/";
-  private static final long DEADLINE_MILLIS = 1_500;
-  private static final long DOWN_MILLIS = 500;
-  private static final long AGAIN_MILLIS = 60;
-  private static final double BURST = 4;
+  private static final long CLAIM_TIMEOUT_MILLIS = 1_500;
+  private static final long PROBE_INTERVAL_MILLIS = 500;
+  private static final long RETRY_DELAY_MILLIS = 60;
+  private static final double MAX_BURST_TRANSACTIONS = 4;
 
   private final CoreContext context;
   private final PlatformPort platform;
   private final IntSupplier intervalMillis;
-  private final Map<String, Claim> waiting = new LinkedHashMap<>();
-  private boolean busy;
-  private boolean flushPlanned;
-  private double allowance = BURST;
+  private final Map<String, Claim> pendingByKey = new LinkedHashMap<>();
+  private boolean requestPending;
+  private boolean flushScheduled;
+  private double allowance = MAX_BURST_TRANSACTIONS;
   private long refilledAt;
-  private long downUntil;
-  private boolean down;
+  private long nextProbeAt;
+  private boolean unreachable;
 
   private static final class Claim {
     private final TableWrite write;
     private final long deadline;
     private final Consumer<Optional<String>> done;
-    private final List<Claim> others = new ArrayList<>();
+    private final List<Claim> duplicates = new ArrayList<>();
 
     private Claim(TableWrite write, long deadline, Consumer<Optional<String>> done) {
       this.write = write;
@@ -51,9 +51,9 @@
       this.done = done;
     }
 
-    private void end(Optional<String> present) {
+    private void complete(Optional<String> present) {
       done.accept(present);
-      others.forEach(other -> other.done.accept(present));
+      duplicates.forEach(other -> other.done.accept(present));
     }
   }
 
@@ -70,84 +70,84 @@
    * claim up must never act on it.
    */
   void claim(TableWrite write, Consumer<Optional<String>> done) {
-    if (down && context.now() < downUntil) {
+    if (unreachable && context.now() < nextProbeAt) {
       done.accept(Optional.empty());
       return;
     }
-    Claim claim = new Claim(write, context.now() + DEADLINE_MILLIS, done);
-    Claim first = waiting.putIfAbsent(write.key(), claim);
+    Claim claim = new Claim(write, context.now() + CLAIM_TIMEOUT_MILLIS, done);
+    Claim first = pendingByKey.putIfAbsent(write.key(), claim);
     if (first != null) {
-      first.others.add(claim);
+      first.duplicates.add(claim);
     }
-    planFlush();
+    scheduleFlush();
   }
 
-  private void planFlush() {
-    if (busy || flushPlanned || waiting.isEmpty()) {
+  private void scheduleFlush() {
+    if (requestPending || flushScheduled || pendingByKey.isEmpty()) {
       return;
     }
-    flushPlanned = true;
-    refill();
+    flushScheduled = true;
+    refillAllowance();
     double missing = Math.max(0, 1 - allowance);
     long wait = (long) Math.ceil(missing * intervalMillis.getAsInt());
-    context.after(wait, this::flush);
+    context.schedule(wait, this::flush);
   }
 
   /** Saves up transactions of quiet times, so that a lone claim need not wait for its turn. */
-  private void refill() {
+  private void refillAllowance() {
     double earned = (double) (context.now() - refilledAt) / intervalMillis.getAsInt();
-    allowance = Math.min(BURST, allowance + earned);
+    allowance = Math.min(MAX_BURST_TRANSACTIONS, allowance + earned);
     refilledAt = context.now();
   }
 
   private void flush() {
-    flushPlanned = false;
-    refill();
+    flushScheduled = false;
+    refillAllowance();
     allowance -= 1;
     List<Claim> group = new ArrayList<>();
-    for (Claim claim : List.copyOf(waiting.values())) {
+    for (Claim claim : List.copyOf(pendingByKey.values())) {
       if (group.size() < platform.limits().rowsPerTransaction()) {
         group.add(claim);
-        waiting.remove(claim.write.key());
+        pendingByKey.remove(claim.write.key());
       }
     }
     send(group);
   }
 
   private void send(List<Claim> group) {
-    busy = true;
+    requestPending = true;
     List<TableWrite> writes = group.stream().map(claim -> claim.write).toList();
-    platform.transact(writes, result -> ended(group, result));
+    platform.transact(writes, result -> handleTransactionResult(group, result));
   }
 
-  private void ended(List<Claim> group, TransactionResult result) {
-    busy = false;
+  private void handleTransactionResult(List<Claim> group, TransactionResult result) {
+    requestPending = false;
     if (result instanceof TransactionResult.Committed) {
-      reached();
-      context.note(EventCode.CLAIMS_WRITTEN, context.self().value(), group.size() + " claims");
-      group.forEach(claim -> claim.end(Optional.of(claim.write.value())));
+      markReachable();
+      context.logEvent(EventCode.CLAIMS_WRITTEN, context.self().value(), group.size() + " claims");
+      group.forEach(claim -> claim.complete(Optional.of(claim.write.value())));
     } else if (result instanceof TransactionResult.Conflict conflict) {
-      reached();
-      settle(group, conflict);
+      markReachable();
+      handleConflict(group, conflict);
     } else if (result instanceof TransactionResult.Unknown) {
       readBack(group);
     } else {
-      lost();
-      sendAgainLater(group);
+      markUnreachable();
+      retryLater(group);
     }
-    planFlush();
+    scheduleFlush();
   }
 
-  private void settle(List<Claim> group, TransactionResult.Conflict conflict) {
+  private void handleConflict(List<Claim> group, TransactionResult.Conflict conflict) {
     List<Claim> free = new ArrayList<>();
     for (Claim claim : group) {
       String key = claim.write.key();
       if (!conflict.keys().contains(key)) {
         free.add(claim);
       } else if (conflict.present().containsKey(key)) {
-        claim.end(Optional.of(conflict.present().get(key)));
+        claim.complete(Optional.of(conflict.present().get(key)));
       } else {
-        claim.end(Optional.empty());
+        claim.complete(Optional.empty());
       }
     }
     if (!free.isEmpty()) {
@@ -156,15 +156,15 @@
   }
 
   private void readBack(List<Claim> group) {
-    busy = true;
+    requestPending = true;
     List<String> keys = group.stream().map(claim -> claim.write.key()).toList();
-    platform.read(keys, result -> readBackEnded(group, result));
+    platform.read(keys, result -> handleReadBack(group, result));
   }
 
-  private void readBackEnded(List<Claim> group, ReadResult result) {
-    busy = false;
+  private void handleReadBack(List<Claim> group, ReadResult result) {
+    requestPending = false;
     if (result instanceof ReadResult.Rows rows) {
-      reached();
+      markReachable();
       List<Claim> open = new ArrayList<>();
       for (Claim claim : group) {
         String present = rows.rows().get(claim.write.key());
@@ -172,47 +172,47 @@
         if (unchanged) {
           open.add(claim);
         } else {
-          claim.end(Optional.ofNullable(present));
+          claim.complete(Optional.ofNullable(present));
         }
       }
-      sendAgainLater(open);
+      retryLater(open);
     } else {
-      lost();
-      sendAgainLater(group);
+      markUnreachable();
+      retryLater(group);
     }
-    planFlush();
+    scheduleFlush();
   }
 
-  private void sendAgainLater(List<Claim> group) {
+  private void retryLater(List<Claim> group) {
     for (Claim claim : group) {
-      if (context.now() + AGAIN_MILLIS >= claim.deadline || down) {
-        claim.end(Optional.empty());
+      if (context.now() + RETRY_DELAY_MILLIS >= claim.deadline || unreachable) {
+        claim.complete(Optional.empty());
       } else {
-        context.after(AGAIN_MILLIS, () -> putBack(claim));
+        context.schedule(RETRY_DELAY_MILLIS, () -> requeue(claim));
       }
     }
   }
 
-  private void putBack(Claim claim) {
-    Claim present = waiting.putIfAbsent(claim.write.key(), claim);
+  private void requeue(Claim claim) {
+    Claim present = pendingByKey.putIfAbsent(claim.write.key(), claim);
     if (present != null) {
-      present.others.add(claim);
+      present.duplicates.add(claim);
     }
-    planFlush();
+    scheduleFlush();
   }
 
-  private void reached() {
-    if (down) {
-      down = false;
-      context.note(EventCode.PLATFORM_REACHED, "table", "");
+  private void markReachable() {
+    if (unreachable) {
+      unreachable = false;
+      context.logEvent(EventCode.PLATFORM_REACHED, "table", "");
     }
   }
 
-  private void lost() {
-    if (!down) {
-      context.note(EventCode.PLATFORM_LOST, "table", "claims are refused until it answers");
+  private void markUnreachable() {
+    if (!unreachable) {
+      context.logEvent(EventCode.PLATFORM_LOST, "table", "claims are refused until it answers");
     }
-    down = true;
-    downUntil = context.now() + DOWN_MILLIS;
+    unreachable = true;
+    nextProbeAt = context.now() + PROBE_INTERVAL_MILLIS;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -121,7 +121,7 @@
         }
       } else if (result instanceof TransactionResult.Unknown) {
         mayHaveCommitted = true;
-        context.note(EventCode.EDIT_UNKNOWN, request.editId(), "");
+        context.logEvent(EventCode.EDIT_UNKNOWN, request.editId(), "");
         later(AGAIN_MILLIS, this::readBack);
       } else {
         later(AGAIN_MILLIS, this::attempt);
@@ -180,7 +180,7 @@
 
     private void later(long delayMillis, Runnable step) {
       if (context.now() + delayMillis <= deadline) {
-        context.after(delayMillis, step);
+        context.schedule(delayMillis, step);
       } else if (mayHaveCommitted) {
         String detail = "send the same edit id again: " + request.editId();
         refuse(
@@ -193,7 +193,7 @@
     }
 
     private void lostRace() {
-      context.note(EventCode.EDIT_REFUSED, request.editId(), "lost race on " + change().key());
+      context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "lost race on " + change().key());
       if (waiting.remove(request.caller())) {
         Optional<TableEdit> present = table.latestEdit(change().key());
         if (present.isPresent()) {
@@ -207,7 +207,7 @@
     }
 
     private void refuse(Problem problem) {
-      context.note(
+      context.logEvent(
           EventCode.EDIT_REFUSED, request.editId(), problem.type() + ": " + problem.detail());
       if (waiting.remove(request.caller())) {
         context.emit(new Action.Refuse(request.caller(), problem));
@@ -215,7 +215,7 @@
     }
 
     private void confirm(TableEdit edit) {
-      context.note(
+      context.logEvent(
           EventCode.EDIT_ACCEPTED, request.editId(), edit.row().key() + " at " + edit.revision());
       if (waiting.remove(request.caller())) {
         context.emit(new Action.ConfirmEdit(request.caller(), edit));
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionKeeper.java
@@ -57,7 +57,7 @@
         Math.max(
             SHORTEST_POLL_MILLIS, (long) hosts * MILLIS_A_SECOND / READS_A_SECOND_IN_DATA_CENTRE);
     long jitter = context.random().nextLong(interval / 2);
-    context.after(interval * 3 / 4 + jitter, this::poll);
+    context.schedule(interval * 3 / 4 + jitter, this::poll);
   }
 
   /** Reads what the platform has and calls {@code done} when that is in force, or was in vain. */
@@ -113,7 +113,7 @@
     for (TableEdit edit : edits) {
       if (table.apply(edit)) {
         applied.add(edit);
-        context.note(
+        context.logEvent(
             EventCode.REVISION_IN_FORCE,
             Long.toString(edit.revision()),
             edit.row().key() + " by " + edit.operator());
@@ -127,7 +127,7 @@
   private void takeWhole(List<TableEdit> latestEdits) {
     long revision = latestEdits.stream().mapToLong(TableEdit::revision).max().orElse(0);
     if (table.replace(revision, latestEdits)) {
-      context.note(EventCode.REVISION_IN_FORCE, Long.toString(revision), "whole table");
+      context.logEvent(EventCode.REVISION_IN_FORCE, Long.toString(revision), "whole table");
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Arm.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/PolicyVariant.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.event;
 
 /** Which of a service's two policies a request is served under. */
-public enum Arm {
+public enum PolicyVariant {
   FIRST,
   SECOND
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationKeeper.java
@@ -58,13 +58,13 @@
 
   /** Returns how long ago the configuration was proved to be in force, in milliseconds. */
   public long ageMillis() {
-    return context.knowledgeTime() - provenAt;
+    return context.nowIncludingSuspensions() - provenAt;
   }
 
   /** Takes in what the platform answered to a question sent at {@code askedAt}. */
   public void learn(Configuration configuration, long askedAt) {
     if (configuration.version() < version()) {
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_IGNORED,
           Long.toString(configuration.version()),
           "known=" + version());
@@ -72,10 +72,10 @@
     }
     if (configuration.version() > version()) {
       current = Optional.of(configuration);
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_IN_FORCE,
           Long.toString(configuration.version()),
-          "ageMillis=" + (context.knowledgeTime() - askedAt));
+          "ageMillis=" + (context.nowIncludingSuspensions() - askedAt));
     }
     confirm(configuration.version(), askedAt);
   }
@@ -88,7 +88,7 @@
     provenAt = Math.max(provenAt, askedAt);
     if (freshnessReported && takesKeys()) {
       freshnessReported = false;
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_PROVED, Long.toString(version), "ageMillis=" + ageMillis());
     }
   }
@@ -141,7 +141,7 @@
   private void reportStale() {
     if (!freshnessReported) {
       freshnessReported = true;
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_STALE, Long.toString(version()), "ageMillis=" + ageMillis());
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -111,7 +111,7 @@
     private void passReaderOver() {
       Address lost = reader.orElseThrow();
       directory.avoid(lost, context.now() + AVOID_MILLIS);
-      context.note(
+      context.logEvent(
           EventCode.READER_LOST, lost.toString(), readerAnswered ? "it is behind" : "no answer");
     }
 
@@ -192,7 +192,7 @@
         reply.settled(Optional.of(problem));
         return;
       }
-      long secondAskedAt = context.knowledgeTime();
+      long secondAskedAt = context.nowIncludingSuspensions();
       sources.askPeer(
           other.get(),
           cache,
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/EndCheck.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/EndCheck.java
@@ -99,7 +99,7 @@
       return;
     }
     long wait = Math.max(0, nextAt - forwarder.context().now());
-    forwarder.context().after(wait, () -> probe(from, number + 1));
+    forwarder.context().schedule(wait, () -> probe(from, number + 1));
   }
 
   private void decide(Attempt from, EndVerdict verdict) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -22,7 +22,7 @@
   /** Logs a decision; {@code inputs} are pairs of the form name=value, or empty. */
   void note(EventCode code, String inputs) {
     String separator = inputs.isEmpty() ? "" : " ";
-    forwarder.context().note(code, request.id(), inputs + separator + exchange.progress());
+    forwarder.context().logEvent(code, request.id(), inputs + separator + exchange.progress());
   }
 
   static String progress(int tries, OptionalLong lastEvent, long millis, long leftMillis) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -127,7 +127,7 @@
   /** Refuses a request that this host has not taken up. */
   private void refuse(ForwardRequest request, CallerPort caller, Refusal refusal) {
     caller.refuse(refusal, policy.retryAfterMillis());
-    context.note(
+    context.logEvent(
         EventCode.REQUEST_REFUSED,
         request.id(),
         "reason="
@@ -186,7 +186,7 @@
 
   /** Moves every stream that was silent since the probe began. */
   private void lost(TargetState target, long askedAt) {
-    context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
+    context.logEvent(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.failed(target, TargetFailure.TIMEOUT);
     loads.changed();
     for (Exchange exchange : List.copyOf(open)) {
@@ -218,7 +218,7 @@
 
   private int lendRepeats(ServiceName service, int count) {
     int lent = budgets.lend(service, count);
-    context.note(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + lent);
+    context.logEvent(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + lent);
     return lent;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -131,7 +131,7 @@
   private void noteChange(int before, List<Entry> ranked) {
     String first = firstOf(ranked);
     if (counted.size() != before || !first.equals(firstOf(readers))) {
-      context.note(EventCode.HOSTS_KNOWN, self, "hosts=" + counted.size() + " reader=" + first);
+      context.logEvent(EventCode.HOSTS_KNOWN, self, "hosts=" + counted.size() + " reader=" + first);
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -157,7 +157,7 @@
     OptionalLong usable = search.millisToEndOfRest(retries.isResumableStream());
     OptionalLong first = search.millisToEndOfRest(true);
     if (usable.isPresent() && forwarder.context().now() + usable.getAsLong() <= waitUntil) {
-      forwarder.context().after(usable.getAsLong(), this::chooseIfOpen);
+      forwarder.context().schedule(usable.getAsLong(), this::chooseIfOpen);
     } else if (first.isPresent()) {
       long again = forwarder.overload().returnMillisAfter(first.getAsLong());
       refuse(again, "restMillis=" + first.getAsLong());
@@ -175,7 +175,7 @@
     long left = waitUntil - forwarder.context().now();
     long wait =
         Math.min(left, Math.min(RETRY_MILLIS, Math.max(1, patienceMillis() / LEAST_RETRIES)));
-    forwarder.context().after(wait, this::chooseIfOpen);
+    forwarder.context().schedule(wait, this::chooseIfOpen);
   }
 
   /** No target takes the request for now. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -73,9 +73,9 @@
     long askedAt = context.now();
     asked++;
     long number = asked;
-    context.after(
+    context.schedule(
         LONGEST_QUESTION_MILLIS, () -> settle(number, askedAt, Optional.of("never settled")));
-    question.ask(context.knowledgeTime(), problem -> settle(number, askedAt, problem));
+    question.ask(context.nowIncludingSuspensions(), problem -> settle(number, askedAt, problem));
   }
 
   private void settle(long number, long askedAt, Optional<String> problem) {
@@ -90,17 +90,17 @@
     retryMillis = FIRST_RETRY_MILLIS;
     if (lost) {
       lost = false;
-      context.note(EventCode.PLATFORM_REACHED, dependency, "");
+      context.logEvent(EventCode.PLATFORM_REACHED, dependency, "");
     }
-    context.after(Math.max(0, askedAt + intervalMillis.getAsLong() - context.now()), this::ask);
+    context.schedule(Math.max(0, askedAt + intervalMillis.getAsLong() - context.now()), this::ask);
   }
 
   private void failed(String problem) {
     if (!lost) {
       lost = true;
-      context.note(EventCode.PLATFORM_LOST, dependency, problem);
+      context.logEvent(EventCode.PLATFORM_LOST, dependency, problem);
     }
-    context.after(retryMillis, this::ask);
+    context.schedule(retryMillis, this::ask);
     retryMillis = Math.min(intervalMillis.getAsLong(), retryMillis * 2);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/SilenceWatch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/SilenceWatch.java
@@ -43,7 +43,7 @@
   }
 
   private void schedule(Attempt attempt, long millis) {
-    timer = forwarder.context().after(millis, () -> check(attempt));
+    timer = forwarder.context().schedule(millis, () -> check(attempt));
   }
 
   private void check(Attempt attempt) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StatementIntake.java
@@ -88,7 +88,7 @@
   private void noteContradiction(TargetId target) {
     if (context.now() - contradictionLoggedAt >= LOG_MILLIS) {
       contradictionLoggedAt = context.now();
-      context.note(EventCode.LEAVING_CONTRADICTED, target.toString(), "");
+      context.logEvent(EventCode.LEAVING_CONTRADICTED, target.toString(), "");
     }
   }
 
@@ -96,7 +96,7 @@
     boolean loggedLately = context.now() - unreadableLoggedAt < LOG_MILLIS;
     if (said.unreadable().isPresent() && !loggedLately) {
       unreadableLoggedAt = context.now();
-      context.note(
+      context.logEvent(
           EventCode.STATEMENT_UNREADABLE,
           target.toString(),
           "kind=" + kind + " text=" + said.unreadable().get());
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -103,7 +103,7 @@
   }
 
   private void noteMisplaced(Attempt from, StreamEvent event) {
-    context.note(
+    context.logEvent(
         EventCode.EVENT_MISPLACED,
         request.id(),
         "target="
@@ -146,7 +146,7 @@
     if (route.gapMillis() <= 0 || pause <= route.gapMillis()) {
       return;
     }
-    context.note(
+    context.logEvent(
         EventCode.STREAM_PAUSED,
         request.id(),
         "pauseMillis="
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetEnds.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetEnds.java
@@ -53,7 +53,7 @@
     private void probed(int number, long nextAt, ProbeResult result) {
       boolean unknown = result == ProbeResult.UNKNOWN || result == ProbeResult.ANSWERED;
       if (unknown && number < MOST_PROBES) {
-        context.after(Math.max(0, nextAt - context.now()), () -> ask(number + 1));
+        context.schedule(Math.max(0, nextAt - context.now()), () -> ask(number + 1));
       } else {
         open.remove(id());
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Turn.java
@@ -38,7 +38,7 @@
 
   private void follow(Verdict verdict) {
     if (verdict instanceof Verdict.Wait wait) {
-      timer = forwarder.context().after(wait.retryMillis(), this::askAgain);
+      timer = forwarder.context().schedule(wait.retryMillis(), this::askAgain);
       return;
     }
     end();
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
@@ -7,14 +7,14 @@
   private final int number;
   private final TargetState target;
   private final long startedAt;
-  private long lastSign;
-  private boolean brought;
+  private long lastActivityAt;
+  private boolean tokenReceived;
 
   Attempt(int number, TargetState target, long startedAt) {
     this.number = number;
     this.target = target;
     this.startedAt = startedAt;
-    this.lastSign = startedAt;
+    this.lastActivityAt = startedAt;
   }
 
   int number() {
@@ -29,29 +29,29 @@
     return startedAt;
   }
 
-  long lastSign() {
-    return lastSign;
+  long lastActivityAt() {
+    return lastActivityAt;
   }
 
-  boolean hasBroughtToken() {
-    return brought;
+  boolean hasReceivedToken() {
+    return tokenReceived;
   }
 
   /** Notes a token; returns the gap since the one before, or -1 for the first. */
-  long tokenAt(long now) {
-    long gap = brought ? now - lastSign : -1;
-    lastSign = now;
-    brought = true;
+  long recordToken(long now) {
+    long gap = tokenReceived ? now - lastActivityAt : -1;
+    lastActivityAt = now;
+    tokenReceived = true;
     return gap;
   }
 
   /** Takes the silence up to now as not proved, because this host itself was paused. */
-  void forgiveSilence(long now) {
-    lastSign = now;
+  void resetSilence(long now) {
+    lastActivityAt = now;
   }
 
   /** Returns how long the target may be silent at this stage. */
-  long patience(SuspicionPolicy policy) {
-    return brought ? policy.silenceMillis(target.gaps()) : policy.firstTokenMillis();
+  long silenceLimitMillis(SuspicionPolicy policy) {
+    return tokenReceived ? policy.silenceMillis(target.gaps()) : policy.firstTokenMillis();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -25,23 +25,23 @@
  * those that are silent.
  */
 final class AttemptRunner {
-  private static final long RETRY_MILLIS = 25;
-  private static final long GIVE_UP_MILLIS = 20_000;
-  private static final int MOST_LIVE_ATTEMPTS = 2;
+  private static final long RETRY_INTERVAL_MILLIS = 25;
+  private static final long NO_TARGET_TIMEOUT_MILLIS = 20_000;
+  private static final int MAX_LIVE_ATTEMPTS = 2;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final TargetRegistry targets;
-  private final ServiceBudgets budgets;
-  private final Consumer<Generation> progress;
-  private final Consumer<Generation> interrupted;
-  private final Runnable targetFreed;
+  private final RetryBudgets budgets;
+  private final Consumer<Generation> onProgress;
+  private final Consumer<Generation> onInterrupted;
+  private final Runnable onTargetFreed;
 
   AttemptRunner(
       CoreContext context,
       PolicyTable table,
       TargetRegistry targets,
-      ServiceBudgets budgets,
+      RetryBudgets budgets,
       Consumer<Generation> progress,
       Consumer<Generation> interrupted,
       Runnable targetFreed) {
@@ -49,24 +49,24 @@
     this.table = table;
     this.targets = targets;
     this.budgets = budgets;
-    this.progress = progress;
-    this.interrupted = interrupted;
-    this.targetFreed = targetFreed;
+    this.onProgress = progress;
+    this.onInterrupted = interrupted;
+    this.onTargetFreed = targetFreed;
   }
 
   /** Starts the next attempt at a target that was already chosen. */
   void startAt(Generation generation, TargetState target) {
     Attempt attempt = new Attempt(generation.nextAttempt(), target, context.now());
     generation.attempts.put(attempt.number(), attempt);
-    generation.workedAt(target.description().id());
-    generation.interruptedAt = 0;
+    generation.setLastTarget(target.description().id());
+    generation.noTargetSince = 0;
     targets.opened(target);
     context.emit(
         new Action.StartAttempt(
             generation.spec, attempt.number(), target.description(), generation.tokensFrom(0)));
     String detail = "attempt " + attempt.number() + " at " + target.description().id();
-    note(EventCode.ATTEMPT_STARTED, generation, detail + " from " + generation.length());
-    watch(generation, attempt);
+    logEvent(EventCode.ATTEMPT_STARTED, generation, detail + " from " + generation.length());
+    scheduleSilenceCheck(generation, attempt);
   }
 
   /** Goes on with a generation at whatever target can be had, even at a full one. */
@@ -76,7 +76,7 @@
       context.measure(
           Measurement.RESENT_TOKENS,
           generation.spec.service(),
-          generation.arm,
+          generation.variant,
           generation.length());
       startAt(generation, target.get());
     } else {
@@ -88,14 +88,17 @@
       Generation generation, Optional<TargetId> preferred, Set<TargetId> without) {
     PlacementQuery query =
         new PlacementQuery(
-            Placements.affinityKey(generation.spec.prompt()), preferred, false, context.now());
+            RequestPlacement.affinityKey(generation.spec.prompt()),
+            preferred,
+            false,
+            context.now());
     Optional<Row> service = table.service(generation.spec.service());
     Optional<TargetState> free =
         service.flatMap(
             row ->
                 targets.choose(
                     generation.spec.service(),
-                    Placements.policy(row, generation.arm),
+                    RequestPlacement.placementPolicy(row, generation.variant),
                     query,
                     without));
     return free.or(() -> leastLoaded(generation, without));
@@ -110,16 +113,16 @@
   }
 
   private void retryLater(Generation generation) {
-    if (generation.interruptedAt == 0) {
-      generation.interruptedAt = context.now();
+    if (generation.noTargetSince == 0) {
+      generation.noTargetSince = context.now();
     }
-    if (context.now() - generation.interruptedAt > GIVE_UP_MILLIS) {
-      interrupted.accept(generation);
+    if (context.now() - generation.noTargetSince > NO_TARGET_TIMEOUT_MILLIS) {
+      onInterrupted.accept(generation);
       return;
     }
-    generation.retry =
-        context.after(
-            RETRY_MILLIS,
+    generation.retryTimer =
+        context.schedule(
+            RETRY_INTERVAL_MILLIS,
             () -> {
               if (generation.attempts.isEmpty()) {
                 resume(generation, Optional.empty(), Set.of());
@@ -128,7 +131,7 @@
   }
 
   /** Takes in a token; only the next one of a live attempt counts. */
-  void token(Generation generation, Event.TokenArrived event) {
+  void handleToken(Generation generation, Event.TokenArrived event) {
     Attempt attempt = generation.attempts.get(event.attempt());
     if (attempt == null) {
       return;
@@ -138,24 +141,24 @@
       return;
     }
     if (event.offset() > generation.length()) {
-      failed(generation, attempt, TargetFailure.ERROR);
+      handleFailed(generation, attempt, TargetFailure.ERROR);
       return;
     }
-    noteGap(generation, attempt);
-    win(generation, attempt);
+    recordTokenGap(generation, attempt);
+    cancelOthers(generation, attempt);
     generation.append(event.token());
-    progress.accept(generation);
+    onProgress.accept(generation);
   }
 
-  private void noteGap(Generation generation, Attempt attempt) {
-    long gap = attempt.tokenAt(context.now());
+  private void recordTokenGap(Generation generation, Attempt attempt) {
+    long gap = attempt.recordToken(context.now());
     if (gap >= 0) {
       attempt.target().gaps().add(gap);
       measure(generation, Measurement.TOKEN_GAP_MILLIS, gap);
       return;
     }
     String detail = "attempt " + attempt.number() + " at offset " + generation.length();
-    note(EventCode.FIRST_TOKEN, generation, detail);
+    logEvent(EventCode.FIRST_TOKEN, generation, detail);
     if (generation.resumingSince > 0) {
       measure(generation, Measurement.RESUME_MILLIS, context.now() - generation.resumingSince);
     } else if (generation.length() == 0) {
@@ -165,13 +168,13 @@
   }
 
   /** Ends all other attempts, because this one brought the next token or the end. */
-  private void win(Generation generation, Attempt winner) {
+  private void cancelOthers(Generation generation, Attempt winner) {
     if (generation.attempts.size() == 1) {
       return;
     }
-    note(EventCode.ATTEMPT_WON, generation, "attempt " + winner.number());
+    logEvent(EventCode.ATTEMPT_WON, generation, "attempt " + winner.number());
     generation.resumingSince = 0;
-    generation.workedAt(winner.target().description().id());
+    generation.setLastTarget(winner.target().description().id());
     for (Attempt attempt : List.copyOf(generation.attempts.values())) {
       if (attempt != winner) {
         cancel(generation, attempt);
@@ -180,32 +183,32 @@
   }
 
   /** Takes in the end of an attempt that finished. */
-  void finished(Generation generation, Event.AttemptFinished event) {
+  void handleFinished(Generation generation, Event.AttemptFinished event) {
     Attempt attempt = generation.attempts.get(event.attempt());
     if (attempt == null) {
       return;
     }
     if (event.length() != generation.length()) {
-      failed(generation, attempt, TargetFailure.ERROR);
+      handleFailed(generation, attempt, TargetFailure.ERROR);
       return;
     }
-    win(generation, attempt);
-    close(generation, attempt);
+    cancelOthers(generation, attempt);
+    removeAttempt(generation, attempt);
     generation.finish();
-    note(EventCode.GENERATION_FINISHED, generation, generation.length() + " tokens");
-    progress.accept(generation);
+    logEvent(EventCode.GENERATION_FINISHED, generation, generation.length() + " tokens");
+    onProgress.accept(generation);
   }
 
   /** Takes in the failure of an attempt and starts another if none is left. */
-  void failed(Generation generation, int number, TargetFailure failure) {
+  void handleFailed(Generation generation, int number, TargetFailure failure) {
     Attempt attempt = generation.attempts.get(number);
     if (attempt != null) {
-      failed(generation, attempt, failure);
+      handleFailed(generation, attempt, failure);
     }
   }
 
-  private void failed(Generation generation, Attempt attempt, TargetFailure failure) {
-    note(
+  private void handleFailed(Generation generation, Attempt attempt, TargetFailure failure) {
+    logEvent(
         EventCode.ATTEMPT_FAILED,
         generation,
         "attempt " + attempt.number() + ": " + failure + " after " + generation.length());
@@ -220,45 +223,51 @@
     resume(generation, Optional.empty(), Set.of(attempt.target().description().id()));
   }
 
-  private void watch(Generation generation, Attempt attempt) {
-    long patience = attempt.patience(suspicion(generation));
-    context.timers().add(attempt.lastSign() + patience, () -> judge(generation, attempt));
+  private void scheduleSilenceCheck(Generation generation, Attempt attempt) {
+    long patience = attempt.silenceLimitMillis(suspicionPolicy(generation));
+    context
+        .timers()
+        .add(attempt.lastActivityAt() + patience, () -> checkSilence(generation, attempt));
   }
 
-  private void judge(Generation generation, Attempt attempt) {
+  private void checkSilence(Generation generation, Attempt attempt) {
     if (generation.attempts.get(attempt.number()) != attempt) {
       return;
     }
     if (context.isPauseRecent()) {
-      attempt.forgiveSilence(context.now());
+      attempt.resetSilence(context.now());
     }
-    boolean silent = context.now() - attempt.lastSign() >= attempt.patience(suspicion(generation));
+    boolean silent =
+        context.now() - attempt.lastActivityAt()
+            >= attempt.silenceLimitMillis(suspicionPolicy(generation));
     if (silent) {
-      suspect(generation, attempt);
+      startSecondAttempt(generation, attempt);
     } else {
-      watch(generation, attempt);
+      scheduleSilenceCheck(generation, attempt);
     }
   }
 
-  private void suspect(Generation generation, Attempt attempt) {
+  private void startSecondAttempt(Generation generation, Attempt attempt) {
     Set<TargetId> without = new HashSet<>();
     generation.attempts.values().forEach(live -> without.add(live.target().description().id()));
-    RetryBudget budget = budgets.of(generation.spec.service());
+    RetryBudget budget = budgets.forService(generation.spec.service());
     Optional<TargetState> other = chooseForResume(generation, Optional.empty(), without);
-    boolean possible = generation.attempts.size() < MOST_LIVE_ATTEMPTS && other.isPresent();
+    boolean possible = generation.attempts.size() < MAX_LIVE_ATTEMPTS && other.isPresent();
     if (possible && budget.spend()) {
-      long silence = context.now() - attempt.lastSign();
+      long silence = context.now() - attempt.lastActivityAt();
       String detail = attempt.target().description().id() + " silent for " + silence + " ms";
-      note(EventCode.ATTEMPT_SUSPECTED, generation, detail);
-      generation.resumingSince = attempt.lastSign();
+      logEvent(EventCode.ATTEMPT_SUSPECTED, generation, detail);
+      generation.resumingSince = attempt.lastActivityAt();
       measure(generation, Measurement.SECOND_ATTEMPTS, 1);
       measure(generation, Measurement.RESENT_TOKENS, generation.length());
       startAt(generation, other.get());
     }
-    context.after(attempt.patience(suspicion(generation)), () -> judge(generation, attempt));
+    context.schedule(
+        attempt.silenceLimitMillis(suspicionPolicy(generation)),
+        () -> checkSilence(generation, attempt));
   }
 
-  private SuspicionPolicy suspicion(Generation generation) {
+  private SuspicionPolicy suspicionPolicy(Generation generation) {
     return table
         .service(generation.spec.service())
         .map(row -> row.choice(Column.SUSPICION, SuspicionPolicy.class))
@@ -266,12 +275,12 @@
   }
 
   /** Moves a generation off a leaving target, if there is another one. */
-  void moveOff(Generation generation, TargetState leaving) {
+  void moveAwayFrom(Generation generation, TargetState leaving) {
     for (Attempt attempt : List.copyOf(generation.attempts.values())) {
       TargetId id = leaving.description().id();
       boolean here = attempt.target() == leaving;
       if (here && chooseForResume(generation, Optional.empty(), Set.of(id)).isPresent()) {
-        note(EventCode.ATTEMPT_MOVED, generation, "off " + id + " at " + generation.length());
+        logEvent(EventCode.ATTEMPT_MOVED, generation, "off " + id + " at " + generation.length());
         cancel(generation, attempt);
         if (generation.attempts.isEmpty()) {
           generation.resumingSince = context.now();
@@ -284,27 +293,27 @@
   /** Ends all attempts of a generation. */
   void cancelAll(Generation generation) {
     List.copyOf(generation.attempts.values()).forEach(attempt -> cancel(generation, attempt));
-    if (generation.retry != null) {
-      generation.retry.cancel();
+    if (generation.retryTimer != null) {
+      generation.retryTimer.cancel();
     }
   }
 
   private void cancel(Generation generation, Attempt attempt) {
-    close(generation, attempt);
+    removeAttempt(generation, attempt);
     context.emit(new Action.CancelAttempt(generation.spec.request(), attempt.number()));
   }
 
-  private void close(Generation generation, Attempt attempt) {
+  private void removeAttempt(Generation generation, Attempt attempt) {
     generation.attempts.remove(attempt.number());
     targets.closed(attempt.target());
-    targetFreed.run();
+    onTargetFreed.run();
   }
 
   private void measure(Generation generation, Measurement measurement, long value) {
-    context.measure(measurement, generation.spec.service(), generation.arm, value);
+    context.measure(measurement, generation.spec.service(), generation.variant, value);
   }
 
-  private void note(EventCode code, Generation generation, String detail) {
-    context.note(code, generation.spec.request().value(), detail);
+  private void logEvent(EventCode code, Generation generation, String detail) {
+    context.logEvent(code, generation.spec.request().value(), detail);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopyPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopyPolicy.java
@@ -21,7 +21,7 @@
     @Override
     Optional<HostDescription> choose(
         List<HostDescription> reachable, DataCentre here, RandomGenerator random) {
-      return preferably(reachable, random, peer -> peer.dataCentre().equals(here));
+      return choosePreferred(reachable, random, peer -> peer.dataCentre().equals(here));
     }
   },
   /** A peer in another data centre, or any if there is none. */
@@ -29,14 +29,14 @@
     @Override
     Optional<HostDescription> choose(
         List<HostDescription> reachable, DataCentre here, RandomGenerator random) {
-      return preferably(reachable, random, peer -> !peer.dataCentre().equals(here));
+      return choosePreferred(reachable, random, peer -> !peer.dataCentre().equals(here));
     }
   };
 
   abstract Optional<HostDescription> choose(
       List<HostDescription> reachable, DataCentre here, RandomGenerator random);
 
-  private static Optional<HostDescription> preferably(
+  private static Optional<HostDescription> choosePreferred(
       List<HostDescription> reachable,
       RandomGenerator random,
       java.util.function.Predicate<HostDescription> wish) {
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopyLink.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
@@ -19,37 +19,37 @@
  * <p>One message is under way for each generation; tokens that come meanwhile go with the next one,
  * so that the number of messages follows the round trip and not the engine.
  */
-final class CopyLink {
-  private static final long ACKNOWLEDGE_MILLIS = 250;
-  private static final long ALONE_RETRY_MILLIS = 1_000;
-  private static final int TRIES = 2;
+final class CopySender {
+  private static final long ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 250;
+  private static final long HOLDER_RETRY_INTERVAL_MILLIS = 1_000;
+  private static final int MAX_UNACKNOWLEDGED_SENDS = 2;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final Membership members;
-  private final Consumer<Generation> progress;
+  private final Consumer<Generation> onProgress;
 
-  CopyLink(
+  CopySender(
       CoreContext context, PolicyTable table, Membership members, Consumer<Generation> progress) {
     this.context = context;
     this.table = table;
     this.members = members;
-    this.progress = progress;
+    this.onProgress = progress;
   }
 
   /** Looks for a holder and gives it the whole generation so far. */
-  void open(Generation generation) {
+  void openCopy(Generation generation) {
     Generation.Copy copy = generation.copy;
     Optional<HostId> failed = copy.holder;
-    copy.clear();
-    copy.lastTriedAt = context.now();
+    copy.reset();
+    copy.holderChosenAt = context.now();
     Optional<HostId> chosen = chooseHolder(generation, failed);
     if (chosen.isEmpty()) {
-      goAlone(generation);
+      continueWithoutCopy(generation);
       return;
     }
     copy.holder = chosen;
-    sendWhole(generation);
+    sendAllTokens(generation);
   }
 
   private Optional<HostId> chooseHolder(Generation generation, Optional<HostId> without) {
@@ -57,64 +57,65 @@
         members.reachable().stream()
             .filter(peer -> !without.equals(Optional.of(peer.id())))
             .toList();
-    return policy(generation)
+    return copyPolicy(generation)
         .choose(reachable, context.dataCentre(), context.random())
         .map(HostDescription::id);
   }
 
-  private CopyPolicy policy(Generation generation) {
+  private CopyPolicy copyPolicy(Generation generation) {
     return table
         .service(generation.spec.service())
         .map(row -> row.choice(Column.COPYING, CopyPolicy.class))
         .orElse(CopyPolicy.OTHER_HALL);
   }
 
-  private void goAlone(Generation generation) {
-    generation.copy.settled = true;
-    if (policy(generation) != CopyPolicy.NONE) {
-      context.note(EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer answers");
+  private void continueWithoutCopy(Generation generation) {
+    generation.copy.ready = true;
+    if (copyPolicy(generation) != CopyPolicy.NONE) {
+      context.logEvent(EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer answers");
     }
-    progress.accept(generation);
+    onProgress.accept(generation);
   }
 
   /** Takes over a holder that is known to have the whole generation. */
   void adopt(Generation generation, HostId holder) {
     generation.copy.holder = Optional.of(holder);
-    generation.copy.settled = true;
-    generation.copy.held = generation.length();
+    generation.copy.ready = true;
+    generation.copy.heldLength = generation.length();
     generation.copy.heldFinished = generation.isFinished();
   }
 
   /** Sends what the holder lacks, unless a message is under way. */
-  void push(Generation generation) {
+  void sendPending(Generation generation) {
     Generation.Copy copy = generation.copy;
     if (copy.holder.isEmpty()) {
-      lookForHolderAgain(generation);
+      retryHolder(generation);
       return;
     }
-    boolean lacks = copy.held < generation.length() || copy.heldFinished != generation.isFinished();
-    if (!copy.outstanding && lacks) {
-      sendRest(generation);
+    boolean lacks =
+        copy.heldLength < generation.length() || copy.heldFinished != generation.isFinished();
+    if (!copy.awaitingAcknowledgement && lacks) {
+      sendMissingTokens(generation);
     }
   }
 
-  private void lookForHolderAgain(Generation generation) {
-    boolean wanted = policy(generation) != CopyPolicy.NONE && !generation.delivered;
-    boolean due = context.now() - generation.copy.lastTriedAt >= ALONE_RETRY_MILLIS;
+  private void retryHolder(Generation generation) {
+    boolean wanted = copyPolicy(generation) != CopyPolicy.NONE && !generation.endDelivered;
+    boolean due = context.now() - generation.copy.holderChosenAt >= HOLDER_RETRY_INTERVAL_MILLIS;
     if (wanted && due && !members.reachable().isEmpty()) {
-      open(generation);
+      openCopy(generation);
     }
   }
 
-  private void sendWhole(Generation generation) {
+  private void sendAllTokens(Generation generation) {
     send(
         generation,
         new PeerMessage.CopyOpen(
             generation.spec, generation.epoch, generation.tokensFrom(0), generation.isFinished()));
   }
 
-  private void sendRest(Generation generation) {
-    int from = generation.copy.held;
+  private void sendMissingTokens(Generation generation) {
+    int from = generation.copy.heldLength;
     send(
         generation,
         new PeerMessage.CopyAppend(
@@ -127,65 +128,67 @@
 
   private void send(Generation generation, PeerMessage message) {
     Generation.Copy copy = generation.copy;
-    copy.outstanding = true;
-    copy.sentUpTo = generation.length();
+    copy.awaitingAcknowledgement = true;
+    copy.sentLength = generation.length();
     copy.sentFinished = generation.isFinished();
     context.emit(new Action.SendPeer(copy.holder.orElseThrow(), message));
     copy.stopTimer();
-    copy.timer = context.after(ACKNOWLEDGE_MILLIS, () -> unacknowledged(generation));
+    copy.timer =
+        context.schedule(
+            ACKNOWLEDGEMENT_TIMEOUT_MILLIS, () -> handleAcknowledgementTimeout(generation));
   }
 
-  private void unacknowledged(Generation generation) {
+  private void handleAcknowledgementTimeout(Generation generation) {
     Generation.Copy copy = generation.copy;
     HostId holder = copy.holder.orElseThrow();
     if (!context.isPauseRecent()) {
-      copy.tries++;
+      copy.unacknowledgedSends++;
     }
-    if (copy.tries >= TRIES || !members.isAnswering(holder)) {
-      holderLost(generation);
-    } else if (copy.settled) {
-      sendRest(generation);
+    if (copy.unacknowledgedSends >= MAX_UNACKNOWLEDGED_SENDS || !members.isAnswering(holder)) {
+      replaceHolder(generation);
+    } else if (copy.ready) {
+      sendMissingTokens(generation);
     } else {
-      sendWhole(generation);
+      sendAllTokens(generation);
     }
   }
 
   /** Goes over to another holder. */
-  void holderLost(Generation generation) {
+  void replaceHolder(Generation generation) {
     HostId holder = generation.copy.holder.orElseThrow();
-    context.note(EventCode.COPY_LOST, generation.spec.request().value(), holder.value());
-    open(generation);
+    context.logEvent(EventCode.COPY_LOST, generation.spec.request().value(), holder.value());
+    openCopy(generation);
   }
 
   /** Takes in what the holder says it holds. */
-  void held(HostId from, Generation generation, PeerMessage.CopyHeld held) {
+  void handleHeld(HostId from, Generation generation, PeerMessage.CopyHeld held) {
     Generation.Copy copy = generation.copy;
     boolean mine = copy.holder.equals(Optional.of(from)) && held.epoch() == generation.epoch;
     if (!mine || held.length() > generation.length()) {
       return;
     }
-    if (!copy.settled) {
-      context.note(EventCode.COPY_OPENED, generation.spec.request().value(), from.value());
+    if (!copy.ready) {
+      context.logEvent(EventCode.COPY_OPENED, generation.spec.request().value(), from.value());
     }
-    copy.settled = true;
-    copy.held = Math.max(copy.held, held.length());
+    copy.ready = true;
+    copy.heldLength = Math.max(copy.heldLength, held.length());
     copy.heldFinished |= held.finished();
     // An answer to an earlier message may come late; only one that covers the latest counts.
-    if (held.length() >= copy.sentUpTo && held.finished() == copy.sentFinished) {
+    if (held.length() >= copy.sentLength && held.finished() == copy.sentFinished) {
       copy.stopTimer();
-      copy.outstanding = false;
-      copy.tries = 0;
+      copy.awaitingAcknowledgement = false;
+      copy.unacknowledgedSends = 0;
     }
-    progress.accept(generation);
-    push(generation);
+    onProgress.accept(generation);
+    sendPending(generation);
   }
 
   /** Gives a holder that was replaced meanwhile the whole generation again. */
-  void missing(HostId from, Generation generation) {
+  void handleMissing(HostId from, Generation generation) {
     if (generation.copy.holder.equals(Optional.of(from))) {
-      generation.copy.settled = false;
-      generation.copy.held = 0;
-      sendWhole(generation);
+      generation.copy.ready = false;
+      generation.copy.heldLength = 0;
+      sendAllTokens(generation);
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/EventId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/EventId.java
@@ -29,7 +29,7 @@
   private static final String VERSION = "1";
   private static final String NONE = "-";
   private static final Pattern SEPARATOR = Pattern.compile("~");
-  private static final int PARTS = 9;
+  private static final int FIELD_COUNT = 9;
 
   /**
    * Reads an event id.
@@ -38,7 +38,7 @@
    */
   public static EventId parse(String text) throws MalformedEventIdException {
     String[] parts = SEPARATOR.split(text, -1);
-    if (parts.length != PARTS || !parts[0].equals(VERSION)) {
+    if (parts.length != FIELD_COUNT || !parts[0].equals(VERSION)) {
       throw new MalformedEventIdException(text);
     }
     try {
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.event.Arm;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.TimerQueue;
 import org.gatereel.core.model.GenerationSpec;
 import org.gatereel.core.model.HostId;
@@ -22,47 +22,47 @@
   static final long NO_CALLER = 0;
 
   final GenerationSpec spec;
-  final Arm arm;
+  final PolicyVariant variant;
   final Map<Integer, Attempt> attempts = new LinkedHashMap<>();
   final Copy copy = new Copy();
   int epoch;
   long caller;
-  boolean opened;
+  boolean streamOpened;
   long resumingSince;
-  long interruptedAt;
+  long noTargetSince;
   final long requestedAt;
-  TimerQueue.Timer retry;
-  TimerQueue.Timer end;
+  TimerQueue.Timer retryTimer;
+  TimerQueue.Timer expiryTimer;
   Admission.Permit permit;
-  boolean delivered;
+  boolean endDelivered;
 
   private final List<String> tokens;
   private int lastAttempt;
   private TargetId lastTarget;
   private boolean finished;
-  private int released;
+  private int releasedLength;
   private long releasedDigest;
 
   /** What the owner knows of the copy at the holder. */
   static final class Copy {
     Optional<HostId> holder = Optional.empty();
-    boolean settled;
-    int held;
+    boolean ready;
+    int heldLength;
     boolean heldFinished;
-    int tries;
-    boolean outstanding;
-    int sentUpTo;
+    int unacknowledgedSends;
+    boolean awaitingAcknowledgement;
+    int sentLength;
     boolean sentFinished;
-    long lastTriedAt;
+    long holderChosenAt;
     TimerQueue.Timer timer;
 
-    void clear() {
+    void reset() {
       holder = Optional.empty();
-      settled = false;
-      held = 0;
+      ready = false;
+      heldLength = 0;
       heldFinished = false;
-      outstanding = false;
-      tries = 0;
+      awaitingAcknowledgement = false;
+      unacknowledgedSends = 0;
       stopTimer();
     }
 
@@ -75,9 +75,14 @@
   }
 
   Generation(
-      GenerationSpec spec, Arm arm, int epoch, List<String> tokens, boolean finished, long now) {
+      GenerationSpec spec,
+      PolicyVariant arm,
+      int epoch,
+      List<String> tokens,
+      boolean finished,
+      long now) {
     this.spec = spec;
-    this.arm = arm;
+    this.variant = arm;
     this.epoch = epoch;
     this.tokens = new ArrayList<>(tokens);
     this.finished = finished;
@@ -114,7 +119,7 @@
     return ++lastAttempt;
   }
 
-  void workedAt(TargetId target) {
+  void setLastTarget(TargetId target) {
     lastTarget = target;
   }
 
@@ -122,44 +127,44 @@
     return Optional.ofNullable(lastTarget);
   }
 
-  int released() {
-    return released;
+  int releasedLength() {
+    return releasedLength;
   }
 
   /** Releases the next token and returns it. */
   String releaseNext() {
-    String token = tokens.get(released);
-    released++;
+    String token = tokens.get(releasedLength);
+    releasedLength++;
     releasedDigest = PrefixDigest.extend(releasedDigest, token);
     return token;
   }
 
   /** Goes back or on to an offset that a caller named; returns whether the prefix is the same. */
-  boolean rewindTo(int offset, long digest) {
-    if (!matches(offset, digest)) {
+  boolean seekTo(int offset, long digest) {
+    if (!hasPrefix(offset, digest)) {
       return false;
     }
-    released = offset;
+    releasedLength = offset;
     releasedDigest = digest;
     return true;
   }
 
-  boolean matches(int offset, long digest) {
+  boolean hasPrefix(int offset, long digest) {
     return offset <= tokens.size() && PrefixDigest.of(tokens, offset) == digest;
   }
 
   /** Returns how many tokens may be given to the caller. */
   int releasable() {
-    if (!copy.settled) {
-      return released;
+    if (!copy.ready) {
+      return releasedLength;
     }
-    return copy.holder.isPresent() ? copy.held : tokens.size();
+    return copy.holder.isPresent() ? copy.heldLength : tokens.size();
   }
 
   /** Returns whether the end may be told: it must be held as the tokens are. */
   boolean isEndReleasable() {
     boolean held = copy.holder.isEmpty() || copy.heldFinished;
-    return finished && copy.settled && held && released == tokens.size();
+    return finished && copy.ready && held && releasedLength == tokens.size();
   }
 
   /** Returns the id of the event that brings the caller to the present offset. */
@@ -171,7 +176,7 @@
         lastTarget().orElse(new TargetId("none")),
         lastAttempt,
         epoch,
-        released,
+        releasedLength,
         releasedDigest);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.member.Membership;
 import org.gatereel.core.model.AccountId;
@@ -20,7 +20,7 @@
 import org.gatereel.core.model.ProblemType;
 import org.gatereel.core.model.RequestId;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.table.Row;
 import org.gatereel.core.target.TargetRegistry;
@@ -31,39 +31,39 @@
  * releases them to the caller.
  */
 public final class GenerationOwner {
-  private static final long LINGER_MILLIS = 30_000;
-  private static final long WITHOUT_CALLER_MILLIS = 30_000;
-  private static final long KEEP_WITHOUT_CALLER_MILLIS = 150_000;
-  private static final long INTERRUPTED_RETRY_MILLIS = 2_000;
+  private static final long DELIVERED_EXPIRY_TIMEOUT_MILLIS = 30_000;
+  private static final long CALLER_RETURN_TIMEOUT_MILLIS = 30_000;
+  private static final long SUSPENDED_EXPIRY_TIMEOUT_MILLIS = 150_000;
+  private static final long INTERRUPTED_RETRY_DELAY_MILLIS = 2_000;
 
   private final CoreContext context;
   private final Map<RequestId, Generation> generations = new HashMap<>();
   private final Map<Long, Generation> byCaller = new HashMap<>();
   private final AttemptRunner attempts;
-  private final CopyLink copies;
-  private final Runnable targetFreed;
+  private final CopySender copies;
+  private final Runnable onTargetFreed;
 
   public GenerationOwner(
       CoreContext context,
       PolicyTable table,
       TargetRegistry targets,
       Membership members,
-      ServiceBudgets budgets,
+      RetryBudgets budgets,
       Runnable targetFreed) {
     this.context = context;
-    this.targetFreed = targetFreed;
-    this.copies = new CopyLink(context, table, members, this::release);
+    this.onTargetFreed = targetFreed;
+    this.copies = new CopySender(context, table, members, this::release);
     this.attempts =
         new AttemptRunner(
-            context, table, targets, budgets, this::progressed, this::interrupt, targetFreed);
-    targets.onLeaving(this::moveOff);
-    members.onLost(this::peerLost);
+            context, table, targets, budgets, this::handleProgress, this::interrupt, targetFreed);
+    targets.onLeaving(this::moveAwayFrom);
+    members.onLost(this::handlePeerLost);
   }
 
   /** Starts a generation at a target that was chosen for it. */
   void start(
       GenerationSpec spec,
-      Arm arm,
+      PolicyVariant arm,
       long caller,
       long askedAt,
       Admission.Permit permit,
@@ -72,45 +72,45 @@
     generation.permit = permit;
     generations.put(spec.request(), generation);
     attach(generation, caller);
-    context.note(EventCode.GENERATION_ACCEPTED, spec.request().value(), spec.account().value());
-    copies.open(generation);
+    context.logEvent(EventCode.GENERATION_ACCEPTED, spec.request().value(), spec.account().value());
+    copies.openCopy(generation);
     attempts.startAt(generation, target);
   }
 
   /** Becomes the owner of a generation that another host had. */
   void adopt(
-      CopyKeeper.Handover handover,
+      CopyStore.Handover handover,
       Optional<HostId> holder,
       Row service,
       long caller,
       EventId after) {
     Generation stale = generations.get(handover.spec().request());
     if (stale != null) {
-      letGo(stale);
+      fence(stale);
     }
     Generation generation =
         new Generation(
             handover.spec(),
-            Placements.arm(service, handover.spec().request()),
+            RequestPlacement.variant(service, handover.spec().request()),
             handover.epoch(),
             handover.tokens(),
             handover.finished(),
             context.now());
-    generation.rewindTo(after.offset(), after.digest());
-    generation.opened = true;
+    generation.seekTo(after.offset(), after.digest());
+    generation.streamOpened = true;
     generation.resumingSince = context.now();
     generations.put(handover.spec().request(), generation);
     attach(generation, caller);
-    context.note(
+    context.logEvent(
         EventCode.TAKEOVER_DONE,
         handover.spec().request().value(),
         "epoch " + handover.epoch() + ", " + generation.length() + " tokens");
-    generation.workedAt(after.target());
-    openAgain(generation);
+    generation.setLastTarget(after.target());
+    openStream(generation);
     if (holder.isPresent()) {
       copies.adopt(generation, holder.get());
     } else {
-      copies.open(generation);
+      copies.openCopy(generation);
     }
     if (!generation.isFinished()) {
       attempts.resume(generation, Optional.of(after.target()), Set.of());
@@ -119,17 +119,18 @@
   }
 
   /** Returns why a generation cannot be handed over from here; empty if it can. */
-  Optional<TakeOverRefusal> refusal(RequestId request, AccountId account, int offset, long digest) {
+  Optional<TakeoverRefusal> takeoverRefusal(
+      RequestId request, AccountId account, int offset, long digest) {
     Generation generation = generations.get(request);
     if (generation == null) {
-      return Optional.of(TakeOverRefusal.MISSING);
+      return Optional.of(TakeoverRefusal.MISSING);
     }
     if (!generation.spec.account().equals(account)) {
-      return Optional.of(TakeOverRefusal.WRONG_ACCOUNT);
+      return Optional.of(TakeoverRefusal.WRONG_ACCOUNT);
     }
-    return generation.matches(offset, digest)
+    return generation.hasPrefix(offset, digest)
         ? Optional.empty()
-        : Optional.of(TakeOverRefusal.OTHER_PREFIX);
+        : Optional.of(TakeoverRefusal.OTHER_PREFIX);
   }
 
   /** Goes on with a generation of this host for a caller who came back to it. */
@@ -140,32 +141,32 @@
       byCaller.remove(former);
       context.emit(new Action.Disconnect(former));
     }
-    generation.rewindTo(after.offset(), after.digest());
-    generation.delivered = false;
-    generation.opened = true;
-    stopEnding(generation);
+    generation.seekTo(after.offset(), after.digest());
+    generation.endDelivered = false;
+    generation.streamOpened = true;
+    cancelExpiry(generation);
     attach(generation, caller);
-    context.note(EventCode.CALLER_RESUMED, after.request().value(), "after " + after.offset());
-    openAgain(generation);
+    context.logEvent(EventCode.CALLER_RESUMED, after.request().value(), "after " + after.offset());
+    openStream(generation);
     boolean idle = generation.attempts.isEmpty() && !generation.isFinished();
     if (idle) {
-      generation.interruptedAt = 0;
+      generation.noTargetSince = 0;
       attempts.resume(generation, generation.lastTarget(), Set.of());
     }
     release(generation);
   }
 
-  private void openAgain(Generation generation) {
+  private void openStream(Generation generation) {
     context.emit(new Action.OpenStream(generation.caller, generation.eventId(context.self())));
   }
 
   /** Lets go of a generation for another host; what is returned is the only copy left. */
-  CopyKeeper.Handover giveUp(RequestId request) {
+  CopyStore.Handover relinquish(RequestId request) {
     Generation generation = generations.get(request);
-    CopyKeeper.Handover handover =
-        new CopyKeeper.Handover(
+    CopyStore.Handover handover =
+        new CopyStore.Handover(
             generation.spec, generation.epoch, generation.tokensFrom(0), generation.isFinished());
-    letGo(generation);
+    fence(generation);
     return handover;
   }
 
@@ -175,58 +176,60 @@
   }
 
   /** Takes in a token from an engine. */
-  public void token(Event.TokenArrived event) {
-    find(event.request()).ifPresent(generation -> attempts.token(generation, event));
+  public void handleToken(Event.TokenArrived event) {
+    find(event.request()).ifPresent(generation -> attempts.handleToken(generation, event));
   }
 
   /** Takes in the end of an attempt. */
-  public void finished(Event.AttemptFinished event) {
-    find(event.request()).ifPresent(generation -> attempts.finished(generation, event));
+  public void handleAttemptFinished(Event.AttemptFinished event) {
+    find(event.request()).ifPresent(generation -> attempts.handleFinished(generation, event));
   }
 
   /** Takes in the failure of an attempt. */
-  public void failed(Event.AttemptFailed event) {
+  public void handleAttemptFailed(Event.AttemptFailed event) {
     find(event.request())
-        .ifPresent(generation -> attempts.failed(generation, event.attempt(), event.failure()));
+        .ifPresent(
+            generation -> attempts.handleFailed(generation, event.attempt(), event.failure()));
   }
 
   private Optional<Generation> find(RequestId request) {
     return Optional.ofNullable(generations.get(request));
   }
 
-  private void progressed(Generation generation) {
-    copies.push(generation);
+  private void handleProgress(Generation generation) {
+    copies.sendPending(generation);
     release(generation);
   }
 
   /** Gives the caller what may be released. */
   private void release(Generation generation) {
-    if (generation.caller == Generation.NO_CALLER || !generation.copy.settled) {
+    if (generation.caller == Generation.NO_CALLER || !generation.copy.ready) {
       return;
     }
-    if (!generation.opened) {
-      generation.opened = true;
-      openAgain(generation);
+    if (!generation.streamOpened) {
+      generation.streamOpened = true;
+      openStream(generation);
     }
-    while (generation.released() < generation.releasable()) {
+    while (generation.releasedLength() < generation.releasable()) {
       String token = generation.releaseNext();
       EventId id = generation.eventId(context.self());
       context.emit(new Action.SendToken(generation.caller, id, token));
     }
-    if (generation.isEndReleasable() && !generation.delivered) {
+    if (generation.isEndReleasable() && !generation.endDelivered) {
       deliverEnd(generation);
     }
   }
 
   private void deliverEnd(Generation generation) {
-    generation.delivered = true;
+    generation.endDelivered = true;
     context.emit(new Action.EndStream(generation.caller, generation.eventId(context.self())));
-    context.note(
+    context.logEvent(
         EventCode.GENERATION_DELIVERED,
         generation.spec.request().value(),
         generation.length() + " tokens");
     detach(generation);
-    generation.end = context.after(LINGER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(DELIVERED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
   private void detach(Generation generation) {
@@ -239,12 +242,12 @@
     if (generation.permit != null) {
       generation.permit.close();
       generation.permit = null;
-      targetFreed.run();
+      onTargetFreed.run();
     }
   }
 
   private void interrupt(Generation generation) {
-    context.note(
+    context.logEvent(
         EventCode.GENERATION_INTERRUPTED,
         generation.spec.request().value(),
         generation.length() + " tokens so far");
@@ -256,34 +259,37 @@
                   ProblemType.NO_TARGET,
                   Outcome.RAN,
                   "no engine could go on; resume with the last event id",
-                  INTERRUPTED_RETRY_MILLIS)));
+                  INTERRUPTED_RETRY_DELAY_MILLIS)));
       detach(generation);
     }
-    generation.end = context.after(KEEP_WITHOUT_CALLER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(SUSPENDED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
   /** Notes that a caller's connection ended; returns whether it was one of a generation here. */
-  public boolean callerGone(long caller) {
+  public boolean handleCallerDisconnected(long caller) {
     Generation generation = byCaller.get(caller);
     if (generation == null) {
       return false;
     }
-    context.note(
+    context.logEvent(
         EventCode.CALLER_GONE,
         generation.spec.request().value(),
-        "after " + generation.released() + " tokens");
+        "after " + generation.releasedLength() + " tokens");
     detach(generation);
-    generation.end = context.after(WITHOUT_CALLER_MILLIS, () -> rest(generation));
+    generation.expiryTimer =
+        context.schedule(CALLER_RETURN_TIMEOUT_MILLIS, () -> suspend(generation));
     return true;
   }
 
   /** Stops working for a caller who stays away, but keeps what there is. */
-  private void rest(Generation generation) {
+  private void suspend(Generation generation) {
     attempts.cancelAll(generation);
-    generation.end = context.after(KEEP_WITHOUT_CALLER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(SUSPENDED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
-  private void forget(Generation generation) {
+  private void expire(Generation generation) {
     copies.drop(generation);
     remove(generation);
   }
@@ -291,21 +297,21 @@
   private void remove(Generation generation) {
     attempts.cancelAll(generation);
     generation.copy.stopTimer();
-    stopEnding(generation);
+    cancelExpiry(generation);
     detach(generation);
     generations.remove(generation.spec.request(), generation);
   }
 
-  private static void stopEnding(Generation generation) {
-    if (generation.end != null) {
-      generation.end.cancel();
-      generation.end = null;
+  private static void cancelExpiry(Generation generation) {
+    if (generation.expiryTimer != null) {
+      generation.expiryTimer.cancel();
+      generation.expiryTimer = null;
     }
   }
 
   /** Lets go of a generation that has another owner now. */
-  private void letGo(Generation generation) {
-    context.note(
+  private void fence(Generation generation) {
+    context.logEvent(
         EventCode.OWNER_FENCED, generation.spec.request().value(), "was epoch " + generation.epoch);
     if (generation.caller != Generation.NO_CALLER) {
       context.emit(new Action.Disconnect(generation.caller));
@@ -314,38 +320,39 @@
   }
 
   /** Takes in that a generation has another owner, if that owner's epoch is higher. */
-  public void fenced(PeerMessage.CopyFenced message) {
+  public void handleFenced(PeerMessage.CopyFenced message) {
     find(message.request())
         .filter(generation -> message.epoch() > generation.epoch)
-        .ifPresent(this::letGo);
+        .ifPresent(this::fence);
   }
 
   /** Takes in what a holder holds. */
-  public void held(HostId from, PeerMessage.CopyHeld message) {
-    find(message.request()).ifPresent(generation -> copies.held(from, generation, message));
+  public void handleHeld(HostId from, PeerMessage.CopyHeld message) {
+    find(message.request()).ifPresent(generation -> copies.handleHeld(from, generation, message));
   }
 
   /** Takes in that a holder has no copy. */
-  public void missing(HostId from, PeerMessage.CopyMissing message) {
+  public void handleMissing(HostId from, PeerMessage.CopyMissing message) {
     find(message.request())
         .filter(generation -> generation.epoch == message.epoch())
-        .ifPresent(generation -> copies.missing(from, generation));
+        .ifPresent(generation -> copies.handleMissing(from, generation));
   }
 
-  private void peerLost(HostId peer) {
+  private void handlePeerLost(HostId peer) {
     for (Generation generation : List.copyOf(generations.values())) {
       if (generation.copy.holder.equals(Optional.of(peer))) {
-        copies.holderLost(generation);
+        copies.replaceHolder(generation);
       }
     }
   }
 
-  private void moveOff(TargetState target) {
-    List.copyOf(generations.values()).forEach(generation -> attempts.moveOff(generation, target));
+  private void moveAwayFrom(TargetState target) {
+    List.copyOf(generations.values())
+        .forEach(generation -> attempts.moveAwayFrom(generation, target));
   }
 
   /** Returns how many generations have a caller who waits for more. */
-  public int open() {
+  public int openCount() {
     return byCaller.size();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -7,9 +7,9 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
 import org.gatereel.core.admission.Applicant;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.GenerationSpec;
@@ -27,16 +27,16 @@
 
 /** Takes in new generations from callers: checks them and has them admitted. */
 public final class GenerationService {
-  private static final int LAST_PRIORITY = 9;
-  private static final int OVER_SHARE_BEHIND = 3;
+  private static final int LOWEST_PRIORITY = 9;
+  private static final int OVER_SHARE_PRIORITY_PENALTY = 3;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final TargetRegistry targets;
   private final Admission admission;
   private final GenerationOwner owner;
-  private final ServiceBudgets budgets;
-  private final Map<Long, Application> waiting = new HashMap<>();
+  private final RetryBudgets budgets;
+  private final Map<Long, PendingGeneration> pendingByCaller = new HashMap<>();
 
   public GenerationService(
       CoreContext context,
@@ -44,7 +44,7 @@
       TargetRegistry targets,
       Admission admission,
       GenerationOwner owner,
-      ServiceBudgets budgets) {
+      RetryBudgets budgets) {
     this.context = context;
     this.table = table;
     this.targets = targets;
@@ -54,15 +54,15 @@
   }
 
   /** A generation that was asked for and has no target yet. */
-  private final class Application implements Applicant {
+  private final class PendingGeneration implements Applicant {
     private final GenerationSpec spec;
     private final long caller;
-    private final long askedAt = context.now();
+    private final long requestedAt = context.now();
     private Admission.Permit permit;
-    private Optional<TargetState> started = Optional.empty();
-    private Arm arm;
+    private Optional<TargetState> chosenTarget = Optional.empty();
+    private PolicyVariant variant;
 
-    private Application(GenerationSpec spec, long caller) {
+    private PendingGeneration(GenerationSpec spec, long caller) {
       this.spec = spec;
       this.caller = caller;
     }
@@ -88,30 +88,37 @@
       if (service.isEmpty()) {
         return false;
       }
-      arm = Placements.arm(service.get(), spec.request());
+      variant = RequestPlacement.variant(service.get(), spec.request());
       PlacementQuery query =
           new PlacementQuery(
-              Placements.affinityKey(spec.prompt()), Optional.empty(), overShare, context.now());
-      started =
-          targets.choose(spec.service(), Placements.policy(service.get(), arm), query, Set.of());
+              RequestPlacement.affinityKey(spec.prompt()),
+              Optional.empty(),
+              overShare,
+              context.now());
+      chosenTarget =
+          targets.choose(
+              spec.service(),
+              RequestPlacement.placementPolicy(service.get(), variant),
+              query,
+              Set.of());
       if (permit != null) {
-        begin();
+        startIfChosen();
       }
-      return started.isPresent();
+      return chosenTarget.isPresent();
     }
 
-    private void begin() {
-      if (started.isPresent()) {
-        waiting.remove(caller);
-        owner.start(spec, arm, caller, askedAt, permit, started.get());
+    private void startIfChosen() {
+      if (chosenTarget.isPresent()) {
+        pendingByCaller.remove(caller);
+        owner.start(spec, variant, caller, requestedAt, permit, chosenTarget.get());
       }
     }
 
     @Override
     public void refuse(Problem problem) {
-      waiting.remove(caller);
+      pendingByCaller.remove(caller);
       context.emit(new Action.Refuse(caller, problem));
-      context.note(
+      context.logEvent(
           EventCode.REQUEST_REFUSED,
           spec.request().value(),
           problem.type() + " for " + spec.account());
@@ -119,7 +126,7 @@
   }
 
   /** Takes in a request for a generation. */
-  public void requested(Event.GenerationRequested event) {
+  public void handleRequest(Event.GenerationRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     Optional<Row> service =
         table
@@ -133,18 +140,18 @@
       String most = service.get().text(Column.MAXIMUM_TOKENS);
       refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + most + " at most");
     } else {
-      apply(event, account.get(), service.get());
+      admit(event, account.get(), service.get());
     }
   }
 
   private void refuse(Event.GenerationRequested event, ProblemType type, String detail) {
     context.emit(new Action.Refuse(event.caller(), Problem.notRun(type, detail)));
-    context.note(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
+    context.logEvent(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
   }
 
-  private void apply(Event.GenerationRequested event, Row account, Row service) {
+  private void admit(Event.GenerationRequested event, Row account, Row service) {
     AccountId accountId = new AccountId(account.key().name());
-    int behind = admission.isOverShare(accountId) ? OVER_SHARE_BEHIND : 0;
+    int behind = admission.isOverShare(accountId) ? OVER_SHARE_PRIORITY_PENALTY : 0;
     GenerationSpec spec =
         new GenerationSpec(
             new RequestId(Long.toHexString(context.random().nextLong())),
@@ -152,17 +159,17 @@
             event.service(),
             event.prompt(),
             event.maximumTokens(),
-            Math.min(LAST_PRIORITY, account.number(Column.PRIORITY) + behind));
-    Application application = new Application(spec, event.caller());
-    budgets.of(event.service()).earn(service.number(Column.RETRY_PERCENT));
-    waiting.put(event.caller(), application);
+            Math.min(LOWEST_PRIORITY, account.number(Column.PRIORITY) + behind));
+    PendingGeneration application = new PendingGeneration(spec, event.caller());
+    budgets.forService(event.service()).earn(service.number(Column.RETRY_PERCENT));
+    pendingByCaller.put(event.caller(), application);
     application.permit = admission.apply(application, account, service);
-    application.begin();
+    application.startIfChosen();
   }
 
   /** Notes that a caller's connection ended; returns whether its request was waiting here. */
-  public boolean callerGone(long caller) {
-    Application application = waiting.remove(caller);
+  public boolean handleCallerDisconnected(long caller) {
+    PendingGeneration application = pendingByCaller.remove(caller);
     if (application == null) {
       return false;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/ServiceBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/RetryBudgets.java
@@ -6,10 +6,10 @@
 import org.gatereel.core.model.ServiceName;
 
 /** The retry budget of each service. */
-public final class ServiceBudgets {
+public final class RetryBudgets {
   private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
 
-  public RetryBudget of(ServiceName service) {
+  public RetryBudget forService(ServiceName service) {
     return budgets.computeIfAbsent(service, name -> new RetryBudget());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -21,7 +21,7 @@
 import org.gatereel.core.model.Problem;
 import org.gatereel.core.model.ProblemType;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.table.Row;
 
@@ -33,15 +33,15 @@
  * the caller's offset hands the generation over.
  */
 public final class TakeoverService {
-  private static final long STAGE_MILLIS = 300;
-  private static final long LATE_ANSWER_MILLIS = 1_200;
-  private static final long ASK_AGAIN_MILLIS = 2_000;
+  private static final long STAGE_TIMEOUT_MILLIS = 300;
+  private static final long LATE_RESPONSE_TIMEOUT_MILLIS = 1_200;
+  private static final long RETRY_DELAY_MILLIS = 2_000;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final Membership members;
   private final GenerationOwner owner;
-  private final CopyKeeper copies;
+  private final CopyStore copies;
   private final Map<Long, Search> searches = new HashMap<>();
 
   public TakeoverService(
@@ -49,7 +49,7 @@
       PolicyTable table,
       Membership members,
       GenerationOwner owner,
-      CopyKeeper copies) {
+      CopyStore copies) {
     this.context = context;
     this.table = table;
     this.members = members;
@@ -69,10 +69,10 @@
     private final EventId after;
     private final long ticket = context.nextTicket();
     private final Deque<Set<HostId>> stages = new ArrayDeque<>();
-    private final Set<HostId> asked = new HashSet<>();
+    private final Set<HostId> contacted = new HashSet<>();
     private final Set<HostId> pending = new HashSet<>();
-    private final Set<HostId> silent = new HashSet<>();
-    private boolean askedEveryone;
+    private final Set<HostId> unresponsive = new HashSet<>();
+    private boolean allPeersContacted;
     private TimerQueue.Timer timer;
 
     private Search(long caller, AccountId account, EventId after) {
@@ -81,30 +81,30 @@
       this.after = after;
       after.holder().ifPresent(holder -> stages.add(Set.of(holder)));
       stages.add(Set.of(after.owner()));
-      asked.add(context.self());
+      contacted.add(context.self());
       searches.put(ticket, this);
     }
 
-    private void next() {
-      silent.addAll(pending);
+    private void contactNextStage() {
+      unresponsive.addAll(pending);
       pending.clear();
-      while (pending.isEmpty() && !askedEveryone) {
-        stage().stream().filter(asked::add).forEach(this::ask);
+      while (pending.isEmpty() && !allPeersContacted) {
+        nextStage().stream().filter(contacted::add).forEach(this::sendRequest);
       }
       if (!pending.isEmpty()) {
-        timer = context.after(STAGE_MILLIS, this::next);
-      } else if (silent.isEmpty()) {
+        timer = context.schedule(STAGE_TIMEOUT_MILLIS, this::contactNextStage);
+      } else if (unresponsive.isEmpty()) {
         fail();
       } else {
-        timer = context.after(LATE_ANSWER_MILLIS, this::fail);
+        timer = context.schedule(LATE_RESPONSE_TIMEOUT_MILLIS, this::fail);
       }
     }
 
-    private Set<HostId> stage() {
+    private Set<HostId> nextStage() {
       if (!stages.isEmpty()) {
         return stages.poll();
       }
-      askedEveryone = true;
+      allPeersContacted = true;
       Set<HostId> everyone = new LinkedHashSet<>();
       members.known().stream()
           .map(peer -> peer.id())
@@ -113,7 +113,7 @@
       return everyone;
     }
 
-    private void ask(HostId host) {
+    private void sendRequest(HostId host) {
       pending.add(host);
       context.emit(
           new Action.SendPeer(
@@ -122,26 +122,26 @@
                   ticket, after.request(), account, after.offset(), after.digest())));
     }
 
-    private void refusedBy(HostId host, TakeOverRefusal reason) {
-      silent.remove(host);
-      if (reason == TakeOverRefusal.WRONG_ACCOUNT) {
+    private void handleRefused(HostId host, TakeoverRefusal reason) {
+      unresponsive.remove(host);
+      if (reason == TakeoverRefusal.WRONG_ACCOUNT) {
         stop();
-        refuseAccount(caller, after);
+        refuseWrongAccount(caller, after);
       } else if (pending.remove(host) && pending.isEmpty()) {
         timer.cancel();
-        next();
+        contactNextStage();
       }
     }
 
-    private void unreachable(HostId host, boolean processGone) {
+    private void handleUnreachable(HostId host, boolean processGone) {
       if (pending.remove(host)) {
         // A process that has ended took its memory along: there is nothing to wait for.
         if (!processGone) {
-          silent.add(host);
+          unresponsive.add(host);
         }
         if (pending.isEmpty()) {
           timer.cancel();
-          next();
+          contactNextStage();
         }
       }
     }
@@ -155,11 +155,13 @@
 
     private void fail() {
       stop();
-      context.note(
-          EventCode.TAKEOVER_FAILED, after.request().value(), "not answering: " + silent.size());
-      long retry = silent.isEmpty() ? 0 : ASK_AGAIN_MILLIS;
+      context.logEvent(
+          EventCode.TAKEOVER_FAILED,
+          after.request().value(),
+          "not answering: " + unresponsive.size());
+      long retry = unresponsive.isEmpty() ? 0 : RETRY_DELAY_MILLIS;
       String detail =
-          "after offset " + after.offset() + "; hosts that did not answer: " + silent.size();
+          "after offset " + after.offset() + "; hosts that did not answer: " + unresponsive.size();
       context.emit(
           new Action.Refuse(
               caller, new Problem(ProblemType.GENERATION_LOST, Outcome.RAN, detail, retry)));
@@ -167,7 +169,7 @@
   }
 
   /** Takes in a caller who comes back. */
-  public void resumeRequested(Event.ResumeRequested event) {
+  public void handleResume(Event.ResumeRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     if (account.isEmpty()) {
       context.emit(
@@ -178,27 +180,28 @@
     }
     AccountId accountId = new AccountId(account.get().key().name());
     EventId after = event.after();
-    Optional<TakeOverRefusal> ownRefusal =
-        owner.refusal(after.request(), accountId, after.offset(), after.digest());
-    Optional<TakeOverRefusal> copyRefusal =
-        copies.refusal(after.request(), accountId, after.offset(), after.digest());
+    Optional<TakeoverRefusal> ownRefusal =
+        owner.takeoverRefusal(after.request(), accountId, after.offset(), after.digest());
+    Optional<TakeoverRefusal> copyRefusal =
+        copies.takeoverRefusal(after.request(), accountId, after.offset(), after.digest());
     boolean otherAccount =
-        ownRefusal.equals(Optional.of(TakeOverRefusal.WRONG_ACCOUNT))
-            || copyRefusal.equals(Optional.of(TakeOverRefusal.WRONG_ACCOUNT));
+        ownRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT))
+            || copyRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT));
     if (otherAccount) {
-      refuseAccount(event.caller(), after);
+      refuseWrongAccount(event.caller(), after);
     } else if (ownRefusal.isEmpty()) {
       owner.reattach(after, event.caller());
     } else if (copyRefusal.isEmpty()) {
-      CopyKeeper.Handover handover = copies.handOver(after.request(), context.self());
+      CopyStore.Handover handover = copies.handOver(after.request(), context.self());
       adopt(handover, Optional.empty(), event.caller(), after);
     } else {
-      context.note(EventCode.TAKEOVER_ASKED, after.request().value(), "after " + after.offset());
-      new Search(event.caller(), accountId, after).next();
+      context.logEvent(
+          EventCode.TAKEOVER_ASKED, after.request().value(), "after " + after.offset());
+      new Search(event.caller(), accountId, after).contactNextStage();
     }
   }
 
-  private void refuseAccount(long caller, EventId after) {
+  private void refuseWrongAccount(long caller, EventId after) {
     context.emit(
         new Action.Refuse(
             caller,
@@ -206,7 +209,7 @@
   }
 
   private void adopt(
-      CopyKeeper.Handover handover, Optional<HostId> holder, long caller, EventId after) {
+      CopyStore.Handover handover, Optional<HostId> holder, long caller, EventId after) {
     Optional<Row> service = table.service(handover.spec().service());
     if (service.isEmpty()) {
       context.emit(
@@ -220,57 +223,57 @@
   }
 
   /** Answers a peer that asks for a generation. */
-  public void asked(HostId from, PeerMessage.TakeOver ask) {
-    Optional<TakeOverRefusal> copyRefusal =
-        copies.refusal(ask.request(), ask.account(), ask.offset(), ask.digest());
-    Optional<TakeOverRefusal> ownRefusal =
-        owner.refusal(ask.request(), ask.account(), ask.offset(), ask.digest());
+  public void handleTakeOver(HostId from, PeerMessage.TakeOver ask) {
+    Optional<TakeoverRefusal> copyRefusal =
+        copies.takeoverRefusal(ask.request(), ask.account(), ask.offset(), ask.digest());
+    Optional<TakeoverRefusal> ownRefusal =
+        owner.takeoverRefusal(ask.request(), ask.account(), ask.offset(), ask.digest());
     PeerMessage answer;
     if (copyRefusal.isEmpty()) {
-      answer = granted(ask.ticket(), copies.handOver(ask.request(), from));
+      answer = grantMessage(ask.ticket(), copies.handOver(ask.request(), from));
     } else if (ownRefusal.isEmpty()) {
-      copies.keep(owner.giveUp(ask.request()));
-      answer = granted(ask.ticket(), copies.handOver(ask.request(), from));
+      copies.add(owner.relinquish(ask.request()));
+      answer = grantMessage(ask.ticket(), copies.handOver(ask.request(), from));
     } else {
-      TakeOverRefusal reason =
-          copyRefusal.get() == TakeOverRefusal.MISSING ? ownRefusal.get() : copyRefusal.get();
+      TakeoverRefusal reason =
+          copyRefusal.get() == TakeoverRefusal.MISSING ? ownRefusal.get() : copyRefusal.get();
       answer = new PeerMessage.TakeOverRefused(ask.ticket(), reason);
     }
     context.emit(new Action.SendPeer(from, answer));
   }
 
-  private static PeerMessage granted(long ticket, CopyKeeper.Handover handover) {
+  private static PeerMessage grantMessage(long ticket, CopyStore.Handover handover) {
     return new PeerMessage.TakeOverGranted(
         ticket, handover.spec(), handover.epoch(), handover.tokens(), handover.finished());
   }
 
   /** Takes over a generation that a peer hands over; that peer keeps the copy. */
-  public void granted(HostId from, PeerMessage.TakeOverGranted grant) {
+  public void handleGranted(HostId from, PeerMessage.TakeOverGranted grant) {
     Search search = searches.get(grant.ticket());
     if (search == null) {
       return;
     }
     search.stop();
-    CopyKeeper.Handover handover =
-        new CopyKeeper.Handover(grant.spec(), grant.epoch(), grant.tokens(), grant.finished());
+    CopyStore.Handover handover =
+        new CopyStore.Handover(grant.spec(), grant.epoch(), grant.tokens(), grant.finished());
     adopt(handover, Optional.of(from), search.caller, search.after);
   }
 
   /** Goes on searching when a peer has nothing to hand over. */
-  public void refused(HostId from, PeerMessage.TakeOverRefused refusal) {
+  public void handleRefused(HostId from, PeerMessage.TakeOverRefused refusal) {
     Search search = searches.get(refusal.ticket());
     if (search != null) {
-      search.refusedBy(from, refusal.reason());
+      search.handleRefused(from, refusal.reason());
     }
   }
 
   /** Goes on searching when a peer turns out not to answer. */
-  public void peerUnreachable(HostId peer, boolean processGone) {
-    List.copyOf(searches.values()).forEach(search -> search.unreachable(peer, processGone));
+  public void handlePeerUnreachable(HostId peer, boolean processGone) {
+    List.copyOf(searches.values()).forEach(search -> search.handleUnreachable(peer, processGone));
   }
 
   /** Notes that a caller's connection ended; returns whether it was searching here. */
-  public boolean callerGone(long caller) {
+  public boolean handleCallerDisconnected(long caller) {
     Optional<Search> search =
         searches.values().stream().filter(candidate -> candidate.caller == caller).findFirst();
     search.ifPresent(Search::stop);
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import org.gatereel.core.action.Action;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.Measurement;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.ServiceName;
 
 /** What every part of the core shares: who it is, the time, timers, randomness, and its outbox. */
 public final class CoreContext {
-  private static final long PAUSE_DOUBT_MILLIS = 300;
+  private static final long PAUSE_EFFECT_MILLIS = 300;
 
   private final HostId self;
   private final DataCentre dataCentre;
@@ -21,8 +21,8 @@
   private final TimerQueue timers = new TimerQueue();
   private List<Action> actions = new ArrayList<>();
   private long now;
-  private long lostMillis;
-  private long pauseDoubtUntil;
+  private long suspendedMillis;
+  private long pauseEffectUntil;
   private long ticket;
 
   public CoreContext(HostId self, DataCentre dataCentre, RandomGenerator random) {
@@ -56,14 +56,15 @@
    * <p>Beyond {@link #now} it counts the time in which this host may have been suspended. Deadlines
    * and time-outs go by {@link #now}: a time of day that is set forward must not end requests.
    */
-  public long knowledgeTime() {
-    return now + lostMillis;
+  public long nowIncludingSuspensions() {
+    return now + suspendedMillis;
   }
 
   /** Notes that this host was suspended, so that all it knows is older by that. */
-  public void noteLost(long millis) {
-    lostMillis += millis;
-    note(EventCode.HOST_SUSPENDED, self.value(), "millis=" + millis + " all=" + lostMillis);
+  public void recordSuspension(long millis) {
+    suspendedMillis += millis;
+    logEvent(
+        EventCode.HOST_SUSPENDED, self.value(), "millis=" + millis + " all=" + suspendedMillis);
   }
 
   /**
@@ -76,25 +77,25 @@
   }
 
   /** Moves the time on; a time before the present one is ignored. */
-  public void moveTo(long time) {
+  public void advanceTo(long time) {
     now = Math.max(now, time);
   }
 
   /** Says that this host did not run for a while, so that its time-outs prove nothing. */
-  public void notePause() {
-    pauseDoubtUntil = now + PAUSE_DOUBT_MILLIS;
+  public void recordPause() {
+    pauseEffectUntil = now + PAUSE_EFFECT_MILLIS;
   }
 
   /** Returns whether a time-out may be this host's own fault, because it was paused itself. */
   public boolean isPauseRecent() {
-    return now < pauseDoubtUntil;
+    return now < pauseEffectUntil;
   }
 
   public TimerQueue timers() {
     return timers;
   }
 
-  public TimerQueue.Timer after(long delayMillis, Runnable task) {
+  public TimerQueue.Timer schedule(long delayMillis, Runnable task) {
     return timers.add(now + delayMillis, task);
   }
 
@@ -103,7 +104,7 @@
   }
 
   /** Puts an entry on the time line. */
-  public void note(EventCode code, String subject, String detail) {
+  public void logEvent(EventCode code, String subject, String detail) {
     emit(new Action.Note(code, subject, detail));
   }
 
@@ -115,7 +116,7 @@
   }
 
   /** Adds a value to the statistics that policies are compared by. */
-  public void measure(Measurement measurement, ServiceName service, Arm arm, long value) {
+  public void measure(Measurement measurement, ServiceName service, PolicyVariant arm, long value) {
     emit(new Action.Measure(measurement, service, arm, value));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LenderRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LenderRanking.java
@@ -71,7 +71,7 @@
 
   /** Passes a host over for a while, because it did not answer a question about a target. */
   void passOver(Address host, TargetId asked) {
-    context.note(EventCode.LIMIT_LENDER_SILENT, asked.toString(), "host=" + host);
+    context.logEvent(EventCode.LIMIT_LENDER_SILENT, asked.toString(), "host=" + host);
     passedOverUntil.values().removeIf(until -> until <= context.now());
     passedOverUntil.put(host, context.now() + PASSED_OVER_MILLIS);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/RequestTokens.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/RequestTokens.java
@@ -148,7 +148,7 @@
       if (context.now() - loggedAt < LOG_MILLIS) {
         return;
       }
-      context.note(
+      context.logEvent(
           EventCode.LIMIT_REACHED,
           target.toString(),
           "perSecond="
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -106,7 +106,7 @@
   private void beat() {
     table.expire();
     flush();
-    context.after(HEARTBEAT_MILLIS, this::beat);
+    context.schedule(HEARTBEAT_MILLIS, this::beat);
   }
 
   /** Notes that what this host has at some engine has changed. */
@@ -232,7 +232,7 @@
     boolean wasFailing = link.isFailing(context.now());
     link.settled(receipt, context.now());
     if (receipt == LoadPort.Receipt.LOST && !wasFailing) {
-      context.note(
+      context.logEvent(
           EventCode.LOADS_UNDELIVERED,
           link.receiver().address().toString(),
           "scope=" + report.scope() + " targets=" + report.loads().size());
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadTable.java
@@ -63,7 +63,7 @@
   }
 
   private void note(EventCode code, Source source, String inputs) {
-    context.note(code, source.host().value(), "scope=" + source.scope() + " " + inputs);
+    context.logEvent(code, source.host().value(), "scope=" + source.scope() + " " + inputs);
   }
 
   /** Returns the hosts of this data centre that report here, and where they take reports. */
--- a/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
@@ -125,7 +125,7 @@
   private void beat() {
     beatNow();
     List.copyOf(neighbours).forEach(this::judge);
-    context.after(HEARTBEAT_MILLIS, this::beat);
+    context.schedule(HEARTBEAT_MILLIS, this::beat);
   }
 
   private void judge(HostId id) {
@@ -142,7 +142,7 @@
 
   private void lose(HostId id, Peer peer, String why) {
     peer.answering = false;
-    context.note(EventCode.PEER_LOST, id.value(), why);
+    context.logEvent(EventCode.PEER_LOST, id.value(), why);
     lostListeners.forEach(listener -> listener.accept(id));
   }
 
@@ -157,7 +157,7 @@
     peer.unreachableUntil = 0;
     if (!peer.answering) {
       peer.answering = true;
-      context.note(EventCode.PEER_REACHED, id.value(), "");
+      context.logEvent(EventCode.PEER_REACHED, id.value(), "");
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/peer/PeerMessage.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/peer/PeerMessage.java
@@ -46,7 +46,7 @@
       implements PeerMessage {}
 
   /** Refuses to hand a generation over. */
-  record TakeOverRefused(long ticket, TakeOverRefusal reason) implements PeerMessage {}
+  record TakeOverRefused(long ticket, TakeoverRefusal reason) implements PeerMessage {}
 
   /** Asks the home host of a claim to write it. */
   record ClaimAsk(long ticket, String key, String value) implements PeerMessage {}
--- a/gatereel-core/src/main/java/org/gatereel/core/peer/TakeOverRefusal.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/peer/TakeoverRefusal.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.peer;
 
 /** Why a host does not hand over a generation. */
-public enum TakeOverRefusal {
+public enum TakeoverRefusal {
   /** The host has no copy of it. */
   MISSING,
   /** The generation belongs to another client account. */
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -142,9 +142,9 @@
             + " ageMillis="
             + (context.now() - fact.at());
     if (fact.isSound()) {
-      context.note(EventCode.POISON_CLEARED, fact.request().toString(), inputs);
+      context.logEvent(EventCode.POISON_CLEARED, fact.request().toString(), inputs);
     } else {
-      context.note(
+      context.logEvent(
           EventCode.POISON_SUSPECTED,
           fact.request().toString(),
           "target=" + fact.ended().orElseThrow() + " " + inputs);
@@ -152,7 +152,7 @@
   }
 
   private void hold(Fingerprint request) {
-    context.note(
+    context.logEvent(
         EventCode.POISON_HELD,
         request.toString(),
         "ends=" + ledger.ends(request) + " held=" + held());
@@ -162,7 +162,7 @@
   private void expireLater() {
     if (!expiring) {
       expiring = true;
-      context.after(EXPIRE_MILLIS, this::expire);
+      context.schedule(EXPIRE_MILLIS, this::expire);
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
@@ -76,7 +76,7 @@
   private void learnt(PoisonFact fact, PoisonControl.Source source) {
     boolean known = control.ends(fact.request()) >= ENDS_THAT_ARE_WRITTEN;
     if (known && source != PoisonControl.Source.STORE) {
-      newsAt = context.knowledgeTime();
+      newsAt = context.nowIncludingSuspensions();
     }
     if (source != PoisonControl.Source.HERE) {
       return;
@@ -115,7 +115,7 @@
       write();
     } else {
       retryAt = context.now() + retryMillis;
-      context.after(retryMillis, this::write);
+      context.schedule(retryMillis, this::write);
       retryMillis = Math.min(LONGEST_RETRY_MILLIS, 2 * retryMillis);
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/Rests.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/Rests.java
@@ -59,7 +59,8 @@
   public void hear(TargetId target, long millis) {
     facts.hear(new RestFact(target, context.now(), context.now() + millis));
     Rest rest = rests.computeIfAbsent(target, any -> new Rest());
-    long until = context.knowledgeTime() + millis + context.random().nextLong(SPREAD_MILLIS);
+    long until =
+        context.nowIncludingSuspensions() + millis + context.random().nextLong(SPREAD_MILLIS);
     rest.until = Math.max(rest.until, until);
     rest.reopening = new Reopening();
   }
@@ -67,7 +68,7 @@
   /** Returns whether a target is in the time for which it asked this host for rest. */
   public boolean isResting(TargetId target) {
     Rest rest = rests.get(target);
-    return rest != null && context.knowledgeTime() < rest.until;
+    return rest != null && context.nowIncludingSuspensions() < rest.until;
   }
 
   /** Returns whether another host was asked for rest, so that this one better asks elsewhere. */
@@ -83,7 +84,7 @@
   public void sent(TargetId target) {
     Rest rest = rests.get(target);
     if (rest != null) {
-      rest.reopening.noteSent(context.knowledgeTime());
+      rest.reopening.noteSent(context.nowIncludingSuspensions());
     }
   }
 
@@ -92,7 +93,7 @@
     if (rests.isEmpty()) {
       return Set.of();
     }
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     rests.values().removeIf(rest -> rest.isOver(now));
     Set<TargetId> barred = new HashSet<>();
     rests.forEach(
@@ -107,7 +108,7 @@
   /** Returns in how many milliseconds a target may be sent a request; 0 if it may now. */
   public long millisTo(TargetId target) {
     Rest rest = rests.get(target);
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     if (rest == null || rest.admits(now)) {
       return 0;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
@@ -94,7 +94,7 @@
 
   /** Takes in the list of targets that the registry takes in next. */
   public void learnTargets(HostList list) {
-    versions.learn(list, context.knowledgeTime());
+    versions.learn(list, context.nowIncludingSuspensions());
   }
 
   /**
@@ -122,10 +122,11 @@
       return;
     }
     abandon(known, order);
-    long notBefore = Math.max(ordersProvenAt, context.knowledgeTime() - order.durationMillis());
+    long notBefore =
+        Math.max(ordersProvenAt, context.nowIncludingSuspensions() - order.durationMillis());
     rollouts.put(order.service(), new Rollout(bounds, context.random(), order, notBefore));
     book.keepOnly(order.service(), order.revision());
-    context.note(
+    context.logEvent(
         EventCode.ROLLOUT_ORDERED,
         order.service().value(),
         "version=" + order.version() + " durationMillis=" + order.durationMillis());
@@ -166,7 +167,7 @@
     rollout.learn(row, reading.get().offset(), reading.get().provenAt());
     Optional<RolloutState> after = rollout.record().map(RolloutRecord::state);
     if (!before.equals(after)) {
-      context.note(
+      context.logEvent(
           EventCode.ROLLOUT_STATE,
           service.value(),
           "version=" + row.version() + " state=" + after.orElseThrow() + " " + inputs(rollout));
@@ -179,7 +180,7 @@
     Rollout rollout = rollouts.get(service);
     if (rollout != null && rollout.isRunning()) {
       RouteTraffic traffic = RouteTraffic.of(route, evidence(rollout));
-      double share = rollout.share(context.knowledgeTime(), traffic);
+      double share = rollout.share(context.nowIncludingSuspensions(), traffic);
       if (share > 0 && share < 1 && rollout.draw(route, share)) {
         return VersionRule.only(rollout.order().version());
       }
@@ -196,7 +197,7 @@
       return VersionRule.except(heldBack);
     }
     boolean alone = versions.isOnly(service, rollout.order().version());
-    return rollout.rule(context.knowledgeTime(), heldBack, alone);
+    return rollout.rule(context.nowIncludingSuspensions(), heldBack, alone);
   }
 
   /**
@@ -208,7 +209,7 @@
     Rollout rollout = rollouts.get(service);
     String version = target.description().version();
     boolean triedOut =
-        fresh && rollout != null && rollout.triesOut(version, context.knowledgeTime());
+        fresh && rollout != null && rollout.triesOut(version, context.nowIncludingSuspensions());
     return triedOut || rule(service).admits(target);
   }
 
@@ -271,7 +272,7 @@
   private void tickSoon() {
     if (!ticking) {
       ticking = true;
-      context.after(TICK_MILLIS, this::tick);
+      context.schedule(TICK_MILLIS, this::tick);
     }
   }
 
@@ -288,10 +289,10 @@
   private void tick(Rollout rollout) {
     Verdict.Kind before = rollout.verdict().kind();
     if (rollout.isRunning()) {
-      rollout.judge(evidence(rollout), context.knowledgeTime());
+      rollout.judge(evidence(rollout), context.nowIncludingSuspensions());
     }
     if (rollout.verdict().kind() != before) {
-      context.note(
+      context.logEvent(
           EventCode.ROLLOUT_JUDGED,
           rollout.order().service().value(),
           "verdict=" + rollout.verdict().kind() + " " + inputs(rollout));
@@ -302,7 +303,7 @@
   private Optional<RolloutRecord> due(Rollout rollout) {
     if (rollout.record().isPresent()) {
       boolean open = openBefore.test(rollout);
-      return rollout.due(context.knowledgeTime(), reader.getAsBoolean(), open);
+      return rollout.due(context.nowIncludingSuspensions(), reader.getAsBoolean(), open);
     }
     if (reading.isEmpty() || !reader.getAsBoolean()) {
       return Optional.empty();
@@ -315,14 +316,14 @@
   /** Writes at once if this host reads for others, else a little later if nobody has by then. */
   private void write(Rollout rollout, RolloutRecord record) {
     ServiceName service = rollout.order().service();
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     long wait = reader.getAsBoolean() ? 0 : context.random().nextLong(SPREAD_MILLIS);
     long at = writeAt.computeIfAbsent(service, any -> now + wait);
     if (now < at) {
       return;
     }
     writeAt.put(service, now + WRITE_MILLIS);
-    context.note(
+    context.logEvent(
         EventCode.ROLLOUT_DECIDED,
         service.value(),
         "version=" + record.version() + " state=" + record.state() + " " + inputs(rollout));
@@ -346,7 +347,8 @@
   private String describe(Rollout rollout) {
     RolloutOrder order = rollout.order();
     String state = rollout.record().map(row -> row.state().name()).orElse("NOT_BEGUN");
-    String stage = rollout.isRunning() ? " stage=" + rollout.stage(context.knowledgeTime()) : "";
+    String stage =
+        rollout.isRunning() ? " stage=" + rollout.stage(context.nowIncludingSuspensions()) : "";
     return order.service()
         + " version="
         + order.version()
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
@@ -104,12 +104,12 @@
 
   /** Puts times of the steady clock on the one that counts suspensions. */
   private TargetFact inward(TargetFact fact) {
-    return fact.later(context.knowledgeTime() - context.now());
+    return fact.later(context.nowIncludingSuspensions() - context.now());
   }
 
   /** Puts times back on the steady clock, so that the age by that is the true one. */
   private TargetFact outward(TargetFact fact) {
-    return fact.later(context.now() - context.knowledgeTime());
+    return fact.later(context.now() - context.nowIncludingSuspensions());
   }
 
   private void take(TargetFact fact, Source source) {
@@ -134,7 +134,7 @@
     }
     entry.loggedAt = context.now();
     TargetFact fact = entry.fact;
-    context.note(
+    context.logEvent(
         fact.kind().code(),
         fact.target().toString(),
         fact.kind().valueName()
@@ -145,7 +145,7 @@
             + " source="
             + source
             + " ageMillis="
-            + (context.knowledgeTime() - fact.since())
+            + (context.nowIncludingSuspensions() - fact.since())
             + " known="
             + entries.get(fact.kind()).size());
   }
@@ -161,7 +161,7 @@
   private void forgetLater() {
     if (!forgetting) {
       forgetting = true;
-      context.after(FORGET_MILLIS, this::forget);
+      context.schedule(FORGET_MILLIS, this::forget);
     }
   }
 
@@ -176,7 +176,7 @@
   /** A fact may come before the list that names its target, so young ones are kept. */
   private boolean isOver(Entry entry) {
     TargetFact fact = entry.fact;
-    long before = context.knowledgeTime() - fact.kind().keptMillis();
+    long before = context.nowIncludingSuspensions() - fact.kind().keptMillis();
     boolean over = !isListed.test(fact.target()) && fact.since() < before;
     if (over) {
       numbered.remove(entry.number);
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
@@ -29,7 +29,7 @@
 
   private void note(Seen header, TargetId target, String value) {
     if (seen.size() < MOST_NAMES && seen.add(header)) {
-      context.note(
+      context.logEvent(
           EventCode.TARGET_HEADER_UNKNOWN,
           target.toString(),
           "service="
--- a/gatereel-core/src/main/java/org/gatereel/core/target/ListChanges.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/ListChanges.java
@@ -37,7 +37,7 @@
     if (came.isEmpty() && leaving.isEmpty() && gone.isEmpty()) {
       return;
     }
-    context.note(
+    context.logEvent(
         EventCode.TARGETS_CHANGED,
         Long.toString(version),
         "known="
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -124,7 +124,7 @@
         changes.gone(id);
       }
     }
-    long before = context.knowledgeTime() - LEAVING_KEPT_MILLIS;
+    long before = context.nowIncludingSuspensions() - LEAVING_KEPT_MILLIS;
     saidToLeave
         .entrySet()
         .removeIf(run -> run.getValue() < before && !named.contains(run.getKey()));
@@ -141,13 +141,13 @@
     boolean news = markLeaving(id);
     if (news) {
       int open = targets.get(id).openHere();
-      context.note(EventCode.TARGET_LEAVING, id.toString(), "open here: " + open);
+      context.logEvent(EventCode.TARGET_LEAVING, id.toString(), "open here: " + open);
     }
     return news;
   }
 
   private boolean markLeaving(TargetId id) {
-    saidToLeave.put(id, context.knowledgeTime());
+    saidToLeave.put(id, context.nowIncludingSuspensions());
     return turnAway(id);
   }
 
@@ -264,7 +264,7 @@
   /** Notes a sign of life. */
   public void answered(TargetState target) {
     if (target.answered()) {
-      context.note(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
+      context.logEvent(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
     }
   }
 
@@ -285,7 +285,7 @@
       target.noteError(context.now());
     }
     if (target.failed(failure, context.now())) {
-      context.note(EventCode.TARGET_FAILING, id.toString(), failure.name());
+      context.logEvent(EventCode.TARGET_FAILING, id.toString(), failure.name());
     }
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/ConsiderationTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/ConsiderationTest.java
@@ -76,7 +76,7 @@
 
   @BeforeEach
   void listEngines() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     targets.see(
         new HostList(
             1,
@@ -166,9 +166,9 @@
   void anEngineThatFailedElsewhereIsAskedLastUntilTheNewsIsOld() {
     othersHave(
         Map.of("n1", new TargetLoad(0, 0, 0, 0, context.now()), "n2", open(2), "s1", open(2)));
-    context.moveTo(context.now() + 201);
+    context.advanceTo(context.now() + 201);
     assertEquals("n2", chosen());
-    context.moveTo(context.now() + 1_400);
+    context.advanceTo(context.now() + 1_400);
 
     assertEquals("n1", chosen());
   }
@@ -206,7 +206,7 @@
     othersHave(Map.of("n2", open(1), "s1", open(3)));
     assertEquals("s1", otherThan("n1"));
 
-    context.moveTo(context.now() + 201);
+    context.advanceTo(context.now() + 201);
 
     assertEquals("n2", otherThan("n1"));
   }
@@ -289,7 +289,7 @@
     othersHave(Map.of("n2", open(2), "s1", open(2)));
     assertEquals("n2", chosen());
 
-    context.moveTo(context.now() + 6_000);
+    context.advanceTo(context.now() + 6_000);
     othersHave(Map.of("n2", open(2), "s1", open(2)));
 
     assertEquals("n1", chosen());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationKeeperTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationKeeperTest.java
@@ -29,18 +29,18 @@
   @Test
   void refusesKeysAfterASuspensionUntilTheConfigurationIsProvedAnew() {
     world.pass(100);
-    world.context.noteLost(4_800);
+    world.context.recordSuspension(4_800);
     assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
 
-    keeper.confirm(1, world.context.knowledgeTime());
+    keeper.confirm(1, world.context.nowIncludingSuspensions());
 
     assertEquals("allowed", refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
   void anAnswerToAQuestionFromBeforeASuspensionProvesNothingOfTheTimeAfter() {
-    long askedAt = world.context.knowledgeTime();
-    world.context.noteLost(6_000);
+    long askedAt = world.context.nowIncludingSuspensions();
+    world.context.recordSuspension(6_000);
     keeper.confirm(1, askedAt);
 
     assertEquals(6_000, keeper.ageMillis());
@@ -49,7 +49,7 @@
 
   @Test
   void callsNoKeyUnknownAfterASuspension() {
-    world.context.noteLost(3_000);
+    world.context.recordSuspension(3_000);
 
     assertEquals(Refusal.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
     assertEquals(Refusal.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
@@ -71,7 +71,7 @@
   }
 
   private void refresh(long now) {
-    context.moveTo(now);
+    context.advanceTo(now);
     settled = Optional.of("not settled");
     refresher.refresh(now, problem -> settled = problem);
   }
@@ -93,7 +93,7 @@
   @Test
   void aHostWithoutAReaderReadsTheStoreItself() {
     refresh(100);
-    context.moveTo(150);
+    context.advanceTo(150);
     sources.answerStore(new StoreAnswer.Read("text", "digest", 7));
     assertEquals(Optional.empty(), settled);
     assertEquals(3, taken.size());
@@ -107,7 +107,7 @@
     refresh(1_000);
     assertEquals(List.of(PEER), sources.peers);
     assertTrue(sources.store.isEmpty());
-    context.moveTo(1_050);
+    context.advanceTo(1_050);
     sources.peer.accept(
         Optional.of(
             List.of(
@@ -146,7 +146,7 @@
     refresh(1_000);
     sources.answerStore(new StoreAnswer.Failed("status 503"));
     assertEquals(List.of(PEER), sources.peers);
-    context.moveTo(1_200);
+    context.advanceTo(1_200);
     sources.peer.accept(Optional.of(List.of(reading(DocumentKind.CONFIGURATION, 7, 100))));
     assertTrue(settled.orElseThrow().contains("status 503"));
     assertEquals(900, cache.find(DocumentKind.CONFIGURATION).orElseThrow().provenAt());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -218,7 +218,7 @@
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
     keeper = new ConfigurationKeeper(context, new ConfigurationKeeper.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
-    context.moveTo(START);
+    context.advanceTo(START);
     TargetPort port =
         new TargetPort() {
           @Override
@@ -378,7 +378,7 @@
   void pass(long millis) {
     long end = context.now() + millis;
     while (context.now() < end) {
-      context.moveTo(context.now() + 1);
+      context.advanceTo(context.now() + 1);
       context.timers().runDue(context.now());
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
@@ -28,7 +28,7 @@
 
   private void passTo(long time) {
     while (context.now() < time) {
-      context.moveTo(context.now() + 1);
+      context.advanceTo(context.now() + 1);
       context.timers().runDue(context.now());
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -57,7 +57,7 @@
   }
 
   private void order(ServiceName service, RolloutState state) {
-    long now = world.context.knowledgeTime();
+    long now = world.context.nowIncludingSuspensions();
     world.rollouts.learnOrders(List.of(new RolloutOrder(service, "v2", DURATION, 5)), now);
     world.rollouts.learnRecords(
         List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
@@ -78,7 +78,7 @@
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
-    world.context.noteLost(3_000);
+    world.context.recordSuspension(3_000);
 
     for (int request = 0; request < REQUESTS; request++) {
       world.ask("/safe/x", new ForwardWorld.Caller());
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitBookTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/LimitBookTest.java
@@ -31,11 +31,11 @@
   private final LimitBook book = new LimitBook(context, facts);
 
   LimitBookTest() {
-    context.moveTo(100_000);
+    context.advanceTo(100_000);
   }
 
   private void pass(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -147,7 +147,7 @@
   void whatAHostHeardBeforeItWasSuspendedIsNoYoungerForIt() {
     hear(8, 0);
     pass(100);
-    context.noteLost(5_000);
+    context.recordSuspension(5_000);
 
     long told = facts.after(0, 1).get(0).fact().since();
     assertEquals(5_100, context.now() - told);
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/LimitWorld.java
@@ -56,7 +56,7 @@
       dataCentre = dataCentre(index % dataCentres);
       address = new Address("10.0." + index / 200 + "." + index % 200, 7);
       context = new CoreContext(new HostId("h" + index), dataCentre, new SplittableRandom(index));
-      context.moveTo(now);
+      context.advanceTo(now);
       limits = new TargetLimits(context, new TargetFacts(context, any -> true), this, this::borrow);
       limits.book().learn(fact());
     }
@@ -133,7 +133,7 @@
       if (!alive) {
         return;
       }
-      context.moveTo(now);
+      context.advanceTo(now);
       context.timers().runDue(now);
       task.run();
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/load/LoadWorld.java
@@ -60,7 +60,7 @@
       this.address = address;
       context =
           new CoreContext(new HostId(name), new DataCentre(dataCentre), new SplittableRandom(seed));
-      context.moveTo(now);
+      context.advanceTo(now);
       targets = new TargetRegistry(context, new PolicyTable());
       targets.see(new HostList(1, List.of(), List.of(engine())));
       directory = new HostDirectory(context, address);
@@ -213,7 +213,7 @@
     while (now < end) {
       now++;
       for (Host host : List.copyOf(hosts.values())) {
-        host.context.moveTo(now);
+        host.context.advanceTo(now);
         if (!silent.contains(host.name)) {
           host.context.timers().runDue(now);
         }
--- a/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
@@ -66,7 +66,7 @@
     List<HostId> lost = new ArrayList<>();
     members.onLost(lost::add);
     for (long now = 0; now <= 3_000; now += 500) {
-      context.moveTo(now);
+      context.advanceTo(now);
       context.timers().runDue(now);
       members.heard(new HostId("host-2"));
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
@@ -74,7 +74,7 @@
 
   @BeforeEach
   void listTargets() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     List<TargetDescription> listed = new ArrayList<>();
     for (int index = 0; index < TARGETS; index++) {
       listed.add(target("e" + index, TargetKind.ENGINE, ENGINES, index));
@@ -172,7 +172,7 @@
 
     for (int index = 0; index < 50; index++) {
       assertInstanceOf(Verdict.Send.class, overload.arrive(stream(HOT)));
-      context.moveTo(context.now() + 1_000);
+      context.advanceTo(context.now() + 1_000);
       othersTell(1, asked(ENGINES, 9, 0.5));
     }
   }
@@ -248,7 +248,7 @@
     othersTell(4, asked(ENGINES, 90, 2));
     Arrival waiting = stream(HOT);
     overload.arrive(waiting);
-    context.moveTo(context.now() + 16_000);
+    context.advanceTo(context.now() + 16_000);
     othersTell(4, asked(ENGINES, 90, 2));
 
     assertInstanceOf(Verdict.Refuse.class, overload.askAgain(waiting));
@@ -267,7 +267,7 @@
     assertInstanceOf(Verdict.Refuse.class, refused);
     assertTrue(((Verdict.Refuse) refused).retryAfterMillis() <= 500);
     assertInstanceOf(Verdict.Send.class, overload.arrive(call(SMALL)));
-    context.moveTo(context.now() + 1_001);
+    context.advanceTo(context.now() + 1_001);
     othersTell(0, asked(COUNTERS, 3_000, 10));
     assertInstanceOf(Verdict.Send.class, overload.arrive(call(HOT)));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
@@ -42,7 +42,7 @@
   }
 
   private void pass(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
@@ -26,11 +26,11 @@
   private final Rests rests = new Rests(context, facts);
 
   RestsTest() {
-    context.moveTo(100_000);
+    context.advanceTo(100_000);
   }
 
   private void pass(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -94,7 +94,7 @@
   void timeInWhichTheHostWasSuspendedCounts() {
     rests.hear(TARGET, 3_000);
 
-    context.noteLost(3_000 + BACK_WITHIN_MILLIS);
+    context.recordSuspension(3_000 + BACK_WITHIN_MILLIS);
 
     assertTrue(admits());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rollout/RolloutWorld.java
@@ -97,7 +97,7 @@
       context =
           new CoreContext(
               new HostId(name), new DataCentre("north"), new SplittableRandom(random.nextLong()));
-      context.moveTo(now);
+      context.advanceTo(now);
       targets = new TargetRegistry(context, new PolicyTable());
       control = new RolloutControl(context, bounds);
       control.hearOthers(this::others);
@@ -169,7 +169,7 @@
       if (dead) {
         return;
       }
-      context.moveTo(now);
+      context.advanceTo(now);
       context.timers().runDue(now);
       task.run();
       context.takeActions();
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
@@ -26,12 +26,12 @@
   private final List<TargetFact> news = new ArrayList<>();
 
   TargetFactsTest() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     facts.onNews(news::add);
   }
 
   private void pass(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
@@ -64,9 +64,9 @@
   public void moveClocks() {
     long steadyMillis = nowMillis();
     long lost = suspensions.observe(steadyMillis, System.currentTimeMillis());
-    context.moveTo(steadyMillis);
+    context.advanceTo(steadyMillis);
     if (lost > 0) {
-      context.noteLost(lost);
+      context.recordSuspension(lost);
     }
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ForwardHost.java
@@ -87,7 +87,7 @@
             new HostId(settings.host()),
             new DataCentre(settings.dataCentre()),
             new SplittableRandom(ThreadLocalRandom.current().nextLong()));
-    context.moveTo(ControlThread.nowMillis());
+    context.advanceTo(ControlThread.nowMillis());
     control = new ControlThread(loop, context, log);
     ForwardSettings.Bounds bounds = settings.bounds();
     configuration =
@@ -258,7 +258,7 @@
         .execute(
             () ->
                 control.run(
-                    () -> context.note(EventCode.SETTINGS_RELOADED, settings.host(), outcome)));
+                    () -> context.logEvent(EventCode.SETTINGS_RELOADED, settings.host(), outcome)));
   }
 
   /** Withdraws readiness, finishes what is open, and returns when that is done or time is up. */
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -67,7 +67,7 @@
     // The asker takes the age for true, so that it must count the time this host was suspended.
     control.moveClocks();
     return new StatusServer.Page(
-        OK, PeerDocuments.answer(question, known, context.knowledgeTime()));
+        OK, PeerDocuments.answer(question, known, context.nowIncludingSuspensions()));
   }
 
   private void loans(String question, Consumer<StatusServer.Page> answer) {
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/HostModel.java
@@ -66,7 +66,7 @@
     this.time = world.time();
     this.address = address;
     context = new CoreContext(new HostId(name), dataCentre, new SplittableRandom(seed));
-    context.moveTo(time.millis());
+    context.advanceTo(time.millis());
     targets = new TargetRegistry(context, new PolicyTable());
     directory = new HostDirectory(context, address);
     keeper =
@@ -145,7 +145,7 @@
 
   /** Runs one step of the host and arms its next timer. */
   void step(Runnable task) {
-    context.moveTo(time.millis());
+    context.advanceTo(time.millis());
     context.timers().runDue(context.now());
     task.run();
     context.takeActions().forEach(world::noted);
--- a/gatereel-wire/src/main/java/org/gatereel/wire/MessageDecoder.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/MessageDecoder.java
@@ -9,7 +9,7 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.peer.CallState;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.wire.generated.ClaimResult;
 import org.gatereel.wire.generated.CopyAppend;
 import org.gatereel.wire.generated.CopyHeld;
@@ -55,7 +55,7 @@
         case TAKE_OVER_REFUSED ->
             new PeerMessage.TakeOverRefused(
                 envelope.getTakeOverRefused().getTicket(),
-                TakeOverRefusal.valueOf(envelope.getTakeOverRefused().getReason()));
+                TakeoverRefusal.valueOf(envelope.getTakeOverRefused().getReason()));
         case CLAIM_ASK ->
             new PeerMessage.ClaimAsk(
                 envelope.getClaimAsk().getTicket(),
--- a/gatereel-wire/src/test/java/org/gatereel/wire/MessageCodecTest.java
+++ b/gatereel-wire/src/test/java/org/gatereel/wire/MessageCodecTest.java
@@ -16,7 +16,7 @@
 import org.gatereel.core.model.TargetId;
 import org.gatereel.core.peer.CallState;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.core.table.Row;
 import org.gatereel.core.table.RowKey;
 import org.gatereel.core.table.RowKind;
@@ -50,7 +50,7 @@
         new PeerMessage.CopyDrop(REQUEST, 3),
         new PeerMessage.TakeOver(-5, REQUEST, new AccountId("a"), 6, -1),
         new PeerMessage.TakeOverGranted(-5, SPEC, 3, List.of("x"), false),
-        new PeerMessage.TakeOverRefused(-5, TakeOverRefusal.OTHER_PREFIX),
+        new PeerMessage.TakeOverRefused(-5, TakeoverRefusal.OTHER_PREFIX),
         new PeerMessage.ClaimAsk(1, "claim/k", "v"),
         new PeerMessage.ClaimResult(1, Optional.of("v")),
         new PeerMessage.ClaimResult(1, Optional.empty()),
