--- a/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
@@ -23,12 +23,12 @@
 import org.gatereel.core.table.Row;
 
 /**
- * Runs calls that may not be repeated at most once for each Idempotency-Key, whichever hosts the
- * caller sends it to.
+ * Executes calls that may not be repeated at most once for each Idempotency-Key, also when a caller
+ * sends the same key to several hosts.
  *
- * <p>The row of a claim is never taken away from a host that may still act on it. A host that gave
- * a claim up remembers the value it wrote and says so when asked; only then may another value
- * replace it, by compare and swap, so that of several hosts one goes on.
+ * <p>A host executes a call only while the key's row holds the claim that it wrote. A claim is
+ * replaced, by compare and swap, only after the host that wrote it has confirmed that it will never
+ * execute the call.
  */
 final class AtMostOnceCalls {
   private static final long RECORD_EXPIRY_TIMEOUT_MILLIS = 600_000;
@@ -52,7 +52,7 @@
     this.runner = runner;
   }
 
-  /** One caller's wish to have a call run. */
+  /** The request of one caller to execute a call. */
   private record CallRequest(
       CallRunner.Call call,
       Row account,
@@ -64,82 +64,92 @@
     }
   }
 
-  /** A question to the host that holds a claim. */
+  /** A query for the outcome of a call, sent to the host that holds the claim. */
   private record OutcomeQuery(
-      HostId host, CallRequest request, String present, TimerQueue.Timer timer) {}
+      HostId host, CallRequest request, String currentValue, TimerQueue.Timer timer) {}
 
-  /** Runs a call, or gives the answer that an earlier request with its key had. */
+  /** Executes a call, or reports the outcome of an earlier request with the same key. */
   void execute(CallRunner.Call call, Row account, Row service, CallRunner.Listener listener) {
     String digest =
         Hashing.sipHash24()
             .hashString(call.service().value() + "|" + call.body(), StandardCharsets.UTF_8)
             .toString();
-    CallRequest wish = new CallRequest(call, account, service, listener, digest);
-    CallRecord record = records.get(wish.key());
+    CallRequest request = new CallRequest(call, account, service, listener, digest);
+    CallRecord record = records.get(request.key());
     if (record == null) {
-      record = new CallRecord(wish.key(), digest);
-      records.put(wish.key(), record);
-      claim(wish, record, Optional.empty(), 0);
+      record = new CallRecord(request.key(), digest);
+      records.put(request.key(), record);
+      claim(request, record, Optional.empty(), 0);
     } else if (!record.bodyDigest().equals(digest)) {
-      listener.onFailure(bodyChanged(wish));
+      listener.onFailure(bodyChanged(request));
     } else if (record.state() == CallState.NOT_SENT) {
-      claim(wish, record, Optional.empty(), 0);
+      claim(request, record, Optional.empty(), 0);
     } else if (record.state() == CallState.RUNNING) {
-      record.addListener(ended -> notifyListener(wish, ended));
+      record.addListener(endedRecord -> notifyListener(request, endedRecord));
     } else {
-      notifyListener(wish, record);
+      notifyListener(request, record);
     }
   }
 
-  private void claim(CallRequest wish, CallRecord record, Optional<String> replaced, int swaps) {
+  private void claim(
+      CallRequest request, CallRecord record, Optional<String> replaced, int replacements) {
     String nonce = Long.toHexString(context.random().nextLong());
-    String value = new ClaimValue(context.self(), nonce, wish.bodyDigest()).toString();
+    String value = new ClaimValue(context.self(), nonce, request.bodyDigest()).toString();
     record.startClaim(value);
     TableWrite write =
         replaced
-            .map(old -> TableWrite.replace(wish.key(), old, value))
-            .orElseGet(() -> TableWrite.insert(wish.key(), value));
-    claims.claim(write, present -> handleClaimResult(wish, record, value, present, swaps));
+            .map(old -> TableWrite.replace(request.key(), old, value))
+            .orElseGet(() -> TableWrite.insert(request.key(), value));
+    claims.claim(
+        write,
+        currentValue -> handleClaimResult(request, record, value, currentValue, replacements));
   }
 
   private void handleClaimResult(
-      CallRequest wish, CallRecord record, String value, Optional<String> present, int swaps) {
-    if (present.isEmpty()) {
+      CallRequest request,
+      CallRecord record,
+      String value,
+      Optional<String> currentValue,
+      int replacements) {
+    if (currentValue.isEmpty()) {
       context.logEvent(
-          EventCode.CLAIM_FAILED, wish.call().executionId(), "the table did not answer");
-      failUnsent(wish, record, claimUnconfirmed("the claim was not confirmed"));
-    } else if (present.get().equals(value)) {
-      context.logEvent(EventCode.CLAIM_GRANTED, wish.call().executionId(), value);
-      send(wish, record);
+          EventCode.CLAIM_FAILED,
+          request.call().executionId(),
+          "the platform's table did not respond");
+      failUnsent(request, record, claimUnconfirmed("the claim was not confirmed"));
+    } else if (currentValue.get().equals(value)) {
+      context.logEvent(EventCode.CLAIM_GRANTED, request.call().executionId(), value);
+      send(request, record);
     } else {
-      handleClaimTaken(wish, record, present.get(), swaps);
+      handleClaimTaken(request, record, currentValue.get(), replacements);
     }
   }
 
-  private void failUnsent(CallRequest wish, CallRecord record, Problem problem) {
+  private void failUnsent(CallRequest request, CallRecord record, Problem problem) {
     record.abandonClaim();
-    wish.listener().onFailure(problem);
+    request.listener().onFailure(problem);
     record.finish(CallState.NOT_SENT);
     scheduleExpiry(record);
   }
 
-  private void send(CallRequest wish, CallRecord record) {
-    runner.execute(wish.call(), wish.account(), wish.service(), new ResultListener(wish, record));
+  private void send(CallRequest request, CallRecord record) {
+    runner.execute(
+        request.call(), request.account(), request.service(), new ResultListener(request, record));
   }
 
-  /** Remembers how the call ended and tells all who wait for it. */
+  /** Records how the call ended and notifies all listeners of the record. */
   private final class ResultListener implements CallRunner.Listener {
-    private final CallRequest wish;
+    private final CallRequest request;
     private final CallRecord record;
 
-    private ResultListener(CallRequest wish, CallRecord record) {
-      this.wish = wish;
+    private ResultListener(CallRequest request, CallRecord record) {
+      this.request = request;
       this.record = record;
     }
 
     @Override
     public void onResponse(int status, String body) {
-      wish.listener().onResponse(status, body);
+      request.listener().onResponse(status, body);
       record.complete(status, body);
       scheduleExpiry(record);
     }
@@ -147,10 +157,10 @@
     @Override
     public void onFailure(Problem problem) {
       if (problem.outcome() == Outcome.NOT_RUN) {
-        failUnsent(wish, record, problem);
+        failUnsent(request, record, problem);
         return;
       }
-      wish.listener().onFailure(problem);
+      request.listener().onFailure(problem);
       record.finish(CallState.FAILED);
       scheduleExpiry(record);
     }
@@ -169,95 +179,106 @@
         });
   }
 
-  private void handleClaimTaken(CallRequest wish, CallRecord record, String present, int swaps) {
-    Optional<ClaimValue> claim = ClaimValue.parse(present);
-    boolean otherBody = claim.isPresent() && !claim.get().bodyDigest().equals(wish.bodyDigest());
+  private void handleClaimTaken(
+      CallRequest request, CallRecord record, String currentValue, int replacements) {
+    Optional<ClaimValue> claim = ClaimValue.parse(currentValue);
+    boolean otherBody = claim.isPresent() && !claim.get().bodyDigest().equals(request.bodyDigest());
     if (otherBody) {
-      failClaimedElsewhere(wish, record, bodyChanged(wish));
-    } else if (claim.isEmpty() || swaps >= MAX_CLAIM_REPLACEMENTS) {
-      failClaimedElsewhere(wish, record, alreadyClaimed(wish, "the claim cannot be followed"));
-    } else if (record.hasAbandoned(present)) {
-      claim(wish, record, Optional.of(present), swaps + 1);
+      failClaimedElsewhere(request, record, bodyChanged(request));
+    } else if (claim.isEmpty() || replacements >= MAX_CLAIM_REPLACEMENTS) {
+      failClaimedElsewhere(
+          request,
+          record,
+          alreadyClaimed(request, "the outcome of the claim cannot be determined"));
+    } else if (record.hasAbandoned(currentValue)) {
+      claim(request, record, Optional.of(currentValue), replacements + 1);
     } else {
-      queryOutcome(wish, record, claim.get().host(), present, swaps);
+      queryOutcome(request, record, claim.get().host(), currentValue, replacements);
     }
   }
 
   private void queryOutcome(
-      CallRequest wish, CallRecord record, HostId host, String present, int swaps) {
-    context.logEvent(EventCode.CLAIM_TAKEN, wish.call().executionId(), "by " + host);
+      CallRequest request, CallRecord record, HostId host, String currentValue, int replacements) {
+    context.logEvent(EventCode.CLAIM_TAKEN, request.call().executionId(), "by " + host);
     if (host.equals(context.self())) {
       failClaimedElsewhere(
-          wish, record, alreadyClaimed(wish, "an earlier process of this host had it"));
+          request, record, alreadyClaimed(request, "an earlier process of this host claimed it"));
       return;
     }
     if (!members.isAnswering(host)) {
-      failClaimedElsewhere(wish, record, hostUnresponsive(wish, host));
+      failClaimedElsewhere(request, record, hostUnresponsive(request, host));
       return;
     }
     long ticket = context.nextTicket();
-    long patience = OUTCOME_TIMEOUT_MILLIS + wish.service().number(Column.CALL_TIMEOUT_MILLIS);
-    TimerQueue.Timer timer = context.schedule(patience, () -> handleQueryTimeout(ticket));
-    queries.put(ticket, new OutcomeQuery(host, wish, present, timer));
-    record.claimReplacements(swaps);
+    long timeoutMillis =
+        OUTCOME_TIMEOUT_MILLIS + request.service().number(Column.CALL_TIMEOUT_MILLIS);
+    TimerQueue.Timer timer = context.schedule(timeoutMillis, () -> handleQueryTimeout(ticket));
+    queries.put(ticket, new OutcomeQuery(host, request, currentValue, timer));
+    record.claimReplacements(replacements);
     context.emit(
-        new Action.SendPeer(host, new PeerMessage.OutcomeAsk(ticket, wish.key(), present)));
+        new Action.SendPeer(host, new PeerMessage.OutcomeAsk(ticket, request.key(), currentValue)));
   }
 
   private void handleQueryTimeout(long ticket) {
-    OutcomeQuery question = queries.remove(ticket);
-    if (question != null) {
-      question.timer().cancel();
+    OutcomeQuery query = queries.remove(ticket);
+    if (query != null) {
+      query.timer().cancel();
       failClaimedElsewhere(
-          question.request(),
-          records.get(question.request().key()),
-          hostUnresponsive(question.request(), question.host()));
+          query.request(),
+          records.get(query.request().key()),
+          hostUnresponsive(query.request(), query.host()));
     }
   }
 
-  /** Ends a wish whose claim another host has; this host then knows nothing of the call. */
-  private void failClaimedElsewhere(CallRequest wish, CallRecord record, Problem problem) {
-    records.remove(wish.key());
-    wish.listener().onFailure(problem);
+  /** Fails a request whose key another host claimed, and removes its record. */
+  private void failClaimedElsewhere(CallRequest request, CallRecord record, Problem problem) {
+    records.remove(request.key());
+    request.listener().onFailure(problem);
     if (record != null) {
       record.finish(CallState.FORGOTTEN);
     }
   }
 
-  private void notifyListener(CallRequest wish, CallRecord ended) {
-    switch (ended.state()) {
-      case ANSWERED -> wish.listener().onResponse(ended.status(), ended.body());
+  private void notifyListener(CallRequest request, CallRecord endedRecord) {
+    switch (endedRecord.state()) {
+      case ANSWERED -> request.listener().onResponse(endedRecord.status(), endedRecord.body());
       case NOT_SENT ->
-          wish.listener().onFailure(claimUnconfirmed("the call was not sent from here"));
-      default -> wish.listener().onFailure(alreadyClaimed(wish, "its target failed or is unknown"));
+          request.listener().onFailure(claimUnconfirmed("this host did not send the call"));
+      default ->
+          request
+              .listener()
+              .onFailure(alreadyClaimed(request, "the target failed or the outcome is unknown"));
     }
   }
 
-  /** This host did not send the call; but another one may have, under the same key. */
+  /** The outcome is unknown because another host may have sent the call under the same key. */
   private static Problem claimUnconfirmed(String detail) {
     return new Problem(
         ProblemType.PLATFORM_UNAVAILABLE, Outcome.UNKNOWN, detail, RETRY_DELAY_MILLIS);
   }
 
-  private static Problem bodyChanged(CallRequest wish) {
+  private static Problem bodyChanged(CallRequest request) {
     // The request with the other body may have run under this key.
-    String detail = "key " + wish.call().executionId();
+    String detail = "key " + request.call().executionId();
     return new Problem(ProblemType.REQUEST_CHANGED, Outcome.UNKNOWN, detail, 0);
   }
 
-  /** The host with the claim may come back; asking again is safe, and may then bring the answer. */
-  private static Problem hostUnresponsive(CallRequest wish, HostId host) {
-    String detail = wish.call().executionId() + " is with " + host + ", which does not answer";
+  /** The retry delay lets the caller ask again, as the host with the claim may become reachable. */
+  private static Problem hostUnresponsive(CallRequest request, HostId host) {
+    String detail =
+        request.call().executionId() + " is claimed by " + host + ", which does not respond";
     return new Problem(
         ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, detail, UNRESPONSIVE_HOST_RETRY_DELAY_MILLIS);
   }
 
-  private static Problem alreadyClaimed(CallRequest wish, String detail) {
+  private static Problem alreadyClaimed(CallRequest request, String detail) {
     return new Problem(
-        ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, wish.call().executionId() + ": " + detail, 0);
+        ProblemType.ALREADY_CLAIMED,
+        Outcome.UNKNOWN,
+        request.call().executionId() + ": " + detail,
+        0);
   }
 
-  /** Takes in what a peer says about claims and calls. */
   void handlePeerMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.ClaimAsk ask) {
       claims.handleClaimAsk(from, ask);
@@ -275,10 +296,10 @@
     if (record != null && record.hasAbandoned(ask.claimValue())) {
       sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.NOT_SENT));
     } else if (record == null || !record.claimValue().equals(ask.claimValue())) {
-      // A claim of an earlier process of this host: whether it was acted on is not known here.
+      // An earlier process of this host wrote the claim, and may have executed the call.
       sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.FORGOTTEN));
     } else if (record.state() == CallState.RUNNING) {
-      record.addListener(ended -> sendOutcome(from, ask.ticket(), ended));
+      record.addListener(endedRecord -> sendOutcome(from, ask.ticket(), endedRecord));
     } else {
       sendOutcome(from, ask.ticket(), record);
     }
@@ -289,27 +310,28 @@
   }
 
   private void handleOutcomeAnswer(PeerMessage.OutcomeAnswer answer) {
-    OutcomeQuery question = queries.remove(answer.ticket());
-    if (question == null) {
+    OutcomeQuery query = queries.remove(answer.ticket());
+    if (query == null) {
       return;
     }
-    question.timer().cancel();
-    CallRequest wish = question.request();
-    CallRecord record = records.get(wish.key());
+    query.timer().cancel();
+    CallRequest request = query.request();
+    CallRecord record = records.get(request.key());
     if (answer.state() == CallState.NOT_SENT && record != null) {
-      claim(wish, record, Optional.of(question.present()), record.claimReplacements() + 1);
+      claim(request, record, Optional.of(query.currentValue()), record.claimReplacements() + 1);
     } else if (answer.state() == CallState.ANSWERED) {
-      records.remove(wish.key());
-      wish.listener().onResponse(answer.status(), answer.body());
+      records.remove(request.key());
+      request.listener().onResponse(answer.status(), answer.body());
       if (record != null) {
         record.complete(answer.status(), answer.body());
       }
     } else {
-      failClaimedElsewhere(wish, record, alreadyClaimed(wish, "the call failed or is unknown"));
+      failClaimedElsewhere(
+          request, record, alreadyClaimed(request, "the call failed or its outcome is unknown"));
     }
   }
 
-  /** Gives up questions to a lost peer, and writes the claims it was to write. */
+  /** Fails the queries to a lost peer, and writes the claims delegated to it on this host. */
   void handlePeerUnreachable(HostId peer) {
     claims.handlePeerUnreachable(peer);
     for (Map.Entry<Long, OutcomeQuery> entry : List.copyOf(queries.entrySet())) {
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.peer.CallState;
 import org.gatereel.core.peer.PeerMessage;
 
-/** What this host knows of a call that it claimed, or is about to claim. */
+/** The state of a call that this host has claimed or is claiming. */
 final class CallRecord {
   private final String key;
   private final String bodyDigest;
@@ -25,7 +25,6 @@
     this.bodyDigest = bodyDigest;
   }
 
-  /** Returns a record of a call that ended before. */
   static CallRecord ofState(String key, CallState state) {
     CallRecord record = new CallRecord(key, "");
     record.state = state;
@@ -52,12 +51,12 @@
     return body;
   }
 
-  /** Returns the value that this host last tried to write for the claim. */
+  /** Returns the value of the latest claim that this host tried to write. */
   String claimValue() {
     return claimValue;
   }
 
-  /** Returns how often this host tried to replace an abandoned claim. */
+  /** Returns how often this host has tried to replace an abandoned claim. */
   int claimReplacements() {
     return claimReplacements;
   }
@@ -66,7 +65,7 @@
     claimReplacements = count;
   }
 
-  /** Remembers that this host will never act on the value it last tried to write. */
+  /** Records that this host will never execute the call under its latest claim value. */
   void abandonClaim() {
     abandoned.add(claimValue);
   }
@@ -80,22 +79,22 @@
     state = CallState.RUNNING;
   }
 
-  /** Has {@code waiter} called when the call has ended. */
-  void addListener(Consumer<CallRecord> waiter) {
-    listeners.add(waiter);
+  /** Registers a listener that is called once, when the call ends. */
+  void addListener(Consumer<CallRecord> listener) {
+    listeners.add(listener);
   }
 
-  void complete(int answerStatus, String answerBody) {
-    status = answerStatus;
-    body = answerBody;
+  void complete(int responseStatus, String responseBody) {
+    status = responseStatus;
+    body = responseBody;
     finish(CallState.ANSWERED);
   }
 
-  void finish(CallState ended) {
-    state = ended;
-    List<Consumer<CallRecord>> told = List.copyOf(listeners);
+  void finish(CallState endState) {
+    state = endState;
+    List<Consumer<CallRecord>> notified = List.copyOf(listeners);
     listeners.clear();
-    told.forEach(waiter -> waiter.accept(this));
+    notified.forEach(listener -> listener.accept(this));
   }
 
   PeerMessage.OutcomeAnswer toOutcomeAnswer(long ticket) {
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -30,10 +30,10 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * Sends a plain call to a target, and to another one where that is allowed.
+ * Sends a plain call to a target, and retries it at other targets where that is allowed.
  *
- * <p>A call that may not be repeated is sent again only if the target that had it proved that it
- * did not run; after the first byte left, silence proves nothing.
+ * <p>A call that may not be repeated is retried only if the failure proves that the target did not
+ * execute it; a timeout or a broken connection after the first byte was sent proves nothing.
  */
 final class CallRunner {
   private static final int MAX_ATTEMPTS = 4;
@@ -47,7 +47,7 @@
   private final Runnable onTargetFreed;
   private final Map<Long, CallExecution> pendingByTicket = new HashMap<>();
 
-  /** Who wants to know how a call ended. */
+  /** Receives the outcome of a call. */
   interface Listener {
     void onResponse(int status, String body);
 
@@ -69,7 +69,7 @@
     this.onTargetFreed = targetFreed;
   }
 
-  /** What is to be sent. */
+  /** A plain call of a client account. */
   record Call(AccountId account, ServiceName service, String executionId, String body) {}
 
   private final class CallExecution implements Applicant {
@@ -165,10 +165,10 @@
       closeTarget();
       targets.failed(target, failure);
       boolean allowed = failure.provesNotRun() || repeatable;
-      boolean again =
+      boolean retry =
           allowed && attempts < MAX_ATTEMPTS && budgets.forService(call.service()).spend();
-      if (again && tryStart(false)) {
-        context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "try " + attempts);
+      if (retry && tryStart(false)) {
+        context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "attempt " + attempts);
       } else {
         giveUp(failure);
       }
@@ -179,13 +179,13 @@
       permit.close();
       Outcome outcome = mayHaveExecuted ? Outcome.UNKNOWN : Outcome.NOT_RUN;
       ProblemType type = mayHaveExecuted ? ProblemType.TARGET_FAILED : ProblemType.NO_TARGET;
-      boolean mayComeBack = repeatable || !mayHaveExecuted;
+      boolean canRetry = repeatable || !mayHaveExecuted;
       listener.onFailure(
           new Problem(
               type,
               outcome,
               target.description().id() + ": " + failure,
-              mayComeBack ? RETRY_DELAY_MILLIS : 0));
+              canRetry ? RETRY_DELAY_MILLIS : 0));
     }
 
     private void closeTarget() {
@@ -200,26 +200,26 @@
     }
   }
 
-  /** Sends a call once a target is free for it. */
+  /** Sends a call to a target once admission control admits it. */
   void execute(Call call, Row account, Row service, Listener listener) {
     boolean repeatable = service.truth(Column.REPEATABLE);
     budgets.forService(call.service()).earn(service.number(Column.RETRY_PERCENT));
-    CallExecution run =
+    CallExecution execution =
         new CallExecution(call, repeatable, account.number(Column.PRIORITY), listener);
-    run.permit = admission.apply(run, account, service);
+    execution.permit = admission.apply(execution, account, service);
   }
 
   void handleResponse(Event.CallAnswered event) {
-    CallExecution run = pendingByTicket.remove(event.ticket());
-    if (run != null) {
-      run.handleResponse(event);
+    CallExecution execution = pendingByTicket.remove(event.ticket());
+    if (execution != null) {
+      execution.handleResponse(event);
     }
   }
 
   void handleFailure(Event.CallFailed event) {
-    CallExecution run = pendingByTicket.remove(event.ticket());
-    if (run != null) {
-      run.handleFailure(event.failure());
+    CallExecution execution = pendingByTicket.remove(event.ticket());
+    if (execution != null) {
+      execution.handleFailure(event.failure());
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
@@ -22,7 +22,7 @@
 import org.gatereel.core.table.ServiceKind;
 import org.gatereel.core.target.TargetRegistry;
 
-/** Takes in plain calls from callers: those that may be repeated, and those that may not. */
+/** Checks callers' plain calls and executes them, with or without an Idempotency-Key claim. */
 public final class CallService {
   private final CoreContext context;
   private final PolicyTable table;
@@ -45,7 +45,7 @@
     this.atMostOnceCalls = new AtMostOnceCalls(context, members, platform, runner);
   }
 
-  /** Tells one caller how its call ended, unless the caller has left. */
+  /** Sends the outcome of a call to its caller, unless the caller has disconnected. */
   private final class CallerResponder implements CallRunner.Listener {
     private final long caller;
 
@@ -69,34 +69,35 @@
     }
   }
 
-  /** Takes in a call. */
   public void handleRequest(Event.CallRequested event) {
-    CallerResponder reply = new CallerResponder(event.caller());
+    CallerResponder responder = new CallerResponder(event.caller());
     Optional<Row> account = table.accountWithCredential(event.credential());
     Optional<Row> service =
         table
             .service(event.service())
             .filter(row -> row.choice(Column.KIND, ServiceKind.class) == ServiceKind.CALL);
     if (account.isEmpty()) {
-      reply.onFailure(
-          problemBeforeClaim(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key"));
+      responder.onFailure(
+          problemBeforeClaim(
+              event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key"));
     } else if (service.isEmpty()) {
-      reply.onFailure(
+      responder.onFailure(
           problemBeforeClaim(
               event, ProblemType.UNKNOWN_SERVICE, "no call service " + event.service()));
     } else if (service.get().truth(Column.REPEATABLE)) {
       String id = event.idempotencyKey().orElseGet(() -> "r-" + context.random().nextLong());
-      runner.execute(call(event, account.get(), id), account.get(), service.get(), reply);
+      runner.execute(call(event, account.get(), id), account.get(), service.get(), responder);
     } else if (event.idempotencyKey().isEmpty()) {
-      reply.onFailure(
+      responder.onFailure(
           Problem.notRun(ProblemType.MISSING_IDEMPOTENCY_KEY, "service " + event.service()));
     } else {
       String id = account.get().key().name() + "/" + event.idempotencyKey().get();
-      atMostOnceCalls.execute(call(event, account.get(), id), account.get(), service.get(), reply);
+      atMostOnceCalls.execute(
+          call(event, account.get(), id), account.get(), service.get(), responder);
     }
   }
 
-  /** A refusal before the claim was looked at: under the same key the call may have run before. */
+  /** The outcome is unknown if there is a key: an earlier request with it may have executed. */
   private static Problem problemBeforeClaim(
       Event.CallRequested event, ProblemType type, String detail) {
     Outcome outcome = event.idempotencyKey().isPresent() ? Outcome.UNKNOWN : Outcome.NOT_RUN;
@@ -108,32 +109,29 @@
         new AccountId(account.key().name()), event.service(), id, event.body());
   }
 
-  /** Notes that a caller's connection ended; the call itself goes on. */
+  /** Detaches a disconnected caller; its call continues. Returns whether it waited for a call. */
   public boolean handleCallerDisconnected(long caller) {
     return waitingCallers.remove(caller);
   }
 
-  /** Takes in the answer of a target. */
   public void handleResponse(Event.CallAnswered event) {
     runner.handleResponse(event);
   }
 
-  /** Takes in the failure of a target. */
   public void handleFailure(Event.CallFailed event) {
     runner.handleFailure(event);
   }
 
-  /** Takes in what a peer says about claims and calls. */
+  /** Handles a peer's message about a claim or the outcome of a call. */
   public void handlePeerMessage(HostId from, PeerMessage message) {
     atMostOnceCalls.handlePeerMessage(from, message);
   }
 
-  /** Notes that a peer does not answer. */
   public void handlePeerUnreachable(HostId peer) {
     atMostOnceCalls.handlePeerUnreachable(peer);
   }
 
-  /** Returns how many calls are open, with callers or at targets. */
+  /** Returns the number of waiting callers or of calls at targets, whichever is greater. */
   public int openCount() {
     return Math.max(waitingCallers.size(), runner.pendingCount());
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
@@ -16,16 +16,17 @@
 import org.gatereel.core.platform.TableWrite;
 
 /**
- * Brings claims together at a few hosts of the data centre, which write them in groups.
+ * Delegates claims to a few hosts of the data centre, which write them in groups.
  *
- * <p>Which host writes a claim is a matter of cost only: the table decides who has it. So a host
- * that sees other members than its peers, or gets no answer, may write on its own.
+ * <p>The delegation only reduces the number of transactions; the table decides which host gets a
+ * claim. A host that gets no response, or that sees other members than its peers, may therefore
+ * write a claim itself.
  */
 final class ClaimRouter {
   private static final int WRITERS_PER_DATA_CENTRE = 2;
   private static final int MILLIS_PER_SECOND = 1_000;
 
-  /** Claims take this share of the store's writing calls; the rest is left to edits and repeats. */
+  /** The part of the store's write rate that claims use; the rest is for edits and retries. */
   private static final double CLAIM_WRITES_RATIO = 0.7;
 
   private static final long PEER_TIMEOUT_MILLIS = 400;
@@ -37,7 +38,7 @@
   private final ClaimWriter writer;
   private final Map<Long, DelegatedClaim> delegated = new HashMap<>();
 
-  /** A claim that a peer is to write. */
+  /** A claim that a peer was asked to write. */
   private record DelegatedClaim(
       HostId peer, TableWrite write, Consumer<Optional<String>> done, TimerQueue.Timer timer) {}
 
@@ -48,31 +49,32 @@
     this.writer = new ClaimWriter(context, platform, this::intervalMillis);
   }
 
-  /** Returns how long a writer waits between two transactions, so that all keep within the rate. */
+  /** Returns the interval between transactions that keeps all writers together within the rate. */
   private int intervalMillis() {
     int writers = WRITERS_PER_DATA_CENTRE * members.dataCentres();
     double perSecond = CLAIM_WRITES_RATIO * platform.limits().writesPerSecond();
     return Math.max(1, (int) Math.ceil(MILLIS_PER_SECOND * writers / perSecond));
   }
 
-  /** Claims a row; {@code done} gets the value in force, or empty if nothing is known. */
+  /** Claims a row; {@code done} receives the row's value, or empty if it is unknown. */
   void claim(TableWrite write, Consumer<Optional<String>> done) {
-    HostId home = writerFor(write.key());
-    if (home.equals(context.self()) || write.expected().isPresent()) {
+    HostId assignedWriter = writerFor(write.key());
+    if (assignedWriter.equals(context.self()) || write.expected().isPresent()) {
       writer.claim(write, done);
       return;
     }
     long ticket = context.nextTicket();
     TimerQueue.Timer timer = context.schedule(PEER_TIMEOUT_MILLIS, () -> writeLocally(ticket));
-    delegated.put(ticket, new DelegatedClaim(home, write, done, timer));
+    delegated.put(ticket, new DelegatedClaim(assignedWriter, write, done, timer));
     context.emit(
-        new Action.SendPeer(home, new PeerMessage.ClaimAsk(ticket, write.key(), write.value())));
+        new Action.SendPeer(
+            assignedWriter, new PeerMessage.ClaimAsk(ticket, write.key(), write.value())));
   }
 
   private HostId writerFor(String key) {
-    List<HostId> here = members.answeringIn(context.dataCentre());
+    List<HostId> localHosts = members.answeringIn(context.dataCentre());
     List<HostId> writers =
-        Rendezvous.rank(WRITER_RANKING_KEY, here, HostId::value).stream()
+        Rendezvous.rank(WRITER_RANKING_KEY, localHosts, HostId::value).stream()
             .limit(WRITERS_PER_DATA_CENTRE)
             .toList();
     return Rendezvous.rank(key, writers, HostId::value).get(0);
@@ -86,7 +88,7 @@
     }
   }
 
-  /** Writes the claims on this host that a lost peer was to write. */
+  /** Writes the claims that were delegated to an unreachable peer on this host. */
   void handlePeerUnreachable(HostId peer) {
     for (Map.Entry<Long, DelegatedClaim> entry : List.copyOf(delegated.entrySet())) {
       if (entry.getValue().peer().equals(peer)) {
@@ -95,7 +97,6 @@
     }
   }
 
-  /** Writes a claim for a peer. */
   void handleClaimAsk(HostId from, PeerMessage.ClaimAsk ask) {
     writer.claim(
         TableWrite.insert(ask.key(), ask.value()),
@@ -104,7 +105,6 @@
                 new Action.SendPeer(from, new PeerMessage.ClaimResult(ask.ticket(), present))));
   }
 
-  /** Takes in what a peer says of a claim. */
   void handleClaimResult(PeerMessage.ClaimResult result) {
     DelegatedClaim claim = delegated.remove(result.ticket());
     if (claim != null) {
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
@@ -17,9 +17,9 @@
 /**
  * Writes claims into the platform's table, many in one transaction.
  *
- * <p>A claim is granted only when its row is known to have its value: by a commit, or by reading it
- * back after an answer was lost. While the platform does not answer, claims are refused at once but
- * for one probe, so that callers learn early when to come back.
+ * <p>A claim is granted only when its row is known to have its value: after a commit, or after
+ * reading the row back when the response was lost. While the platform does not respond, claims fail
+ * at once, except for periodic probes.
  */
 final class ClaimWriter {
   static final String KEY_PREFIX = "claim/";
@@ -53,7 +53,7 @@
 
     private void complete(Optional<String> present) {
       done.accept(present);
-      duplicates.forEach(other -> other.done.accept(present));
+      duplicates.forEach(duplicate -> duplicate.done.accept(present));
     }
   }
 
@@ -64,10 +64,10 @@
   }
 
   /**
-   * Claims a row; {@code done} gets the value in force, or empty if nothing is known.
+   * Claims a row; {@code done} receives the row's value, or empty if it is unknown.
    *
-   * <p>Empty does not say that the row is free: the write may yet take effect. The one who gave the
-   * claim up must never act on it.
+   * <p>After an empty result the write may still take effect. The caller must then never execute
+   * the call under this claim.
    */
   void claim(TableWrite write, Consumer<Optional<String>> done) {
     if (unreachable && context.now() < nextProbeAt) {
@@ -88,12 +88,12 @@
     }
     flushScheduled = true;
     refillAllowance();
-    double missing = Math.max(0, 1 - allowance);
-    long wait = (long) Math.ceil(missing * intervalMillis.getAsInt());
-    context.schedule(wait, this::flush);
+    double shortfall = Math.max(0, 1 - allowance);
+    long delayMillis = (long) Math.ceil(shortfall * intervalMillis.getAsInt());
+    context.schedule(delayMillis, this::flush);
   }
 
-  /** Saves up transactions of quiet times, so that a lone claim need not wait for its turn. */
+  /** Accumulates unused transactions up to the burst limit, so that a lone claim is not delayed. */
   private void refillAllowance() {
     double earned = (double) (context.now() - refilledAt) / intervalMillis.getAsInt();
     allowance = Math.min(MAX_BURST_TRANSACTIONS, allowance + earned);
@@ -165,17 +165,17 @@
     requestPending = false;
     if (result instanceof ReadResult.Rows rows) {
       markReachable();
-      List<Claim> open = new ArrayList<>();
+      List<Claim> retryable = new ArrayList<>();
       for (Claim claim : group) {
         String present = rows.rows().get(claim.write.key());
         boolean unchanged = Optional.ofNullable(present).equals(claim.write.expected());
         if (unchanged) {
-          open.add(claim);
+          retryable.add(claim);
         } else {
           claim.complete(Optional.ofNullable(present));
         }
       }
-      retryLater(open);
+      retryLater(retryable);
     } else {
       markUnreachable();
       retryLater(group);
@@ -210,7 +210,7 @@
 
   private void markUnreachable() {
     if (!unreachable) {
-      context.logEvent(EventCode.PLATFORM_LOST, "table", "claims are refused until it answers");
+      context.logEvent(EventCode.PLATFORM_LOST, "table", "claims fail until it responds");
     }
     unreachable = true;
     nextProbeAt = context.now() + PROBE_INTERVAL_MILLIS;
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.target.TargetState;
 
-/** One engine's try at a generation, from the tokens that were accepted when it began. */
+/** One attempt of an engine to continue a generation from the tokens accepted at its start. */
 final class Attempt {
   private final int number;
   private final TargetState target;
@@ -37,7 +37,7 @@
     return tokenReceived;
   }
 
-  /** Notes a token; returns the gap since the one before, or -1 for the first. */
+  /** Returns the milliseconds since the previous token, or -1 for the first. */
   long recordToken(long now) {
     long gap = tokenReceived ? now - lastActivityAt : -1;
     lastActivityAt = now;
@@ -45,12 +45,11 @@
     return gap;
   }
 
-  /** Takes the silence up to now as not proved, because this host itself was paused. */
+  /** Restarts the measured silence, because a pause of this host may have caused it. */
   void resetSilence(long now) {
     lastActivityAt = now;
   }
 
-  /** Returns how long the target may be silent at this stage. */
   long silenceLimitMillis(SuspicionPolicy policy) {
     return tokenReceived ? policy.silenceMillis(target.gaps()) : policy.firstTokenMillis();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -21,8 +21,8 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * Keeps an engine at work on each generation: starts attempts, replaces those that fail, and doubts
- * those that are silent.
+ * Starts attempts for generations, replaces failed attempts, and starts a second attempt beside one
+ * that is silent for too long.
  */
 final class AttemptRunner {
   private static final long RETRY_INTERVAL_MILLIS = 25;
@@ -42,19 +42,19 @@
       PolicyTable table,
       TargetRegistry targets,
       RetryBudgets budgets,
-      Consumer<Generation> progress,
-      Consumer<Generation> interrupted,
-      Runnable targetFreed) {
+      Consumer<Generation> onProgress,
+      Consumer<Generation> onInterrupted,
+      Runnable onTargetFreed) {
     this.context = context;
     this.table = table;
     this.targets = targets;
     this.budgets = budgets;
-    this.onProgress = progress;
-    this.onInterrupted = interrupted;
-    this.onTargetFreed = targetFreed;
+    this.onProgress = onProgress;
+    this.onInterrupted = onInterrupted;
+    this.onTargetFreed = onTargetFreed;
   }
 
-  /** Starts the next attempt at a target that was already chosen. */
+  /** Starts the next attempt at {@code target}. */
   void startAt(Generation generation, TargetState target) {
     Attempt attempt = new Attempt(generation.nextAttempt(), target, context.now());
     generation.attempts.put(attempt.number(), attempt);
@@ -69,9 +69,9 @@
     scheduleSilenceCheck(generation, attempt);
   }
 
-  /** Goes on with a generation at whatever target can be had, even at a full one. */
-  void resume(Generation generation, Optional<TargetId> preferred, Set<TargetId> without) {
-    Optional<TargetState> target = chooseForResume(generation, preferred, without);
+  /** Resumes a generation at any usable target, even one without a free slot. */
+  void resume(Generation generation, Optional<TargetId> preferred, Set<TargetId> excluded) {
+    Optional<TargetState> target = chooseForResume(generation, preferred, excluded);
     if (target.isPresent()) {
       context.measure(
           Measurement.RESENT_TOKENS,
@@ -85,7 +85,7 @@
   }
 
   private Optional<TargetState> chooseForResume(
-      Generation generation, Optional<TargetId> preferred, Set<TargetId> without) {
+      Generation generation, Optional<TargetId> preferred, Set<TargetId> excluded) {
     PlacementQuery query =
         new PlacementQuery(
             RequestPlacement.affinityKey(generation.spec.prompt()),
@@ -100,13 +100,13 @@
                     generation.spec.service(),
                     RequestPlacement.placementPolicy(row, generation.variant),
                     query,
-                    without));
-    return free.or(() -> leastLoaded(generation, without));
+                    excluded));
+    return free.or(() -> leastLoaded(generation, excluded));
   }
 
-  private Optional<TargetState> leastLoaded(Generation generation, Set<TargetId> without) {
+  private Optional<TargetState> leastLoaded(Generation generation, Set<TargetId> excluded) {
     return targets.usable(generation.spec.service()).stream()
-        .filter(target -> !without.contains(target.description().id()))
+        .filter(target -> !excluded.contains(target.description().id()))
         .min(
             java.util.Comparator.comparingDouble(
                 target -> target.estimatedLoad(context.now()) / target.description().slots()));
@@ -130,7 +130,7 @@
             });
   }
 
-  /** Takes in a token; only the next one of a live attempt counts. */
+  /** Appends the next token of a live attempt; ignores tokens that were already accepted. */
   void handleToken(Generation generation, Event.TokenArrived event) {
     Attempt attempt = generation.attempts.get(event.attempt());
     if (attempt == null) {
@@ -167,7 +167,7 @@
     generation.resumingSince = 0;
   }
 
-  /** Ends all other attempts, because this one brought the next token or the end. */
+  /** Cancels all attempts but the one that delivered the next token or the end. */
   private void cancelOthers(Generation generation, Attempt winner) {
     if (generation.attempts.size() == 1) {
       return;
@@ -182,7 +182,9 @@
     }
   }
 
-  /** Takes in the end of an attempt that finished. */
+  /**
+   * Finishes the generation if the attempt ended at the accepted length; else fails the attempt.
+   */
   void handleFinished(Generation generation, Event.AttemptFinished event) {
     Attempt attempt = generation.attempts.get(event.attempt());
     if (attempt == null) {
@@ -199,7 +201,7 @@
     onProgress.accept(generation);
   }
 
-  /** Takes in the failure of an attempt and starts another if none is left. */
+  /** Removes a failed attempt and resumes the generation if no attempt is left. */
   void handleFailed(Generation generation, int number, TargetFailure failure) {
     Attempt attempt = generation.attempts.get(number);
     if (attempt != null) {
@@ -224,10 +226,10 @@
   }
 
   private void scheduleSilenceCheck(Generation generation, Attempt attempt) {
-    long patience = attempt.silenceLimitMillis(suspicionPolicy(generation));
+    long limitMillis = attempt.silenceLimitMillis(suspicionPolicy(generation));
     context
         .timers()
-        .add(attempt.lastActivityAt() + patience, () -> checkSilence(generation, attempt));
+        .add(attempt.lastActivityAt() + limitMillis, () -> checkSilence(generation, attempt));
   }
 
   private void checkSilence(Generation generation, Attempt attempt) {
@@ -248,10 +250,10 @@
   }
 
   private void startSecondAttempt(Generation generation, Attempt attempt) {
-    Set<TargetId> without = new HashSet<>();
-    generation.attempts.values().forEach(live -> without.add(live.target().description().id()));
+    Set<TargetId> excluded = new HashSet<>();
+    generation.attempts.values().forEach(live -> excluded.add(live.target().description().id()));
     RetryBudget budget = budgets.forService(generation.spec.service());
-    Optional<TargetState> other = chooseForResume(generation, Optional.empty(), without);
+    Optional<TargetState> other = chooseForResume(generation, Optional.empty(), excluded);
     boolean possible = generation.attempts.size() < MAX_LIVE_ATTEMPTS && other.isPresent();
     if (possible && budget.spend()) {
       long silence = context.now() - attempt.lastActivityAt();
@@ -274,13 +276,16 @@
         .orElse(SuspicionPolicy.BALANCED);
   }
 
-  /** Moves a generation off a leaving target, if there is another one. */
-  void moveAwayFrom(Generation generation, TargetState leaving) {
+  /** Moves a generation from a draining target to another one, if there is one. */
+  void moveAwayFrom(Generation generation, TargetState leavingTarget) {
     for (Attempt attempt : List.copyOf(generation.attempts.values())) {
-      TargetId id = leaving.description().id();
-      boolean here = attempt.target() == leaving;
-      if (here && chooseForResume(generation, Optional.empty(), Set.of(id)).isPresent()) {
-        logEvent(EventCode.ATTEMPT_MOVED, generation, "off " + id + " at " + generation.length());
+      TargetId id = leavingTarget.description().id();
+      boolean affected = attempt.target() == leavingTarget;
+      if (affected && chooseForResume(generation, Optional.empty(), Set.of(id)).isPresent()) {
+        logEvent(
+            EventCode.ATTEMPT_MOVED,
+            generation,
+            "from " + id + " at offset " + generation.length());
         cancel(generation, attempt);
         if (generation.attempts.isEmpty()) {
           generation.resumingSince = context.now();
@@ -290,7 +295,7 @@
     }
   }
 
-  /** Ends all attempts of a generation. */
+  /** Cancels all attempts and the pending retry of a generation. */
   void cancelAll(Generation generation) {
     List.copyOf(generation.attempts.values()).forEach(attempt -> cancel(generation, attempt));
     if (generation.retryTimer != null) {
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopyPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopyPolicy.java
@@ -6,13 +6,13 @@
 import org.gatereel.core.model.DataCentre;
 import org.gatereel.core.model.HostDescription;
 
-/** Which peer holds the copy of a generation. */
+/** Chooses the peer that holds the copy of a generation. */
 public enum CopyPolicy {
-  /** No copy: an entry host that dies takes the generation with it. */
+  /** No copy: a generation is lost when its entry host ends. */
   NONE {
     @Override
     Optional<HostDescription> choose(
-        List<HostDescription> reachable, DataCentre here, RandomGenerator random) {
+        List<HostDescription> reachable, DataCentre ownDataCentre, RandomGenerator random) {
       return Optional.empty();
     }
   },
@@ -20,28 +20,30 @@
   SAME_HALL {
     @Override
     Optional<HostDescription> choose(
-        List<HostDescription> reachable, DataCentre here, RandomGenerator random) {
-      return choosePreferred(reachable, random, peer -> peer.dataCentre().equals(here));
+        List<HostDescription> reachable, DataCentre ownDataCentre, RandomGenerator random) {
+      return choosePreferred(reachable, random, peer -> peer.dataCentre().equals(ownDataCentre));
     }
   },
   /** A peer in another data centre, or any if there is none. */
   OTHER_HALL {
     @Override
     Optional<HostDescription> choose(
-        List<HostDescription> reachable, DataCentre here, RandomGenerator random) {
-      return choosePreferred(reachable, random, peer -> !peer.dataCentre().equals(here));
+        List<HostDescription> reachable, DataCentre ownDataCentre, RandomGenerator random) {
+      return choosePreferred(reachable, random, peer -> !peer.dataCentre().equals(ownDataCentre));
     }
   };
 
   abstract Optional<HostDescription> choose(
-      List<HostDescription> reachable, DataCentre here, RandomGenerator random);
+      List<HostDescription> reachable, DataCentre ownDataCentre, RandomGenerator random);
 
   private static Optional<HostDescription> choosePreferred(
       List<HostDescription> reachable,
       RandomGenerator random,
-      java.util.function.Predicate<HostDescription> wish) {
-    List<HostDescription> wished = reachable.stream().filter(wish).toList();
-    List<HostDescription> pool = wished.isEmpty() ? reachable : wished;
-    return pool.isEmpty() ? Optional.empty() : Optional.of(pool.get(random.nextInt(pool.size())));
+      java.util.function.Predicate<HostDescription> preference) {
+    List<HostDescription> preferred = reachable.stream().filter(preference).toList();
+    List<HostDescription> candidates = preferred.isEmpty() ? reachable : preferred;
+    return candidates.isEmpty()
+        ? Optional.empty()
+        : Optional.of(candidates.get(random.nextInt(candidates.size())));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
@@ -14,10 +14,11 @@
 import org.gatereel.core.table.PolicyTable;
 
 /**
- * The owner's side of copying: chooses a holder, feeds it, and replaces it when it is lost.
+ * Copies the generations of this host to a holder: chooses the holder, sends it the tokens, and
+ * replaces it when it does not respond.
  *
- * <p>One message is under way for each generation; tokens that come meanwhile go with the next one,
- * so that the number of messages follows the round trip and not the engine.
+ * <p>At most one message per generation is unacknowledged. Tokens that arrive meanwhile are sent
+ * together in the next message, so that a generation sends at most one message per round trip.
  */
 final class CopySender {
   private static final long ACKNOWLEDGEMENT_TIMEOUT_MILLIS = 250;
@@ -30,14 +31,14 @@
   private final Consumer<Generation> onProgress;
 
   CopySender(
-      CoreContext context, PolicyTable table, Membership members, Consumer<Generation> progress) {
+      CoreContext context, PolicyTable table, Membership members, Consumer<Generation> onProgress) {
     this.context = context;
     this.table = table;
     this.members = members;
-    this.onProgress = progress;
+    this.onProgress = onProgress;
   }
 
-  /** Looks for a holder and gives it the whole generation so far. */
+  /** Chooses a holder other than the current one and sends it all accepted tokens. */
   void openCopy(Generation generation) {
     Generation.Copy copy = generation.copy;
     Optional<HostId> failed = copy.holder;
@@ -52,10 +53,10 @@
     sendAllTokens(generation);
   }
 
-  private Optional<HostId> chooseHolder(Generation generation, Optional<HostId> without) {
+  private Optional<HostId> chooseHolder(Generation generation, Optional<HostId> excluded) {
     List<HostDescription> reachable =
         members.reachable().stream()
-            .filter(peer -> !without.equals(Optional.of(peer.id())))
+            .filter(peer -> !excluded.equals(Optional.of(peer.id())))
             .toList();
     return copyPolicy(generation)
         .choose(reachable, context.dataCentre(), context.random())
@@ -72,12 +73,13 @@
   private void continueWithoutCopy(Generation generation) {
     generation.copy.ready = true;
     if (copyPolicy(generation) != CopyPolicy.NONE) {
-      context.logEvent(EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer answers");
+      context.logEvent(
+          EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer is reachable");
     }
     onProgress.accept(generation);
   }
 
-  /** Takes over a holder that is known to have the whole generation. */
+  /** Uses a holder that already has all accepted tokens. */
   void adopt(Generation generation, HostId holder) {
     generation.copy.holder = Optional.of(holder);
     generation.copy.ready = true;
@@ -85,16 +87,16 @@
     generation.copy.heldFinished = generation.isFinished();
   }
 
-  /** Sends what the holder lacks, unless a message is under way. */
+  /** Sends the tokens that the holder lacks, unless a message is unacknowledged. */
   void sendPending(Generation generation) {
     Generation.Copy copy = generation.copy;
     if (copy.holder.isEmpty()) {
       retryHolder(generation);
       return;
     }
-    boolean lacks =
+    boolean incomplete =
         copy.heldLength < generation.length() || copy.heldFinished != generation.isFinished();
-    if (!copy.awaitingAcknowledgement && lacks) {
+    if (!copy.awaitingAcknowledgement && incomplete) {
       sendMissingTokens(generation);
     }
   }
@@ -153,18 +155,18 @@
     }
   }
 
-  /** Goes over to another holder. */
+  /** Replaces a holder that does not respond. */
   void replaceHolder(Generation generation) {
     HostId holder = generation.copy.holder.orElseThrow();
     context.logEvent(EventCode.COPY_LOST, generation.spec.request().value(), holder.value());
     openCopy(generation);
   }
 
-  /** Takes in what the holder says it holds. */
+  /** Records the length that the holder acknowledges, and sends the tokens that it lacks. */
   void handleHeld(HostId from, Generation generation, PeerMessage.CopyHeld held) {
     Generation.Copy copy = generation.copy;
-    boolean mine = copy.holder.equals(Optional.of(from)) && held.epoch() == generation.epoch;
-    if (!mine || held.length() > generation.length()) {
+    boolean current = copy.holder.equals(Optional.of(from)) && held.epoch() == generation.epoch;
+    if (!current || held.length() > generation.length()) {
       return;
     }
     if (!copy.ready) {
@@ -173,7 +175,7 @@
     copy.ready = true;
     copy.heldLength = Math.max(copy.heldLength, held.length());
     copy.heldFinished |= held.finished();
-    // An answer to an earlier message may come late; only one that covers the latest counts.
+    // A late acknowledgement of an earlier message does not acknowledge the latest one.
     if (held.length() >= copy.sentLength && held.finished() == copy.sentFinished) {
       copy.stopTimer();
       copy.awaitingAcknowledgement = false;
@@ -183,7 +185,7 @@
     sendPending(generation);
   }
 
-  /** Gives a holder that was replaced meanwhile the whole generation again. */
+  /** Sends all tokens again to a holder that has lost its copy. */
   void handleMissing(HostId from, Generation generation) {
     if (generation.copy.holder.equals(Optional.of(from))) {
       generation.copy.ready = false;
@@ -192,7 +194,7 @@
     }
   }
 
-  /** Lets go of the copy. */
+  /** Sends the holder the request to remove its copy. */
   void drop(Generation generation) {
     generation.copy.stopTimer();
     generation.copy.holder.ifPresent(
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopyStore.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopyStore.java
@@ -16,10 +16,10 @@
 import org.gatereel.core.peer.TakeoverRefusal;
 
 /**
- * The copies that this host holds of generations that other hosts own.
+ * Holds copies of generations that other hosts own.
  *
- * <p>The holder is where owners are fenced: it takes tokens only from the owner of the highest
- * epoch it has granted, so that an owner that slept through a takeover can release nothing more.
+ * <p>Accepts tokens only from the owner with the highest epoch it has granted. An owner that was
+ * suspended during a takeover therefore gets no acknowledgement and releases no further tokens.
  */
 public final class CopyStore {
   private static final long EXPIRY_TIMEOUT_MILLIS = 180_000;
@@ -28,7 +28,6 @@
   private final CoreContext context;
   private final Map<RequestId, HeldCopy> copies = new HashMap<>();
 
-  /** One copy. */
   private static final class HeldCopy {
     private final GenerationSpec spec;
     private final List<String> tokens;
@@ -57,7 +56,7 @@
     this.context = context;
   }
 
-  /** Starts the sweep that drops copies nobody has touched for long. */
+  /** Starts the periodic removal of expired copies. */
   public void start() {
     context.schedule(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
@@ -67,30 +66,30 @@
     context.schedule(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
-  /** Takes a copy, or refuses it from an owner that was replaced. */
+  /** Stores a copy; an owner that was replaced receives {@link PeerMessage.CopyFenced}. */
   public void handleOpen(HostId from, PeerMessage.CopyOpen open) {
     RequestId request = open.spec().request();
-    HeldCopy known = copies.get(request);
-    if (known != null && isStale(known, from, open.epoch())) {
-      sendFenced(from, request, known.epoch);
+    HeldCopy held = copies.get(request);
+    if (held != null && isStale(held, from, open.epoch())) {
+      sendFenced(from, request, held.epoch);
       return;
     }
-    boolean doubled =
-        known != null
-            && known.isOwnedBy(from, open.epoch())
-            && known.tokens.size() >= open.tokens().size();
-    if (!doubled) {
+    boolean duplicate =
+        held != null
+            && held.isOwnedBy(from, open.epoch())
+            && held.tokens.size() >= open.tokens().size();
+    if (!duplicate) {
       copies.put(request, new HeldCopy(from, open));
     }
-    // A message that comes twice must not take away what the owner was told is held.
+    // A duplicate message must not remove tokens that were already acknowledged.
     acknowledge(from, copies.get(request));
   }
 
-  private static boolean isStale(HeldCopy known, HostId from, int epoch) {
-    return known.epoch > epoch || (known.epoch == epoch && !known.owner.equals(from));
+  private static boolean isStale(HeldCopy held, HostId from, int epoch) {
+    return held.epoch > epoch || (held.epoch == epoch && !held.owner.equals(from));
   }
 
-  /** Adds tokens to a copy; tokens that are here already are passed over. */
+  /** Appends tokens to a copy; ignores tokens that it already contains. */
   public void handleAppend(HostId from, PeerMessage.CopyAppend append) {
     HeldCopy copy = copies.get(append.request());
     if (copy == null) {
@@ -101,9 +100,9 @@
       sendFenced(from, append.request(), copy.epoch);
       return;
     }
-    int known = copy.tokens.size() - append.from();
-    if (known >= 0 && known <= append.tokens().size()) {
-      copy.tokens.addAll(append.tokens().subList(known, append.tokens().size()));
+    int held = copy.tokens.size() - append.from();
+    if (held >= 0 && held <= append.tokens().size()) {
+      copy.tokens.addAll(append.tokens().subList(held, append.tokens().size()));
       copy.finished |= append.finished();
     }
     acknowledge(from, copy);
@@ -121,7 +120,7 @@
     send(owner, new PeerMessage.CopyFenced(request, epoch));
   }
 
-  /** Lets go of a copy if its present owner says so. */
+  /** Removes a copy if the message comes from its current owner. */
   public void handleDrop(HostId from, PeerMessage.CopyDrop drop) {
     HeldCopy copy = copies.get(drop.request());
     if (copy != null && copy.isOwnedBy(from, drop.epoch())) {
@@ -129,7 +128,7 @@
     }
   }
 
-  /** Returns why a generation cannot be handed over from here; empty if it can. */
+  /** Returns why the copy of a generation cannot be handed over; empty if it can. */
   public Optional<TakeoverRefusal> takeoverRefusal(
       RequestId request, AccountId account, int offset, long digest) {
     HeldCopy copy = copies.get(request);
@@ -144,22 +143,22 @@
   }
 
   /**
-   * Makes {@code newOwner} the owner under the next epoch and tells the former owner.
+   * Makes {@code newOwner} the owner under the next epoch and fences the former owner.
    *
-   * <p>The caller has checked {@link #takeoverRefusal} in the same turn. If the new owner is this
-   * host itself, the copy is taken out: a host is never its own holder.
+   * <p>{@link #takeoverRefusal} must have returned empty during the same event. If the new owner is
+   * this host, the copy is removed: a host never holds a copy of its own generation.
    */
   public Handover handOver(RequestId request, HostId newOwner) {
     HeldCopy copy = copies.get(request);
-    HostId former = copy.owner;
+    HostId formerOwner = copy.owner;
     copy.epoch++;
     copy.owner = newOwner;
     copy.lastUpdatedAt = context.now();
     if (newOwner.equals(context.self())) {
       copies.remove(request);
     }
-    if (!former.equals(newOwner) && !former.equals(context.self())) {
-      sendFenced(former, request, copy.epoch);
+    if (!formerOwner.equals(newOwner) && !formerOwner.equals(context.self())) {
+      sendFenced(formerOwner, request, copy.epoch);
     }
     context.logEvent(
         EventCode.TAKEOVER_GRANTED, request.value(), newOwner + ", epoch " + copy.epoch);
@@ -167,9 +166,9 @@
   }
 
   /**
-   * Becomes the holder of a generation that this host owned.
+   * Stores a copy of a generation that this host owned.
    *
-   * <p>An owner that hands over must keep a copy: whoever asked may have given up by now.
+   * <p>The copy is needed because the requesting host may have given up its takeover by now.
    */
   void add(Handover handover) {
     PeerMessage.CopyOpen open =
@@ -180,7 +179,6 @@
     copies.put(handover.spec().request(), copy);
   }
 
-  /** Returns how many copies are held. */
   public int size() {
     return copies.size();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/EventId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/EventId.java
@@ -7,14 +7,14 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * The id of one event of a stream; it says where the generation can be picked up.
+ * The id of one event of a stream, with all that a host needs to resume the generation after it.
  *
- * <p>A caller that lost its connection sends it as {@code Last-Event-ID} to any entry host, which
- * then needs no directory. Example: {@code 1~4be2~host-1~host-5~engine-3~2~1~17~9e3779b97f4a7c15}.
+ * <p>A caller that lost its connection sends it as {@code Last-Event-ID} to any entry host.
+ * Example: {@code 1~4be2~host-1~host-5~engine-3~2~1~17~9e3779b97f4a7c15}.
  *
- * @param holder the host that holds the copy; empty if the owner was cut off from every peer
- * @param target the engine that gave the token
- * @param offset how many tokens the caller has once it has this event
+ * @param holder the host that holds the copy; empty if the generation has no copy
+ * @param target the engine that generated the token
+ * @param offset the number of tokens that the caller has received, including this event
  * @param digest the {@link PrefixDigest} of those tokens
  */
 public record EventId(
@@ -32,25 +32,25 @@
   private static final int FIELD_COUNT = 9;
 
   /**
-   * Reads an event id.
+   * Parses the text of an event id.
    *
    * @throws MalformedEventIdException if the text was not written by {@link #toString}
    */
   public static EventId parse(String text) throws MalformedEventIdException {
-    String[] parts = SEPARATOR.split(text, -1);
-    if (parts.length != FIELD_COUNT || !parts[0].equals(VERSION)) {
+    String[] fields = SEPARATOR.split(text, -1);
+    if (fields.length != FIELD_COUNT || !fields[0].equals(VERSION)) {
       throw new MalformedEventIdException(text);
     }
     try {
       return new EventId(
-          new RequestId(parts[1]),
-          new HostId(parts[2]),
-          parts[3].equals(NONE) ? Optional.empty() : Optional.of(new HostId(parts[3])),
-          new TargetId(parts[4]),
-          Integer.parseUnsignedInt(parts[5]),
-          Integer.parseUnsignedInt(parts[6]),
-          Integer.parseInt(parts[7]),
-          Long.parseUnsignedLong(parts[8], 16));
+          new RequestId(fields[1]),
+          new HostId(fields[2]),
+          fields[3].equals(NONE) ? Optional.empty() : Optional.of(new HostId(fields[3])),
+          new TargetId(fields[4]),
+          Integer.parseUnsignedInt(fields[5]),
+          Integer.parseUnsignedInt(fields[6]),
+          Integer.parseInt(fields[7]),
+          Long.parseUnsignedLong(fields[8], 16));
     } catch (NumberFormatException e) {
       throw new MalformedEventIdException(text);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
@@ -13,10 +13,10 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * A generation as its owner has it.
+ * The state of a generation at its owner.
  *
- * <p>Invariants: released ≤ held ≤ accepted, unless there is no copy; only live attempts may add
- * the next token; the first attempt to do so is the only one left.
+ * <p>Invariants: released ≤ held ≤ accepted, unless there is no copy. Only live attempts append
+ * tokens. The first attempt that appends the next token is the only one that stays live.
  */
 final class Generation {
   static final long NO_CALLER = 0;
@@ -43,10 +43,13 @@
   private int releasedLength;
   private long releasedDigest;
 
-  /** What the owner knows of the copy at the holder. */
+  /** The state of the copy as the owner knows it. */
   static final class Copy {
     Optional<HostId> holder = Optional.empty();
+
+    /** Whether the holder acknowledged the copy, or the generation continues without a holder. */
     boolean ready;
+
     int heldLength;
     boolean heldFinished;
     int unacknowledgedSends;
@@ -76,19 +79,19 @@
 
   Generation(
       GenerationSpec spec,
-      PolicyVariant arm,
+      PolicyVariant variant,
       int epoch,
       List<String> tokens,
       boolean finished,
       long now) {
     this.spec = spec;
-    this.variant = arm;
+    this.variant = variant;
     this.epoch = epoch;
     this.tokens = new ArrayList<>(tokens);
     this.finished = finished;
     this.requestedAt = now;
     this.releasedDigest = PrefixDigest.EMPTY;
-    // An owner after the first numbers its attempts apart from those of the owners before it.
+    // Attempt numbers of successive owners must not overlap.
     this.lastAttempt = epoch * ATTEMPTS_PER_EPOCH;
   }
 
@@ -139,7 +142,7 @@
     return token;
   }
 
-  /** Goes back or on to an offset that a caller named; returns whether the prefix is the same. */
+  /** Sets the released length to {@code offset} if the digest matches; returns whether it did. */
   boolean seekTo(int offset, long digest) {
     if (!hasPrefix(offset, digest)) {
       return false;
@@ -153,7 +156,7 @@
     return offset <= tokens.size() && PrefixDigest.of(tokens, offset) == digest;
   }
 
-  /** Returns how many tokens may be given to the caller. */
+  /** Returns the number of tokens that may be sent to the caller. */
   int releasable() {
     if (!copy.ready) {
       return releasedLength;
@@ -161,13 +164,13 @@
     return copy.holder.isPresent() ? copy.heldLength : tokens.size();
   }
 
-  /** Returns whether the end may be told: it must be held as the tokens are. */
+  /** Returns whether the end may be sent to the caller: all tokens and the end are held. */
   boolean isEndReleasable() {
     boolean held = copy.holder.isEmpty() || copy.heldFinished;
     return finished && copy.ready && held && releasedLength == tokens.size();
   }
 
-  /** Returns the id of the event that brings the caller to the present offset. */
+  /** Returns the id of the event at the released length. */
   EventId eventId(HostId owner) {
     return new EventId(
         spec.request(),
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -27,8 +27,8 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * The generations that this host owns: it accepts tokens from engines, has them copied, and
- * releases them to the caller.
+ * The generations that this host owns. Accepts tokens from engines, copies them to a holder, and
+ * releases them to the caller once they are held.
  */
 public final class GenerationOwner {
   private static final long DELIVERED_EXPIRY_TIMEOUT_MILLIS = 30_000;
@@ -60,15 +60,15 @@
     members.onLost(this::handlePeerLost);
   }
 
-  /** Starts a generation at a target that was chosen for it. */
+  /** Starts a new generation at {@code target}. */
   void start(
       GenerationSpec spec,
-      PolicyVariant arm,
+      PolicyVariant variant,
       long caller,
-      long askedAt,
+      long requestedAt,
       Admission.Permit permit,
       TargetState target) {
-    Generation generation = new Generation(spec, arm, 1, List.of(), false, askedAt);
+    Generation generation = new Generation(spec, variant, 1, List.of(), false, requestedAt);
     generation.permit = permit;
     generations.put(spec.request(), generation);
     attach(generation, caller);
@@ -77,7 +77,7 @@
     attempts.startAt(generation, target);
   }
 
-  /** Becomes the owner of a generation that another host had. */
+  /** Becomes the owner of a generation that another host owned. */
   void adopt(
       CopyStore.Handover handover,
       Optional<HostId> holder,
@@ -118,7 +118,7 @@
     release(generation);
   }
 
-  /** Returns why a generation cannot be handed over from here; empty if it can. */
+  /** Returns why this host cannot hand over a generation; empty if it can. */
   Optional<TakeoverRefusal> takeoverRefusal(
       RequestId request, AccountId account, int offset, long digest) {
     Generation generation = generations.get(request);
@@ -133,7 +133,7 @@
         : Optional.of(TakeoverRefusal.OTHER_PREFIX);
   }
 
-  /** Goes on with a generation of this host for a caller who came back to it. */
+  /** Resumes a generation that this host owns after a caller reconnected to it. */
   void reattach(EventId after, long caller) {
     Generation generation = generations.get(after.request());
     long former = generation.caller;
@@ -160,7 +160,7 @@
     context.emit(new Action.OpenStream(generation.caller, generation.eventId(context.self())));
   }
 
-  /** Lets go of a generation for another host; what is returned is the only copy left. */
+  /** Gives up ownership and returns the state, which is then held nowhere else on this host. */
   CopyStore.Handover relinquish(RequestId request) {
     Generation generation = generations.get(request);
     CopyStore.Handover handover =
@@ -175,17 +175,14 @@
     byCaller.put(caller, generation);
   }
 
-  /** Takes in a token from an engine. */
   public void handleToken(Event.TokenArrived event) {
     find(event.request()).ifPresent(generation -> attempts.handleToken(generation, event));
   }
 
-  /** Takes in the end of an attempt. */
   public void handleAttemptFinished(Event.AttemptFinished event) {
     find(event.request()).ifPresent(generation -> attempts.handleFinished(generation, event));
   }
 
-  /** Takes in the failure of an attempt. */
   public void handleAttemptFailed(Event.AttemptFailed event) {
     find(event.request())
         .ifPresent(
@@ -201,7 +198,7 @@
     release(generation);
   }
 
-  /** Gives the caller what may be released. */
+  /** Sends the caller the tokens, and the end, that may be released. */
   private void release(Generation generation) {
     if (generation.caller == Generation.NO_CALLER || !generation.copy.ready) {
       return;
@@ -258,7 +255,7 @@
               new Problem(
                   ProblemType.NO_TARGET,
                   Outcome.RAN,
-                  "no engine could go on; resume with the last event id",
+                  "no engine could continue the generation; resume with the last event id",
                   INTERRUPTED_RETRY_DELAY_MILLIS)));
       detach(generation);
     }
@@ -266,7 +263,7 @@
         context.schedule(SUSPENDED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
-  /** Notes that a caller's connection ended; returns whether it was one of a generation here. */
+  /** Detaches a disconnected caller; returns whether it received a generation of this host. */
   public boolean handleCallerDisconnected(long caller) {
     Generation generation = byCaller.get(caller);
     if (generation == null) {
@@ -282,7 +279,7 @@
     return true;
   }
 
-  /** Stops working for a caller who stays away, but keeps what there is. */
+  /** Cancels the attempts of a generation without a caller but keeps its tokens. */
   private void suspend(Generation generation) {
     attempts.cancelAll(generation);
     generation.expiryTimer =
@@ -309,7 +306,7 @@
     }
   }
 
-  /** Lets go of a generation that has another owner now. */
+  /** Removes a generation that has another owner. */
   private void fence(Generation generation) {
     context.logEvent(
         EventCode.OWNER_FENCED, generation.spec.request().value(), "was epoch " + generation.epoch);
@@ -319,19 +316,17 @@
     remove(generation);
   }
 
-  /** Takes in that a generation has another owner, if that owner's epoch is higher. */
+  /** Gives up a generation if the message has a higher epoch. */
   public void handleFenced(PeerMessage.CopyFenced message) {
     find(message.request())
         .filter(generation -> message.epoch() > generation.epoch)
         .ifPresent(this::fence);
   }
 
-  /** Takes in what a holder holds. */
   public void handleHeld(HostId from, PeerMessage.CopyHeld message) {
     find(message.request()).ifPresent(generation -> copies.handleHeld(from, generation, message));
   }
 
-  /** Takes in that a holder has no copy. */
   public void handleMissing(HostId from, PeerMessage.CopyMissing message) {
     find(message.request())
         .filter(generation -> generation.epoch == message.epoch())
@@ -351,12 +346,12 @@
         .forEach(generation -> attempts.moveAwayFrom(generation, target));
   }
 
-  /** Returns how many generations have a caller who waits for more. */
+  /** Returns the number of generations with a connected caller. */
   public int openCount() {
     return byCaller.size();
   }
 
-  /** Returns how many generations this host owns, delivered ones that linger included. */
+  /** Returns the number of generations, including delivered ones that have not expired. */
   public int size() {
     return generations.size();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -25,7 +25,7 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** Takes in new generations from callers: checks them and has them admitted. */
+/** Checks callers' requests for new generations and passes them to admission control. */
 public final class GenerationService {
   private static final int LOWEST_PRIORITY = 9;
   private static final int OVER_SHARE_PRIORITY_PENALTY = 3;
@@ -53,7 +53,7 @@
     this.budgets = budgets;
   }
 
-  /** A generation that was asked for and has no target yet. */
+  /** A requested generation that has no target yet. */
   private final class PendingGeneration implements Applicant {
     private final GenerationSpec spec;
     private final long caller;
@@ -125,7 +125,6 @@
     }
   }
 
-  /** Takes in a request for a generation. */
   public void handleRequest(Event.GenerationRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     Optional<Row> service =
@@ -133,12 +132,12 @@
             .service(event.service())
             .filter(row -> row.choice(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
     if (account.isEmpty()) {
-      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key");
+      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key");
     } else if (service.isEmpty()) {
       refuse(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
     } else if (event.maximumTokens() > service.get().number(Column.MAXIMUM_TOKENS)) {
-      String most = service.get().text(Column.MAXIMUM_TOKENS);
-      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + most + " at most");
+      String maximum = service.get().text(Column.MAXIMUM_TOKENS);
+      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens is greater than " + maximum);
     } else {
       admit(event, account.get(), service.get());
     }
@@ -151,7 +150,7 @@
 
   private void admit(Event.GenerationRequested event, Row account, Row service) {
     AccountId accountId = new AccountId(account.key().name());
-    int behind = admission.isOverShare(accountId) ? OVER_SHARE_PRIORITY_PENALTY : 0;
+    int priorityPenalty = admission.isOverShare(accountId) ? OVER_SHARE_PRIORITY_PENALTY : 0;
     GenerationSpec spec =
         new GenerationSpec(
             new RequestId(Long.toHexString(context.random().nextLong())),
@@ -159,21 +158,21 @@
             event.service(),
             event.prompt(),
             event.maximumTokens(),
-            Math.min(LOWEST_PRIORITY, account.number(Column.PRIORITY) + behind));
-    PendingGeneration application = new PendingGeneration(spec, event.caller());
+            Math.min(LOWEST_PRIORITY, account.number(Column.PRIORITY) + priorityPenalty));
+    PendingGeneration pending = new PendingGeneration(spec, event.caller());
     budgets.forService(event.service()).earn(service.number(Column.RETRY_PERCENT));
-    pendingByCaller.put(event.caller(), application);
-    application.permit = admission.apply(application, account, service);
-    application.startIfChosen();
+    pendingByCaller.put(event.caller(), pending);
+    pending.permit = admission.apply(pending, account, service);
+    pending.startIfChosen();
   }
 
-  /** Notes that a caller's connection ended; returns whether its request was waiting here. */
+  /** Removes the request of a disconnected caller; returns whether it was pending. */
   public boolean handleCallerDisconnected(long caller) {
-    PendingGeneration application = pendingByCaller.remove(caller);
-    if (application == null) {
+    PendingGeneration pending = pendingByCaller.remove(caller);
+    if (pending == null) {
       return false;
     }
-    application.permit.close();
+    pending.permit.close();
     return true;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/PrefixDigest.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/PrefixDigest.java
@@ -9,9 +9,8 @@
 /**
  * A digest of the tokens before an offset.
  *
- * <p>Every event id carries one. A host that is asked to go on with a generation compares it with
- * its own tokens, so that the continuation of one generation can never be joined to the beginning
- * of another, whatever went wrong before.
+ * <p>Every event id contains one. A host that resumes a generation compares it with the digest of
+ * its own tokens, so that tokens of different generations are never joined.
  */
 public final class PrefixDigest {
   /** The digest of no tokens. */
@@ -21,7 +20,7 @@
 
   private PrefixDigest() {}
 
-  /** Returns the digest of a prefix with one more token. */
+  /** Returns the digest of the prefix with the digest {@code digest}, extended by one token. */
   public static long extend(long digest, String token) {
     HashCode hash = SIP.newHasher().putLong(digest).putString(token, StandardCharsets.UTF_8).hash();
     return hash.asLong();
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/RequestPlacement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/RequestPlacement.java
@@ -8,28 +8,27 @@
 import org.gatereel.core.table.Row;
 import org.gatereel.core.target.PlacementPolicy;
 
-/** Reads a service's row for one request: its arm, its placement, and what it shares a cache by. */
+/** Determines the policy variant, the placement policy and the cache affinity of a request. */
 public final class RequestPlacement {
-  private static final int AFFINITY_CHARACTERS = 256;
+  private static final int MAX_AFFINITY_CHARACTERS = 256;
   private static final int PERCENT = 100;
 
   private RequestPlacement() {}
 
-  /** Returns the arm of a request; the same on every host. */
+  /** Returns the policy variant of a request; every host returns the same one. */
   public static PolicyVariant variant(Row service, RequestId request) {
     int hash = Hashing.sipHash24().hashString(request.value(), StandardCharsets.UTF_8).asInt();
     boolean second = Math.floorMod(hash, PERCENT) < service.number(Column.SECOND_SHARE);
     return second ? PolicyVariant.SECOND : PolicyVariant.FIRST;
   }
 
-  /** Returns the placement of a service's arm. */
-  public static PlacementPolicy placementPolicy(Row service, PolicyVariant arm) {
-    Column column = arm == PolicyVariant.FIRST ? Column.PLACEMENT : Column.SECOND_PLACEMENT;
+  public static PlacementPolicy placementPolicy(Row service, PolicyVariant variant) {
+    Column column = variant == PolicyVariant.FIRST ? Column.PLACEMENT : Column.SECOND_PLACEMENT;
     return service.choice(column, PlacementPolicy.class);
   }
 
-  /** Returns the beginning of a prompt, which requests with a common context share. */
+  /** Returns the start of a prompt, which is equal for requests with a common context. */
   public static String affinityKey(String prompt) {
-    return prompt.substring(0, Math.min(AFFINITY_CHARACTERS, prompt.length()));
+    return prompt.substring(0, Math.min(MAX_AFFINITY_CHARACTERS, prompt.length()));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/RetryBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/RetryBudgets.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.admission.RetryBudget;
 import org.gatereel.core.model.ServiceName;
 
-/** The retry budget of each service. */
+/** The retry budgets, one for each service. */
 public final class RetryBudgets {
   private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/SuspicionPolicy.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/SuspicionPolicy.java
@@ -3,18 +3,18 @@
 import org.gatereel.core.target.GapTracker;
 
 /**
- * How long an engine may be silent before a second attempt starts beside the first.
+ * Determines how long an engine may be silent before a second attempt starts beside the first.
  *
- * <p>Silence is judged against that engine's own recent gaps. The floor keeps a very regular engine
- * from being suspected for one slow step; the ceiling keeps a caller's wait within a few seconds.
+ * <p>The limit follows the engine's own recent gaps between tokens. The floor keeps a very regular
+ * engine from being suspected for one slow step; the ceiling bounds the wait of a caller.
  */
 public enum SuspicionPolicy {
-  /** For those who pay for speed. */
+  /** Favours a short wait over the cost of second attempts. */
   EAGER(8, 400, 1_000, 1_500),
   BALANCED(14, 700, 2_000, 3_000),
-  /** For those who pay for compute: only a silence that no live engine shows. */
+  /** Avoids second attempts: suspects only a silence far above the usual gaps. */
   THRIFTY(30, 2_000, 4_000, 4_000),
-  /** Never; only broken connections count. */
+  /** Never suspects an engine; only a failed connection ends an attempt. */
   OFF(0, Long.MAX_VALUE / 4, Long.MAX_VALUE / 4, Long.MAX_VALUE / 4);
 
   private final double deviations;
@@ -31,8 +31,8 @@
 
   /** Returns the longest silence between two tokens of an engine, in milliseconds. */
   long silenceMillis(GapTracker gaps) {
-    long usual = Math.max(floorMillis, (long) gaps.bound(deviations));
-    return Math.min(ceilingMillis, usual);
+    long limitMillis = Math.max(floorMillis, (long) gaps.bound(deviations));
+    return Math.min(ceilingMillis, limitMillis);
   }
 
   /** Returns the longest time to the first token of an attempt, in milliseconds. */
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -26,11 +26,11 @@
 import org.gatereel.core.table.Row;
 
 /**
- * Serves callers who come back, to whichever host.
+ * Resumes generations for callers that reconnect to any host.
  *
- * <p>The event id names the owner and the copy holder. This host looks at what it has itself, then
- * asks the holder, then the owner, then every peer that answers; whoever has the same tokens up to
- * the caller's offset hands the generation over.
+ * <p>The event id names the owner and the copy holder. This host looks for the generation in its
+ * own state, then asks the holder, then the owner, then every responding peer. A host that has the
+ * same tokens up to the caller's offset hands the generation over.
  */
 public final class TakeoverService {
   private static final long STAGE_TIMEOUT_MILLIS = 300;
@@ -58,15 +58,16 @@
   }
 
   /**
-   * One caller's search for its generation.
+   * A search for the generation of one caller.
    *
-   * <p>An answer counts whenever it comes while the search goes on: a holder that was slow has
-   * raised the epoch all the same, so that to pass its grant over would lose the generation.
+   * <p>A grant is accepted from any contacted host while the search runs, also after its stage has
+   * timed out: that host has already raised the epoch, and ignoring its grant would lose the
+   * generation.
    */
   private final class Search {
     private final long caller;
     private final AccountId account;
-    private final EventId after;
+    private final EventId lastEventId;
     private final long ticket = context.nextTicket();
     private final Deque<Set<HostId>> stages = new ArrayDeque<>();
     private final Set<HostId> contacted = new HashSet<>();
@@ -75,12 +76,12 @@
     private boolean allPeersContacted;
     private TimerQueue.Timer timer;
 
-    private Search(long caller, AccountId account, EventId after) {
+    private Search(long caller, AccountId account, EventId lastEventId) {
       this.caller = caller;
       this.account = account;
-      this.after = after;
-      after.holder().ifPresent(holder -> stages.add(Set.of(holder)));
-      stages.add(Set.of(after.owner()));
+      this.lastEventId = lastEventId;
+      lastEventId.holder().ifPresent(holder -> stages.add(Set.of(holder)));
+      stages.add(Set.of(lastEventId.owner()));
       contacted.add(context.self());
       searches.put(ticket, this);
     }
@@ -105,12 +106,12 @@
         return stages.poll();
       }
       allPeersContacted = true;
-      Set<HostId> everyone = new LinkedHashSet<>();
+      Set<HostId> peers = new LinkedHashSet<>();
       members.known().stream()
           .map(peer -> peer.id())
           .filter(members::isAnswering)
-          .forEach(everyone::add);
-      return everyone;
+          .forEach(peers::add);
+      return peers;
     }
 
     private void sendRequest(HostId host) {
@@ -119,14 +120,18 @@
           new Action.SendPeer(
               host,
               new PeerMessage.TakeOver(
-                  ticket, after.request(), account, after.offset(), after.digest())));
+                  ticket,
+                  lastEventId.request(),
+                  account,
+                  lastEventId.offset(),
+                  lastEventId.digest())));
     }
 
     private void handleRefused(HostId host, TakeoverRefusal reason) {
       unresponsive.remove(host);
       if (reason == TakeoverRefusal.WRONG_ACCOUNT) {
         stop();
-        refuseWrongAccount(caller, after);
+        refuseWrongAccount(caller, lastEventId);
       } else if (pending.remove(host) && pending.isEmpty()) {
         timer.cancel();
         contactNextStage();
@@ -135,7 +140,7 @@
 
     private void handleUnreachable(HostId host, boolean processGone) {
       if (pending.remove(host)) {
-        // A process that has ended took its memory along: there is nothing to wait for.
+        // A process that has ended has lost its copies, so no late response can follow.
         if (!processGone) {
           unresponsive.add(host);
         }
@@ -157,89 +162,95 @@
       stop();
       context.logEvent(
           EventCode.TAKEOVER_FAILED,
-          after.request().value(),
-          "not answering: " + unresponsive.size());
+          lastEventId.request().value(),
+          "unresponsive hosts: " + unresponsive.size());
       long retry = unresponsive.isEmpty() ? 0 : RETRY_DELAY_MILLIS;
       String detail =
-          "after offset " + after.offset() + "; hosts that did not answer: " + unresponsive.size();
+          "after offset " + lastEventId.offset() + "; unresponsive hosts: " + unresponsive.size();
       context.emit(
           new Action.Refuse(
               caller, new Problem(ProblemType.GENERATION_LOST, Outcome.RAN, detail, retry)));
     }
   }
 
-  /** Takes in a caller who comes back. */
+  /** Resumes a generation of this host, or searches for it at other hosts. */
   public void handleResume(Event.ResumeRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     if (account.isEmpty()) {
       context.emit(
           new Action.Refuse(
               event.caller(),
-              Problem.notRun(ProblemType.UNKNOWN_ACCOUNT, "no account has this key")));
+              Problem.notRun(
+                  ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key")));
       return;
     }
     AccountId accountId = new AccountId(account.get().key().name());
-    EventId after = event.after();
+    EventId lastEventId = event.after();
     Optional<TakeoverRefusal> ownRefusal =
-        owner.takeoverRefusal(after.request(), accountId, after.offset(), after.digest());
+        owner.takeoverRefusal(
+            lastEventId.request(), accountId, lastEventId.offset(), lastEventId.digest());
     Optional<TakeoverRefusal> copyRefusal =
-        copies.takeoverRefusal(after.request(), accountId, after.offset(), after.digest());
-    boolean otherAccount =
+        copies.takeoverRefusal(
+            lastEventId.request(), accountId, lastEventId.offset(), lastEventId.digest());
+    boolean wrongAccount =
         ownRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT))
             || copyRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT));
-    if (otherAccount) {
-      refuseWrongAccount(event.caller(), after);
+    if (wrongAccount) {
+      refuseWrongAccount(event.caller(), lastEventId);
     } else if (ownRefusal.isEmpty()) {
-      owner.reattach(after, event.caller());
+      owner.reattach(lastEventId, event.caller());
     } else if (copyRefusal.isEmpty()) {
-      CopyStore.Handover handover = copies.handOver(after.request(), context.self());
-      adopt(handover, Optional.empty(), event.caller(), after);
+      CopyStore.Handover handover = copies.handOver(lastEventId.request(), context.self());
+      adopt(handover, Optional.empty(), event.caller(), lastEventId);
     } else {
       context.logEvent(
-          EventCode.TAKEOVER_ASKED, after.request().value(), "after " + after.offset());
-      new Search(event.caller(), accountId, after).contactNextStage();
+          EventCode.TAKEOVER_ASKED, lastEventId.request().value(), "after " + lastEventId.offset());
+      new Search(event.caller(), accountId, lastEventId).contactNextStage();
     }
   }
 
-  private void refuseWrongAccount(long caller, EventId after) {
+  private void refuseWrongAccount(long caller, EventId lastEventId) {
     context.emit(
         new Action.Refuse(
             caller,
-            new Problem(ProblemType.WRONG_ACCOUNT, Outcome.RAN, "request " + after.request(), 0)));
+            new Problem(
+                ProblemType.WRONG_ACCOUNT, Outcome.RAN, "request " + lastEventId.request(), 0)));
   }
 
   private void adopt(
-      CopyStore.Handover handover, Optional<HostId> holder, long caller, EventId after) {
+      CopyStore.Handover handover, Optional<HostId> holder, long caller, EventId lastEventId) {
     Optional<Row> service = table.service(handover.spec().service());
     if (service.isEmpty()) {
       context.emit(
           new Action.Refuse(
               caller,
               new Problem(
-                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row is gone", 0)));
+                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row was deleted", 0)));
       return;
     }
-    owner.adopt(handover, holder, service.get(), caller, after);
+    owner.adopt(handover, holder, service.get(), caller, lastEventId);
   }
 
-  /** Answers a peer that asks for a generation. */
-  public void handleTakeOver(HostId from, PeerMessage.TakeOver ask) {
+  /** Hands a generation over to a peer, or refuses. */
+  public void handleTakeOver(HostId from, PeerMessage.TakeOver takeOver) {
     Optional<TakeoverRefusal> copyRefusal =
-        copies.takeoverRefusal(ask.request(), ask.account(), ask.offset(), ask.digest());
+        copies.takeoverRefusal(
+            takeOver.request(), takeOver.account(), takeOver.offset(), takeOver.digest());
     Optional<TakeoverRefusal> ownRefusal =
-        owner.takeoverRefusal(ask.request(), ask.account(), ask.offset(), ask.digest());
-    PeerMessage answer;
+        owner.takeoverRefusal(
+            takeOver.request(), takeOver.account(), takeOver.offset(), takeOver.digest());
+    PeerMessage response;
     if (copyRefusal.isEmpty()) {
-      answer = grantMessage(ask.ticket(), copies.handOver(ask.request(), from));
+      response = grantMessage(takeOver.ticket(), copies.handOver(takeOver.request(), from));
     } else if (ownRefusal.isEmpty()) {
-      copies.add(owner.relinquish(ask.request()));
-      answer = grantMessage(ask.ticket(), copies.handOver(ask.request(), from));
+      copies.add(owner.relinquish(takeOver.request()));
+      response = grantMessage(takeOver.ticket(), copies.handOver(takeOver.request(), from));
     } else {
       TakeoverRefusal reason =
           copyRefusal.get() == TakeoverRefusal.MISSING ? ownRefusal.get() : copyRefusal.get();
-      answer = new PeerMessage.TakeOverRefused(ask.ticket(), reason);
+      response = new PeerMessage.TakeOverRefused(takeOver.ticket(), reason);
     }
-    context.emit(new Action.SendPeer(from, answer));
+    context.emit(new Action.SendPeer(from, response));
   }
 
   private static PeerMessage grantMessage(long ticket, CopyStore.Handover handover) {
@@ -247,7 +258,7 @@
         ticket, handover.spec(), handover.epoch(), handover.tokens(), handover.finished());
   }
 
-  /** Takes over a generation that a peer hands over; that peer keeps the copy. */
+  /** Adopts a generation that a peer hands over; the peer becomes its copy holder. */
   public void handleGranted(HostId from, PeerMessage.TakeOverGranted grant) {
     Search search = searches.get(grant.ticket());
     if (search == null) {
@@ -256,10 +267,10 @@
     search.stop();
     CopyStore.Handover handover =
         new CopyStore.Handover(grant.spec(), grant.epoch(), grant.tokens(), grant.finished());
-    adopt(handover, Optional.of(from), search.caller, search.after);
+    adopt(handover, Optional.of(from), search.caller, search.lastEventId);
   }
 
-  /** Goes on searching when a peer has nothing to hand over. */
+  /** Continues a search after a peer refused to hand over the generation. */
   public void handleRefused(HostId from, PeerMessage.TakeOverRefused refusal) {
     Search search = searches.get(refusal.ticket());
     if (search != null) {
@@ -267,12 +278,12 @@
     }
   }
 
-  /** Goes on searching when a peer turns out not to answer. */
+  /** Continues the searches that wait for an unreachable peer. */
   public void handlePeerUnreachable(HostId peer, boolean processGone) {
     List.copyOf(searches.values()).forEach(search -> search.handleUnreachable(peer, processGone));
   }
 
-  /** Notes that a caller's connection ended; returns whether it was searching here. */
+  /** Stops the search of a disconnected caller; returns whether there was one. */
   public boolean handleCallerDisconnected(long caller) {
     Optional<Search> search =
         searches.values().stream().filter(candidate -> candidate.caller == caller).findFirst();
--- a/gatereel-core/src/test/java/org/gatereel/core/call/ClaimWriterTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/call/ClaimWriterTest.java
@@ -18,11 +18,11 @@
       new CoreContext(new HostId("host"), new DataCentre("hall"), new SplittableRandom(1));
 
   @Test
-  void aTransactionHasNoMoreRowsThanTheStoreTakes() {
+  void transactionHasAtMostTheRowsThatTheStoreAllows() {
     PlatformPort platform = new PlatformPort(context, new StoreLimits(400, 3));
     ClaimWriter writer = new ClaimWriter(context, platform, () -> 10);
-    for (int number = 0; number < 5; number++) {
-      writer.claim(TableWrite.insert("claim/" + number, "value"), present -> {});
+    for (int index = 0; index < 5; index++) {
+      writer.claim(TableWrite.insert("claim/" + index, "value"), present -> {});
     }
     context.timers().runDue(context.now());
     List<Integer> sizes =
--- a/gatereel-core/src/test/java/org/gatereel/core/generation/EventIdTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/generation/EventIdTest.java
@@ -17,7 +17,7 @@
 
 class EventIdTest {
   @Property(tries = 200, seed = "1")
-  void whatIsWrittenIsReadBack(
+  void parsesItsOwnText(
       @ForAll @AlphaChars @NotEmpty String name,
       @ForAll boolean copied,
       @ForAll @IntRange(min = 0) int offset,
@@ -39,7 +39,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "17", "1~a~b~c~d~1~1~x~0", "2~a~b~c~d~1~1~1~0", "1~a~b~c~d~1~1~1"})
-  void whatWasNotWrittenByThisSystemIsRefused(String text) {
+  void rejectsOtherText(String text) {
     assertThrows(MalformedEventIdException.class, () -> EventId.parse(text));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/generation/GenerationHost.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/generation/GenerationHost.java
@@ -24,7 +24,7 @@
 import org.gatereel.core.table.RowKind;
 import org.gatereel.core.table.TableEdit;
 
-/** One host without peers, with engines that are played by the test, in made-up time. */
+/** An entry host without peers. The test supplies the time and the events of the engines. */
 final class GenerationHost {
   static final long CALLER = 7;
 
@@ -41,13 +41,13 @@
 
   GenerationHost(String... engines) {
     this.engines = List.of(engines);
-    seed(1, RowKind.ACCOUNT, "ward", Map.of("key_sha256", CREDENTIAL));
-    seed(2, RowKind.SERVICE, "assistant", Map.of("kind", "generation"));
-    take(core.start(now, List.of()));
-    list(LifeState.LIVE);
+    insertRow(1, RowKind.ACCOUNT, "ward", Map.of("key_sha256", CREDENTIAL));
+    insertRow(2, RowKind.SERVICE, "assistant", Map.of("kind", "generation"));
+    handleActions(core.start(now, List.of()));
+    publishTargets(LifeState.LIVE);
   }
 
-  private void seed(long revision, RowKind kind, String name, Map<String, String> cells) {
+  private void insertRow(long revision, RowKind kind, String name, Map<String, String> cells) {
     Row row = new Row(new RowKey(kind, name), revision, false, new TreeMap<>(cells));
     String text = TableEditCodec.encode(new TableEdit(row, "seed-" + revision, "seed", 0));
     table.put("policy/row/" + row.key(), text);
@@ -55,9 +55,9 @@
     table.put("policy/revision", Long.toString(revision));
   }
 
-  private void take(List<Action> taken) {
-    actions.addAll(taken);
-    for (Action action : taken) {
+  private void handleActions(List<Action> newActions) {
+    actions.addAll(newActions);
+    for (Action action : newActions) {
       if (action instanceof Action.ReadRows read) {
         TreeMap<String, String> found = new TreeMap<>(table);
         found.keySet().retainAll(read.keys());
@@ -73,11 +73,11 @@
   }
 
   void handle(Event event) {
-    take(core.handle(event, now));
+    handleActions(core.handle(event, now));
   }
 
-  /** Names the engines to the host; the first of them in a state, the others live. */
-  void list(LifeState first) {
+  /** Sends the host a list of the engines with {@code first} as the state of the first one. */
+  void publishTargets(LifeState first) {
     List<TargetDescription> targets = new ArrayList<>();
     for (String engine : engines) {
       LifeState state = targets.isEmpty() ? first : LifeState.LIVE;
@@ -94,35 +94,35 @@
     handle(new Event.HostListSeen(new HostList(++listVersion, List.of(), targets)));
   }
 
-  /** Lets time pass until the host has asked an engine for so many attempts in all. */
+  /** Advances the time until the host has started {@code count} attempts in all. */
   void awaitAttempts(int count) {
     for (int step = 0; attempts().size() < count && step < 10_000; step++) {
       now++;
-      take(core.advance(now));
+      handleActions(core.advance(now));
     }
     if (attempts().size() < count) {
       throw new AssertionError("attempts: " + attempts());
     }
   }
 
-  /** Asks for a generation and returns its first attempt. */
-  Action.StartAttempt ask(int maximumTokens) {
+  /** Requests a generation and returns its first attempt. */
+  Action.StartAttempt request(int maximumTokens) {
     handle(new Event.GenerationRequested(CALLER, CREDENTIAL, SERVICE, "a ledger", maximumTokens));
     awaitAttempts(1);
     return attempts().get(0);
   }
 
-  /** Returns the attempts that engines were asked for, in their order. */
+  /** Returns the attempts in the order of their start. */
   List<Action.StartAttempt> attempts() {
-    return of(Action.StartAttempt.class);
+    return actionsOf(Action.StartAttempt.class);
   }
 
-  /** Returns the actions of a kind, in their order. */
-  <T extends Action> List<T> of(Class<T> kind) {
-    return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
+  /** Returns the actions of a type, in their order. */
+  <T extends Action> List<T> actionsOf(Class<T> type) {
+    return actions.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  /** Has an attempt bring tokens from one offset up to another. */
+  /** Delivers the tokens of an attempt from one offset up to, but not including, another. */
   void tokens(Action.StartAttempt attempt, int from, int to) {
     for (int offset = from; offset < to; offset++) {
       now += 10;
@@ -131,13 +131,13 @@
     }
   }
 
-  /** Has the engine of an attempt say that the generation is whole. */
+  /** Finishes an attempt at a length in tokens. */
   void finish(Action.StartAttempt attempt, int length) {
     handle(new Event.AttemptFinished(attempt.spec().request(), attempt.attempt(), length));
   }
 
-  /** Returns whether the caller was told that its answer is whole. */
+  /** Returns whether the caller has received the end of its stream. */
   boolean isEnded() {
-    return !of(Action.EndStream.class).isEmpty();
+    return !actionsOf(Action.EndStream.class).isEmpty();
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/generation/SuspicionPolicyTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/generation/SuspicionPolicyTest.java
@@ -12,21 +12,21 @@
 class SuspicionPolicyTest {
   private static final int GAPS = 100_000;
   private static final double MEDIAN_MILLIS = 26;
-  private static final double TAIL = 0.5;
+  private static final double LOG_STANDARD_DEVIATION = 0.5;
   private static final long SEED = 3;
 
   /** Draws gaps with a log-normal tail: one in a thousand is over 120 ms. */
   private static long gap(Random random) {
-    return Math.round(MEDIAN_MILLIS * Math.exp(TAIL * random.nextGaussian()));
+    return Math.round(MEDIAN_MILLIS * Math.exp(LOG_STANDARD_DEVIATION * random.nextGaussian()));
   }
 
   @ParameterizedTest
   @EnumSource(SuspicionPolicy.class)
-  void aLiveEngineWithAHeavyTailIsNeverSuspected(SuspicionPolicy policy) {
+  void neverSuspectsALiveEngineWithAHeavyTail(SuspicionPolicy policy) {
     Random random = new Random(SEED);
     GapTracker gaps = new GapTracker();
     int suspected = 0;
-    for (int number = 0; number < GAPS; number++) {
+    for (int index = 0; index < GAPS; index++) {
       long gap = gap(random);
       suspected += gap >= policy.silenceMillis(gaps) ? 1 : 0;
       gaps.add(gap);
@@ -35,9 +35,9 @@
   }
 
   @Test
-  void anEngineThatWasFrozenIsNotGivenSecondsFromThenOn() {
+  void singleLongGapDoesNotRaiseTheLimit() {
     GapTracker gaps = new GapTracker();
-    for (int number = 0; number < 1_000; number++) {
+    for (int index = 0; index < 1_000; index++) {
       gaps.add((long) MEDIAN_MILLIS);
     }
     long before = SuspicionPolicy.THRIFTY.silenceMillis(gaps);
@@ -46,10 +46,10 @@
   }
 
   @Test
-  void aFrozenEngineIsSuspectedWithinASecondByTheEagerPolicy() {
+  void eagerPolicySuspectsASilentEngineWithinASecond() {
     Random random = new Random(SEED);
     GapTracker gaps = new GapTracker();
-    for (int number = 0; number < GAPS; number++) {
+    for (int index = 0; index < GAPS; index++) {
       gaps.add(gap(random));
     }
     assertTrue(SuspicionPolicy.EAGER.silenceMillis(gaps) < 1_000);
