--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
@@ -57,7 +57,7 @@
                 done.accept(
                     marker.isSent()
                         ? new TransactionResult.Unknown()
-                        : new TransactionResult.NotTaken());
+                        : new TransactionResult.NotApplied());
               }
 
               @Override
@@ -73,7 +73,7 @@
         return new TransactionResult.Committed();
       }
       if (response.code() != CONFLICT) {
-        return new TransactionResult.NotTaken();
+        return new TransactionResult.NotApplied();
       }
       var conflict =
           Json.MAPPER.readValue(response.body().string(), PlatformMessages.Conflict.class);
--- a/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
@@ -126,7 +126,7 @@
   }
 
   private static Path path(RowKey row) {
-    return get("admin/table/" + row.kind().word() + "/" + row.name());
+    return get("admin/table/" + row.kind().externalName() + "/" + row.name());
   }
 
   private <T> T read(Path path, TypeReference<T> type) throws ControlException {
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
@@ -52,11 +52,11 @@
       lines.add(row.key() + " @" + row.revision());
       for (Column column : Column.values()) {
         if (column.rowKind() == row.key().kind()) {
-          String mark = row.cells().containsKey(column.word()) ? "" : " (standard)";
+          String mark = row.cells().containsKey(column.externalName()) ? "" : " (standard)";
           lines.add(
               String.format(
                   "  %-22s %-14s%s  # %s",
-                  column.word(), row.text(column), mark, column.meaning()));
+                  column.externalName(), row.text(column), mark, column.description()));
         }
       }
       printer.print(row, lines);
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableFiles.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableFiles.java
@@ -34,7 +34,7 @@
 
   private static CsvSchema schema() {
     CsvSchema.Builder schema = CsvSchema.builder().addColumn(ROW).addColumn(REVISION);
-    Stream.of(Column.values()).map(Column::word).forEach(schema::addColumn);
+    Stream.of(Column.values()).map(Column::externalName).forEach(schema::addColumn);
     return schema.build().withHeader();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.admission.Admission;
 import org.gatereel.core.call.CallService;
 import org.gatereel.core.edit.EditService;
-import org.gatereel.core.edit.RevisionKeeper;
+import org.gatereel.core.edit.RevisionSynchronizer;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.generation.CopyStore;
@@ -49,22 +49,22 @@
  * @since 0.1.0
  */
 public final class EntryHost {
-  private static final long PAUSE_MILLIS = 400;
-  private static final long DRAINING_RETRY_MILLIS = 100;
-  private static final long NOT_READY_RETRY_MILLIS = 500;
+  private static final long PAUSE_THRESHOLD_MILLIS = 400;
+  private static final long DRAINING_RETRY_DELAY_MILLIS = 100;
+  private static final long NOT_READY_RETRY_DELAY_MILLIS = 500;
 
   private final CoreContext context;
   private final PolicyTable table = new PolicyTable();
   private final TargetRegistry targets;
   private final Membership members;
   private final PlatformPort platform;
-  private final RevisionKeeper revisions;
+  private final RevisionSynchronizer revisions;
   private final EditService edits;
   private final Admission admission;
   private final CopyStore copies;
   private final GenerationOwner owner;
   private final GenerationService generations;
-  private final TakeoverService takeOvers;
+  private final TakeoverService takeovers;
   private final CallService calls;
   private boolean draining;
   private boolean dispatchRequested;
@@ -80,18 +80,18 @@
     targets = new TargetRegistry(context, table);
     members = new Membership(context, this::heartbeat);
     platform = new PlatformPort(context, storeLimits);
-    revisions = new RevisionKeeper(context, table, members, platform);
+    revisions = new RevisionSynchronizer(context, table, members, platform);
     edits = new EditService(context, table, platform, revisions);
     admission = new Admission(context, targets);
     copies = new CopyStore(context);
     RetryBudgets budgets = new RetryBudgets();
     owner = new GenerationOwner(context, table, targets, members, budgets, this::requestDispatch);
     generations = new GenerationService(context, table, targets, admission, owner, budgets);
-    takeOvers = new TakeoverService(context, table, members, owner, copies);
+    takeovers = new TakeoverService(context, table, members, owner, copies);
     calls =
         new CallService(
             context, table, targets, members, admission, budgets, platform, this::requestDispatch);
-    targets.onLeaving(this::tellLeaving);
+    targets.onLeaving(this::announceDraining);
   }
 
   /** Starts heartbeats and reads; {@code seeds} are peers known from the settings. */
@@ -111,7 +111,7 @@
 
   /** Lets the time pass. */
   public List<Action> advance(long now) {
-    moveTo(now);
+    advanceTo(now);
     context.timers().runDue(now);
     dispatch();
     return context.takeActions();
@@ -119,24 +119,24 @@
 
   /** Takes in an event. */
   public List<Action> handle(Event event, long now) {
-    moveTo(now);
+    advanceTo(now);
     if (event instanceof Event.TokenArrived token) {
       owner.handleToken(token);
-    } else if (event instanceof Event.PeerSaid said) {
-      peerSaid(said.from(), said.message());
+    } else if (event instanceof Event.PeerMessageReceived said) {
+      handlePeerMessage(said.from(), said.message());
     } else if (!handleCaller(event) && !handleTarget(event)) {
-      handleSurroundings(event);
+      handleEnvironment(event);
     }
     dispatch();
     return context.takeActions();
   }
 
-  private void moveTo(long now) {
+  private void advanceTo(long now) {
     OptionalLong due = context.timers().nextDeadline();
     long lastRun = context.now();
     context.advanceTo(now);
     long late = due.isPresent() ? now - Math.max(due.getAsLong(), lastRun) : 0;
-    if (late > PAUSE_MILLIS) {
+    if (late > PAUSE_THRESHOLD_MILLIS) {
       context.recordPause();
       context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), late + " ms");
     }
@@ -144,33 +144,34 @@
 
   private boolean handleCaller(Event event) {
     if (event instanceof Event.GenerationRequested request) {
-      if (mayTakeNew(request.caller(), Outcome.NOT_RUN)) {
+      if (canAccept(request.caller(), Outcome.NOT_RUN)) {
         generations.handleRequest(request);
       }
     } else if (event instanceof Event.CallRequested request) {
       // Under the same key another host may have run the call already.
       Outcome known = request.idempotencyKey().isPresent() ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-      if (mayTakeNew(request.caller(), known)) {
+      if (canAccept(request.caller(), known)) {
         calls.handleRequest(request);
       }
     } else if (event instanceof Event.ResumeRequested request) {
       if (hasTable(request.caller(), Outcome.RAN)) {
-        takeOvers.handleResume(request);
+        takeovers.handleResume(request);
       }
-    } else if (event instanceof Event.CallerGone gone) {
-      callerGone(gone.caller());
+    } else if (event instanceof Event.CallerDisconnected gone) {
+      handleCallerDisconnected(gone.caller());
     } else if (event instanceof Event.EditRequested request) {
-      edits.requested(request);
+      edits.handleRequest(request);
     } else {
       return false;
     }
     return true;
   }
 
-  private boolean mayTakeNew(long caller, Outcome outcome) {
+  private boolean canAccept(long caller, Outcome outcome) {
     if (draining) {
       String detail = "connect again to reach another host";
-      refuse(caller, new Problem(ProblemType.DRAINING, outcome, detail, DRAINING_RETRY_MILLIS));
+      refuse(
+          caller, new Problem(ProblemType.DRAINING, outcome, detail, DRAINING_RETRY_DELAY_MILLIS));
       return false;
     }
     return hasTable(caller, outcome);
@@ -180,23 +181,25 @@
   private boolean hasTable(long caller, Outcome outcome) {
     if (table.revision() == 0) {
       String detail = "neither the platform nor a peer has answered yet";
-      refuse(caller, new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_MILLIS));
+      refuse(
+          caller,
+          new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_DELAY_MILLIS));
     }
     return table.revision() > 0;
   }
 
   private void refuse(long caller, Problem problem) {
-    context.emit(new Action.Refuse(caller, problem));
+    context.emit(new Action.SendProblem(caller, problem));
   }
 
-  private void callerGone(long caller) {
+  private void handleCallerDisconnected(long caller) {
     boolean known =
         owner.handleCallerDisconnected(caller)
             || generations.handleCallerDisconnected(caller)
-            || takeOvers.handleCallerDisconnected(caller)
+            || takeovers.handleCallerDisconnected(caller)
             || calls.handleCallerDisconnected(caller);
     if (!known) {
-      edits.callerGone(caller);
+      edits.handleCallerDisconnected(caller);
     }
   }
 
@@ -205,56 +208,57 @@
       owner.handleAttemptFinished(finished);
     } else if (event instanceof Event.AttemptFailed failed) {
       owner.handleAttemptFailed(failed);
-    } else if (event instanceof Event.CallAnswered answered) {
+    } else if (event instanceof Event.CallResponseReceived answered) {
       calls.handleResponse(answered);
     } else if (event instanceof Event.CallFailed failed) {
       calls.handleFailure(failed);
-    } else if (event instanceof Event.TargetAnswered answered) {
-      targetAnswered(answered);
+    } else if (event instanceof Event.HealthCheckAnswered answered) {
+      handleHealthCheck(answered);
     } else {
       return false;
     }
     return true;
   }
 
-  private void targetAnswered(Event.TargetAnswered answered) {
+  private void handleHealthCheck(Event.HealthCheckAnswered answered) {
     targets.find(answered.target()).ifPresent(target -> targets.answered(target, answered.load()));
     if (answered.leaving()) {
       targets.leaving(answered.target());
     }
   }
 
-  private void handleSurroundings(Event event) {
-    if (event instanceof Event.HostListSeen seen) {
-      see(seen.list());
+  private void handleEnvironment(Event event) {
+    if (event instanceof Event.HostListReceived seen) {
+      applyList(seen.list());
     } else if (event instanceof Event.TransactionEnded ended) {
-      platform.ended(ended);
+      platform.complete(ended);
     } else if (event instanceof Event.ReadEnded ended) {
-      platform.ended(ended);
+      platform.complete(ended);
     } else if (event instanceof Event.PeerUnreachable unreachable) {
-      peerUnreachable(unreachable);
+      handlePeerUnreachable(unreachable);
     } else if (event instanceof Event.DrainRequested) {
       drain();
     }
   }
 
-  private void see(HostList list) {
-    members.see(list);
+  private void applyList(HostList list) {
+    members.applyList(list);
     targets.see(list);
     requestDispatch();
   }
 
-  private void peerUnreachable(Event.PeerUnreachable event) {
-    members.unreachable(event.peer());
-    takeOvers.handlePeerUnreachable(event.peer(), event.processGone());
+  private void handlePeerUnreachable(Event.PeerUnreachable event) {
+    members.markUnreachable(event.peer());
+    takeovers.handlePeerUnreachable(event.peer(), event.processGone());
     calls.handlePeerUnreachable(event.peer());
   }
 
   private void drain() {
     if (!draining) {
       draining = true;
-      context.logEvent(EventCode.HOST_DRAINING, context.self().value(), open() + " requests open");
-      members.beatNow();
+      context.logEvent(
+          EventCode.HOST_DRAINING, context.self().value(), openCount() + " requests open");
+      members.sendHeartbeats();
     }
   }
 
@@ -262,20 +266,22 @@
     return new PeerMessage.Heartbeat(table.revision(), draining, targets.leavingTargets());
   }
 
-  private void tellLeaving(TargetState target) {
+  private void announceDraining(TargetState target) {
     PeerMessage message = new PeerMessage.TargetLeaving(target.description().id(), context.self());
     members.neighbours().forEach(peer -> context.emit(new Action.SendPeer(peer, message)));
   }
 
-  private void peerSaid(HostId from, PeerMessage message) {
+  private void handlePeerMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.Heartbeat heartbeat) {
-      members.heard(from, heartbeat.draining());
-      revisions.peerHas(from, heartbeat.revision());
+      members.recordMessage(from, heartbeat.draining());
+      revisions.handlePeerRevision(from, heartbeat.revision());
       heartbeat.leavingTargets().forEach(targets::leaving);
       return;
     }
-    members.heard(from);
-    if (!copySaid(from, message) && !takeOverSaid(from, message) && !tableSaid(from, message)) {
+    members.recordMessage(from);
+    if (!handleCopyMessage(from, message)
+        && !handleTakeOverMessage(from, message)
+        && !handleTableMessage(from, message)) {
       if (message instanceof PeerMessage.TargetLeaving leaving) {
         targets.leaving(leaving.target());
       } else {
@@ -284,7 +290,7 @@
     }
   }
 
-  private boolean copySaid(HostId from, PeerMessage message) {
+  private boolean handleCopyMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.CopyAppend append) {
       copies.handleAppend(from, append);
     } else if (message instanceof PeerMessage.CopyHeld held) {
@@ -303,26 +309,26 @@
     return true;
   }
 
-  private boolean takeOverSaid(HostId from, PeerMessage message) {
+  private boolean handleTakeOverMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.TakeOver ask) {
-      takeOvers.handleTakeOver(from, ask);
+      takeovers.handleTakeOver(from, ask);
     } else if (message instanceof PeerMessage.TakeOverGranted granted) {
-      takeOvers.handleGranted(from, granted);
+      takeovers.handleGranted(from, granted);
     } else if (message instanceof PeerMessage.TakeOverRefused refused) {
-      takeOvers.handleRefused(from, refused);
+      takeovers.handleRefused(from, refused);
     } else {
       return false;
     }
     return true;
   }
 
-  private boolean tableSaid(HostId from, PeerMessage message) {
+  private boolean handleTableMessage(HostId from, PeerMessage message) {
     if (message instanceof PeerMessage.EditsPush push) {
-      revisions.pushed(from, push);
+      revisions.handleEditsPush(from, push);
     } else if (message instanceof PeerMessage.EditsFetch fetch) {
-      revisions.fetched(from, fetch);
+      revisions.handleEditsFetch(from, fetch);
     } else if (message instanceof PeerMessage.TablePush push) {
-      revisions.pushedWhole(push);
+      revisions.handleTablePush(push);
     } else {
       return false;
     }
@@ -341,8 +347,8 @@
   }
 
   /** Returns how many callers wait for an answer. */
-  public int open() {
-    return owner.openCount() + admission.waiting() + calls.openCount() + edits.open();
+  public int openCount() {
+    return owner.openCount() + admission.waiting() + calls.openCount() + edits.openCount();
   }
 
   /** Returns whether callers are served: there is a table, and no planned stop. */
@@ -362,8 +368,8 @@
               target.estimatedLoad(context.now())));
     }
     List<HostStatus.PeerStatus> peers =
-        members.known().stream()
-            .map(peer -> new HostStatus.PeerStatus(peer, members.isAnswering(peer.id())))
+        members.knownPeers().stream()
+            .map(peer -> new HostStatus.PeerStatus(peer, members.isResponding(peer.id())))
             .toList();
     return new HostStatus(
         context.self(),
--- a/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
@@ -27,13 +27,13 @@
   record EndStream(long caller, EventId id) implements Action {}
 
   /** Tells the caller what went wrong, in the stream if it is open, and ends the exchange. */
-  record Refuse(long caller, Problem problem) implements Action {}
+  record SendProblem(long caller, Problem problem) implements Action {}
 
   /** Ends an exchange that another one replaced, or asks the caller to connect elsewhere. */
   record Disconnect(long caller) implements Action {}
 
   /** Gives the caller the answer of a plain call. */
-  record Answer(long caller, int status, String body) implements Action {}
+  record SendResponse(long caller, int status, String body) implements Action {}
 
   /** Tells an operator that the edit is accepted. */
   record ConfirmEdit(long caller, TableEdit edit) implements Action {}
@@ -63,7 +63,7 @@
   record SendPeer(HostId peer, PeerMessage message) implements Action {}
 
   /** Closes the connection to a peer, so that the next message goes over a new one. */
-  record DropLink(HostId peer) implements Action {}
+  record CloseConnection(HostId peer) implements Action {}
 
   /** Asks the platform for a transaction. */
   record Transact(long ticket, List<TableWrite> writes) implements Action {}
@@ -75,9 +75,10 @@
   record ScanRows(long ticket, String prefix, String after) implements Action {}
 
   /** Puts an entry on the time line and into the log. */
-  record Note(EventCode code, String subject, String detail) implements Action {}
+  record LogEvent(EventCode code, String subject, String detail) implements Action {}
 
   /** Adds a value to the statistics of a service and arm. */
-  record Measure(Measurement measurement, ServiceName service, PolicyVariant arm, long value)
+  record RecordMeasurement(
+      Measurement measurement, ServiceName service, PolicyVariant arm, long value)
       implements Action {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
@@ -106,13 +106,13 @@
   public Permit apply(Applicant applicant, Row account, Row service) {
     Lane lane = lanes.computeIfAbsent(applicant.service(), name -> new Lane());
     Permit permit = new Permit(applicant, lane);
-    int weight = account.number(Column.ACCOUNT_WEIGHT);
+    int weight = account.intValue(Column.ACCOUNT_WEIGHT);
     int open = accounts.opened(applicant.account(), weight, context.now());
-    if (open > account.number(Column.CONCURRENT_LIMIT)) {
+    if (open > account.intValue(Column.CONCURRENT_LIMIT)) {
       permit.refuse(
           Problem.notRun(
               ProblemType.ACCOUNT_LIMIT,
-              "the limit is " + account.number(Column.CONCURRENT_LIMIT) + " open requests",
+              "the limit is " + account.intValue(Column.CONCURRENT_LIMIT) + " open requests",
               Math.max(SHORTEST_RETRY_MILLIS, (long) lane.turnMillis)));
     } else if (lane.queue.size() > 0 || !start(permit)) {
       queue(permit, account, service);
@@ -134,7 +134,7 @@
   }
 
   private void queue(Permit permit, Row account, Row service) {
-    long patienceMillis = service.number(Column.PATIENCE_MILLIS);
+    long patienceMillis = service.intValue(Column.PATIENCE_MILLIS);
     long expected = permit.lane.expectedWait();
     if (expected > patienceMillis) {
       String detail = "the wait would be about " + expected + " ms";
@@ -146,7 +146,7 @@
     permit.entry =
         permit.lane.queue.add(
             permit.applicant.account(),
-            account.number(Column.ACCOUNT_WEIGHT),
+            account.intValue(Column.ACCOUNT_WEIGHT),
             permit.applicant.cost(),
             permit);
     context.logEvent(
--- a/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
@@ -205,13 +205,13 @@
           request, record, alreadyClaimed(request, "an earlier process of this host claimed it"));
       return;
     }
-    if (!members.isAnswering(host)) {
+    if (!members.isResponding(host)) {
       failClaimedElsewhere(request, record, hostUnresponsive(request, host));
       return;
     }
     long ticket = context.nextTicket();
     long timeoutMillis =
-        OUTCOME_TIMEOUT_MILLIS + request.service().number(Column.CALL_TIMEOUT_MILLIS);
+        OUTCOME_TIMEOUT_MILLIS + request.service().intValue(Column.CALL_TIMEOUT_MILLIS);
     TimerQueue.Timer timer = context.schedule(timeoutMillis, () -> handleQueryTimeout(ticket));
     queries.put(ticket, new OutcomeQuery(host, request, currentValue, timer));
     record.claimReplacements(replacements);
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -138,12 +138,12 @@
               chosen.description(),
               call.executionId(),
               call.body(),
-              service.number(Column.CALL_TIMEOUT_MILLIS),
+              service.intValue(Column.CALL_TIMEOUT_MILLIS),
               priority));
       context.logEvent(EventCode.CALL_SENT, call.executionId(), id.value());
     }
 
-    private void handleResponse(Event.CallAnswered event) {
+    private void handleResponse(Event.CallResponseReceived event) {
       targets.answered(target, event.load());
       closeTarget();
       context.logEvent(
@@ -202,14 +202,14 @@
 
   /** Sends a call to a target once admission control admits it. */
   void execute(Call call, Row account, Row service, Listener listener) {
-    boolean repeatable = service.truth(Column.REPEATABLE);
-    budgets.forService(call.service()).earn(service.number(Column.RETRY_PERCENT));
+    boolean repeatable = service.booleanValue(Column.REPEATABLE);
+    budgets.forService(call.service()).earn(service.intValue(Column.RETRY_PERCENT));
     CallExecution execution =
-        new CallExecution(call, repeatable, account.number(Column.PRIORITY), listener);
+        new CallExecution(call, repeatable, account.intValue(Column.PRIORITY), listener);
     execution.permit = admission.apply(execution, account, service);
   }
 
-  void handleResponse(Event.CallAnswered event) {
+  void handleResponse(Event.CallResponseReceived event) {
     CallExecution execution = pendingByTicket.remove(event.ticket());
     if (execution != null) {
       execution.handleResponse(event);
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
@@ -57,14 +57,14 @@
     @Override
     public void onResponse(int status, String body) {
       if (waitingCallers.remove(caller)) {
-        context.emit(new Action.Answer(caller, status, body));
+        context.emit(new Action.SendResponse(caller, status, body));
       }
     }
 
     @Override
     public void onFailure(Problem problem) {
       if (waitingCallers.remove(caller)) {
-        context.emit(new Action.Refuse(caller, problem));
+        context.emit(new Action.SendProblem(caller, problem));
       }
     }
   }
@@ -75,7 +75,7 @@
     Optional<Row> service =
         table
             .service(event.service())
-            .filter(row -> row.choice(Column.KIND, ServiceKind.class) == ServiceKind.CALL);
+            .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.CALL);
     if (account.isEmpty()) {
       responder.onFailure(
           problemBeforeClaim(
@@ -84,7 +84,7 @@
       responder.onFailure(
           problemBeforeClaim(
               event, ProblemType.UNKNOWN_SERVICE, "no call service " + event.service()));
-    } else if (service.get().truth(Column.REPEATABLE)) {
+    } else if (service.get().booleanValue(Column.REPEATABLE)) {
       String id = event.idempotencyKey().orElseGet(() -> "r-" + context.random().nextLong());
       runner.execute(call(event, account.get(), id), account.get(), service.get(), responder);
     } else if (event.idempotencyKey().isEmpty()) {
@@ -114,7 +114,7 @@
     return waitingCallers.remove(caller);
   }
 
-  public void handleResponse(Event.CallAnswered event) {
+  public void handleResponse(Event.CallResponseReceived event) {
     runner.handleResponse(event);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
@@ -51,7 +51,7 @@
 
   /** Returns the interval between transactions that keeps all writers together within the rate. */
   private int intervalMillis() {
-    int writers = WRITERS_PER_DATA_CENTRE * members.dataCentres();
+    int writers = WRITERS_PER_DATA_CENTRE * members.dataCentreCount();
     double perSecond = CLAIM_WRITES_RATIO * platform.limits().writesPerSecond();
     return Math.max(1, (int) Math.ceil(MILLIS_PER_SECOND * writers / perSecond));
   }
@@ -72,7 +72,7 @@
   }
 
   private HostId writerFor(String key) {
-    List<HostId> localHosts = members.answeringIn(context.dataCentre());
+    List<HostId> localHosts = members.respondingHosts(context.dataCentre());
     List<HostId> writers =
         Rendezvous.rank(WRITER_RANKING_KEY, localHosts, HostId::value).stream()
             .limit(WRITERS_PER_DATA_CENTRE)
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -30,19 +30,22 @@
  * another row is tried again on top of it.
  */
 public final class EditService {
-  private static final long DEADLINE_MILLIS = 4_000;
-  private static final long AGAIN_MILLIS = 100;
-  private static final long RACE_MILLIS = 40;
-  private static final long RETRY_MILLIS = 2_000;
+  private static final long EDIT_TIMEOUT_MILLIS = 4_000;
+  private static final long RETRY_DELAY_MILLIS = 100;
+  private static final long MAX_CONFLICT_DELAY_MILLIS = 40;
+  private static final long OPERATOR_RETRY_DELAY_MILLIS = 2_000;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final PlatformPort platform;
-  private final RevisionKeeper revisions;
-  private final Set<Long> waiting = new HashSet<>();
+  private final RevisionSynchronizer revisions;
+  private final Set<Long> waitingOperators = new HashSet<>();
 
   public EditService(
-      CoreContext context, PolicyTable table, PlatformPort platform, RevisionKeeper revisions) {
+      CoreContext context,
+      PolicyTable table,
+      PlatformPort platform,
+      RevisionSynchronizer revisions) {
     this.context = context;
     this.table = table;
     this.platform = platform;
@@ -50,12 +53,12 @@
   }
 
   /** One edit on its way into the table. */
-  private final class Pending {
+  private final class PendingEdit {
     private final Event.EditRequested request;
-    private final long deadline = context.now() + DEADLINE_MILLIS;
+    private final long deadline = context.now() + EDIT_TIMEOUT_MILLIS;
     private boolean mayHaveCommitted;
 
-    private Pending(Event.EditRequested request) {
+    private PendingEdit(Event.EditRequested request) {
       this.request = request;
     }
 
@@ -63,27 +66,27 @@
       return request.change();
     }
 
-    private void attempt() {
+    private void tryCommit() {
       long revisionOfRow = table.row(change().key()).map(Row::revision).orElse(0L);
-      if (acceptedEarlier().isPresent()) {
-        confirm(acceptedEarlier().get());
+      if (previouslyAccepted().isPresent()) {
+        confirm(previouslyAccepted().get());
         return;
       }
       if (revisionOfRow != change().basedOn()) {
-        lostRace();
+        reportLostRace();
         return;
       }
       try {
         Row row = table.preview(change());
         TableEdit edit =
             new TableEdit(row, request.editId(), request.operator(), request.wallClockMillis());
-        platform.transact(writes(edit), result -> transactionEnded(edit, result));
+        platform.transact(writes(edit), result -> handleTransactionResult(edit, result));
       } catch (InvalidEditException e) {
         refuse(Problem.notRun(ProblemType.INVALID_EDIT, e.getMessage()));
       }
     }
 
-    private Optional<TableEdit> acceptedEarlier() {
+    private Optional<TableEdit> previouslyAccepted() {
       return table
           .latestEdit(change().key())
           .filter(edit -> edit.editId().equals(request.editId()));
@@ -108,40 +111,40 @@
               .orElseGet(() -> TableWrite.insert(TableKeys.row(change().key()), text)));
     }
 
-    private void transactionEnded(TableEdit edit, TransactionResult result) {
+    private void handleTransactionResult(TableEdit edit, TransactionResult result) {
       if (result instanceof TransactionResult.Committed) {
-        accepted(edit);
+        handleAccepted(edit);
       } else if (result instanceof TransactionResult.Conflict conflict) {
         String accepted = conflict.present().get(TableKeys.edit(request.editId()));
         if (accepted != null) {
           readAccepted(Long.parseLong(accepted));
         } else {
           // Another edit was first: bring it into force here, then see whether it was of this row.
-          refreshThen(RACE_MILLIS);
+          refreshThen(MAX_CONFLICT_DELAY_MILLIS);
         }
       } else if (result instanceof TransactionResult.Unknown) {
         mayHaveCommitted = true;
         context.logEvent(EventCode.EDIT_UNKNOWN, request.editId(), "");
-        later(AGAIN_MILLIS, this::readBack);
+        scheduleOrFail(RETRY_DELAY_MILLIS, this::readBack);
       } else {
-        later(AGAIN_MILLIS, this::attempt);
+        scheduleOrFail(RETRY_DELAY_MILLIS, this::tryCommit);
       }
     }
 
-    private void accepted(TableEdit edit) {
+    private void handleAccepted(TableEdit edit) {
       if (table.revision() < edit.revision()) {
-        revisions.take(List.of(edit));
+        revisions.applyEdits(List.of(edit));
       }
       confirm(edit);
     }
 
     private void readBack() {
-      platform.read(List.of(TableKeys.edit(request.editId())), this::readBackEnded);
+      platform.read(List.of(TableKeys.edit(request.editId())), this::handleReadBack);
     }
 
-    private void readBackEnded(ReadResult result) {
+    private void handleReadBack(ReadResult result) {
       if (!(result instanceof ReadResult.Rows rows)) {
-        later(AGAIN_MILLIS, this::readBack);
+        scheduleOrFail(RETRY_DELAY_MILLIS, this::readBack);
         return;
       }
       String accepted = rows.rows().get(TableKeys.edit(request.editId()));
@@ -149,7 +152,7 @@
         readAccepted(Long.parseLong(accepted));
       } else {
         // The write may still be on its way; the same edit id cannot take effect twice.
-        refreshThen(RACE_MILLIS);
+        refreshThen(MAX_CONFLICT_DELAY_MILLIS);
       }
     }
 
@@ -160,12 +163,12 @@
           result -> {
             String text = result instanceof ReadResult.Rows rows ? rows.rows().get(key) : null;
             if (text == null) {
-              later(AGAIN_MILLIS, () -> readAccepted(revision));
+              scheduleOrFail(RETRY_DELAY_MILLIS, () -> readAccepted(revision));
               return;
             }
             try {
               TableEdit edit = TableEditCodec.decode(text);
-              revisions.refresh(() -> accepted(edit));
+              revisions.refresh(() -> handleAccepted(edit));
             } catch (MalformedEditException e) {
               refuse(
                   new Problem(
@@ -175,33 +178,41 @@
     }
 
     private void refreshThen(long longestWait) {
-      revisions.refresh(() -> later(1 + context.random().nextLong(longestWait), this::attempt));
+      revisions.refresh(
+          () -> scheduleOrFail(1 + context.random().nextLong(longestWait), this::tryCommit));
     }
 
-    private void later(long delayMillis, Runnable step) {
+    private void scheduleOrFail(long delayMillis, Runnable step) {
       if (context.now() + delayMillis <= deadline) {
         context.schedule(delayMillis, step);
       } else if (mayHaveCommitted) {
         String detail = "send the same edit id again: " + request.editId();
         refuse(
-            new Problem(ProblemType.EDIT_OUTCOME_UNKNOWN, Outcome.UNKNOWN, detail, RETRY_MILLIS));
+            new Problem(
+                ProblemType.EDIT_OUTCOME_UNKNOWN,
+                Outcome.UNKNOWN,
+                detail,
+                OPERATOR_RETRY_DELAY_MILLIS));
       } else {
         refuse(
             Problem.notRun(
-                ProblemType.PLATFORM_UNAVAILABLE, "the edit was not accepted", RETRY_MILLIS));
+                ProblemType.PLATFORM_UNAVAILABLE,
+                "the edit was not accepted",
+                OPERATOR_RETRY_DELAY_MILLIS));
       }
     }
 
-    private void lostRace() {
+    private void reportLostRace() {
       context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "lost race on " + change().key());
-      if (waiting.remove(request.caller())) {
+      if (waitingOperators.remove(request.caller())) {
         Optional<TableEdit> present = table.latestEdit(change().key());
         if (present.isPresent()) {
           context.emit(new Action.ReportLostRace(request.caller(), present.get()));
         } else {
           String detail = "there is no row " + change().key();
           context.emit(
-              new Action.Refuse(request.caller(), Problem.notRun(ProblemType.UNKNOWN_ROW, detail)));
+              new Action.SendProblem(
+                  request.caller(), Problem.notRun(ProblemType.UNKNOWN_ROW, detail)));
         }
       }
     }
@@ -209,39 +220,39 @@
     private void refuse(Problem problem) {
       context.logEvent(
           EventCode.EDIT_REFUSED, request.editId(), problem.type() + ": " + problem.detail());
-      if (waiting.remove(request.caller())) {
-        context.emit(new Action.Refuse(request.caller(), problem));
+      if (waitingOperators.remove(request.caller())) {
+        context.emit(new Action.SendProblem(request.caller(), problem));
       }
     }
 
     private void confirm(TableEdit edit) {
       context.logEvent(
           EventCode.EDIT_ACCEPTED, request.editId(), edit.row().key() + " at " + edit.revision());
-      if (waiting.remove(request.caller())) {
+      if (waitingOperators.remove(request.caller())) {
         context.emit(new Action.ConfirmEdit(request.caller(), edit));
       }
     }
   }
 
   /** Takes in an edit. */
-  public void requested(Event.EditRequested event) {
-    waiting.add(event.caller());
-    Pending pending = new Pending(event);
+  public void handleRequest(Event.EditRequested event) {
+    waitingOperators.add(event.caller());
+    PendingEdit pending = new PendingEdit(event);
     boolean behind = event.change().basedOn() > table.revision() || table.revision() == 0;
     if (behind) {
-      revisions.refresh(pending::attempt);
+      revisions.refresh(pending::tryCommit);
     } else {
-      pending.attempt();
+      pending.tryCommit();
     }
   }
 
   /** Notes that an operator's connection ended; the edit goes on. */
-  public boolean callerGone(long caller) {
-    return waiting.remove(caller);
+  public boolean handleCallerDisconnected(long caller) {
+    return waitingOperators.remove(caller);
   }
 
   /** Returns how many operators wait for an edit. */
-  public int open() {
-    return waiting.size();
+  public int openCount() {
+    return waitingOperators.size();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionKeeper.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionSynchronizer.java
@@ -21,20 +21,20 @@
  * the reads of a data centre stay the same. Whoever learns of an edit first passes it on to a few
  * peers, and they to others. Heartbeats carry the revision, so that whoever missed an edit asks.
  */
-public final class RevisionKeeper {
-  private static final int READS_A_SECOND_IN_DATA_CENTRE = 3;
-  private static final long SHORTEST_POLL_MILLIS = 1_000;
-  private static final int MILLIS_A_SECOND = 1_000;
+public final class RevisionSynchronizer {
+  private static final int READS_PER_SECOND_PER_DATA_CENTRE = 3;
+  private static final long MIN_POLL_INTERVAL_MILLIS = 1_000;
+  private static final int MILLIS_PER_SECOND = 1_000;
   private static final int FAN_OUT = 6;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final Membership members;
   private final PlatformPort platform;
-  private final List<Runnable> waitingForRead = new ArrayList<>();
+  private final List<Runnable> refreshListeners = new ArrayList<>();
   private boolean reading;
 
-  public RevisionKeeper(
+  public RevisionSynchronizer(
       CoreContext context, PolicyTable table, Membership members, PlatformPort platform) {
     this.context = context;
     this.table = table;
@@ -44,7 +44,7 @@
 
   /** Starts reading, and asks the peers for what they have. */
   public void start() {
-    members.reachable().stream()
+    members.reachablePeers().stream()
         .limit(FAN_OUT)
         .forEach(peer -> send(peer.id(), new PeerMessage.EditsFetch(table.revision())));
     poll();
@@ -52,63 +52,64 @@
 
   private void poll() {
     refresh(() -> {});
-    int hosts = members.answeringIn(context.dataCentre()).size();
+    int hosts = members.respondingHosts(context.dataCentre()).size();
     long interval =
         Math.max(
-            SHORTEST_POLL_MILLIS, (long) hosts * MILLIS_A_SECOND / READS_A_SECOND_IN_DATA_CENTRE);
+            MIN_POLL_INTERVAL_MILLIS,
+            (long) hosts * MILLIS_PER_SECOND / READS_PER_SECOND_PER_DATA_CENTRE);
     long jitter = context.random().nextLong(interval / 2);
     context.schedule(interval * 3 / 4 + jitter, this::poll);
   }
 
   /** Reads what the platform has and calls {@code done} when that is in force, or was in vain. */
   void refresh(Runnable done) {
-    waitingForRead.add(done);
+    refreshListeners.add(done);
     if (reading) {
       return;
     }
     reading = true;
     if (table.revision() == 0) {
-      platform.scan(TableKeys.ROW, "", this::rowsRead);
+      platform.scan(TableKeys.ROW, "", this::handleRows);
     } else {
-      platform.read(List.of(TableKeys.REVISION), this::revisionRead);
+      platform.read(List.of(TableKeys.REVISION), this::handleRevision);
     }
   }
 
-  private void revisionRead(ReadResult result) {
+  private void handleRevision(ReadResult result) {
     long latest = 0;
     if (result instanceof ReadResult.Rows rows) {
       latest = Long.parseLong(rows.rows().getOrDefault(TableKeys.REVISION, "0"));
     }
     if (latest > table.revision()) {
-      platform.scan(TableKeys.HISTORY, TableKeys.history(table.revision()), this::historyRead);
+      platform.scan(TableKeys.HISTORY, TableKeys.history(table.revision()), this::handleHistory);
     } else {
-      readEnded();
+      completeRefresh();
     }
   }
 
-  private void historyRead(ReadResult result) {
+  private void handleHistory(ReadResult result) {
     if (result instanceof ReadResult.Rows rows) {
-      take(TableHistory.decode(rows.rows()));
+      applyEdits(TableHistory.decode(rows.rows()));
     }
-    readEnded();
+    completeRefresh();
   }
 
-  private void rowsRead(ReadResult result) {
+  private void handleRows(ReadResult result) {
     if (result instanceof ReadResult.Rows rows) {
-      takeWhole(TableHistory.decode(rows.rows()));
+      replaceTable(TableHistory.decode(rows.rows()));
     }
-    readEnded();
+    completeRefresh();
   }
 
-  private void readEnded() {
+  private void completeRefresh() {
     reading = false;
-    List<Runnable> told = List.copyOf(waitingForRead);
-    waitingForRead.clear();
+    List<Runnable> told = List.copyOf(refreshListeners);
+    refreshListeners.clear();
     told.forEach(Runnable::run);
   }
 
   /** Brings edits into force as far as they follow on the revision here, and passes them on. */
-  void take(List<TableEdit> edits) {
+  void applyEdits(List<TableEdit> edits) {
     List<TableEdit> applied = new ArrayList<>();
     for (TableEdit edit : edits) {
       if (table.apply(edit)) {
@@ -120,19 +121,19 @@
       }
     }
     if (!applied.isEmpty()) {
-      passOn(new PeerMessage.EditsPush(applied));
+      sendToPeers(new PeerMessage.EditsPush(applied));
     }
   }
 
-  private void takeWhole(List<TableEdit> latestEdits) {
+  private void replaceTable(List<TableEdit> latestEdits) {
     long revision = latestEdits.stream().mapToLong(TableEdit::revision).max().orElse(0);
     if (table.replace(revision, latestEdits)) {
       context.logEvent(EventCode.REVISION_IN_FORCE, Long.toString(revision), "whole table");
     }
   }
 
-  private void passOn(PeerMessage message) {
-    List<HostDescription> peers = new ArrayList<>(members.reachable());
+  private void sendToPeers(PeerMessage message) {
+    List<HostDescription> peers = new ArrayList<>(members.reachablePeers());
     for (int sent = 0; sent < FAN_OUT && !peers.isEmpty(); sent++) {
       HostDescription peer = peers.remove(context.random().nextInt(peers.size()));
       send(peer.id(), message);
@@ -140,15 +141,15 @@
   }
 
   /** Takes in that a peer has a revision in force. */
-  public void peerHas(HostId peer, long revision) {
+  public void handlePeerRevision(HostId peer, long revision) {
     if (revision > table.revision()) {
       send(peer, new PeerMessage.EditsFetch(table.revision()));
     }
   }
 
   /** Takes in edits that a peer passes on; asks for the ones between if some are missing. */
-  public void pushed(HostId from, PeerMessage.EditsPush push) {
-    take(push.edits());
+  public void handleEditsPush(HostId from, PeerMessage.EditsPush push) {
+    applyEdits(push.edits());
     boolean gap = push.edits().stream().anyMatch(edit -> edit.revision() > table.revision());
     if (gap) {
       send(from, new PeerMessage.EditsFetch(table.revision()));
@@ -156,12 +157,12 @@
   }
 
   /** Takes in a whole table. */
-  public void pushedWhole(PeerMessage.TablePush push) {
-    takeWhole(push.latestEdits());
+  public void handleTablePush(PeerMessage.TablePush push) {
+    replaceTable(push.latestEdits());
   }
 
   /** Answers a peer that lacks edits. */
-  public void fetched(HostId from, PeerMessage.EditsFetch fetch) {
+  public void handleEditsFetch(HostId from, PeerMessage.EditsFetch fetch) {
     if (fetch.haveRevision() >= table.revision()) {
       return;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
@@ -37,7 +37,7 @@
       implements Event {}
 
   /** The caller's exchange ended. */
-  record CallerGone(long caller) implements Event {}
+  record CallerDisconnected(long caller) implements Event {}
 
   /** An engine brought a token. */
   record TokenArrived(RequestId request, int attempt, int offset, String token, int load)
@@ -50,13 +50,13 @@
   record AttemptFailed(RequestId request, int attempt, TargetFailure failure) implements Event {}
 
   /** A plain service answered. */
-  record CallAnswered(long ticket, int status, String body, int load) implements Event {}
+  record CallResponseReceived(long ticket, int status, String body, int load) implements Event {}
 
   /** A plain call ended without an answer. */
   record CallFailed(long ticket, TargetFailure failure) implements Event {}
 
   /** The platform's list was read. */
-  record HostListSeen(HostList list) implements Event {}
+  record HostListReceived(HostList list) implements Event {}
 
   /** A transaction ended. */
   record TransactionEnded(long ticket, TransactionResult result) implements Event {}
@@ -65,7 +65,7 @@
   record ReadEnded(long ticket, ReadResult result) implements Event {}
 
   /** A peer sent a message. */
-  record PeerSaid(HostId from, PeerMessage message) implements Event {}
+  record PeerMessageReceived(HostId from, PeerMessage message) implements Event {}
 
   /**
    * A message to a peer could not be delivered, or its connection broke.
@@ -84,5 +84,5 @@
   record DrainRequested() implements Event {}
 
   /** A target was seen to answer a health check. */
-  record TargetAnswered(TargetId target, int load, boolean leaving) implements Event {}
+  record HealthCheckAnswered(TargetId target, int load, boolean leaving) implements Event {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/event/TargetFailure.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/TargetFailure.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns whether the target takes no new requests any more. */
-  public boolean saysLeaving() {
+  public boolean announcesDraining() {
     return this == GOODBYE;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -272,7 +272,7 @@
   private SuspicionPolicy suspicionPolicy(Generation generation) {
     return table
         .service(generation.spec.service())
-        .map(row -> row.choice(Column.SUSPICION, SuspicionPolicy.class))
+        .map(row -> row.enumValue(Column.SUSPICION, SuspicionPolicy.class))
         .orElse(SuspicionPolicy.BALANCED);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
@@ -55,7 +55,7 @@
 
   private Optional<HostId> chooseHolder(Generation generation, Optional<HostId> excluded) {
     List<HostDescription> reachable =
-        members.reachable().stream()
+        members.reachablePeers().stream()
             .filter(peer -> !excluded.equals(Optional.of(peer.id())))
             .toList();
     return copyPolicy(generation)
@@ -66,7 +66,7 @@
   private CopyPolicy copyPolicy(Generation generation) {
     return table
         .service(generation.spec.service())
-        .map(row -> row.choice(Column.COPYING, CopyPolicy.class))
+        .map(row -> row.enumValue(Column.COPYING, CopyPolicy.class))
         .orElse(CopyPolicy.OTHER_HALL);
   }
 
@@ -104,7 +104,7 @@
   private void retryHolder(Generation generation) {
     boolean wanted = copyPolicy(generation) != CopyPolicy.NONE && !generation.endDelivered;
     boolean due = context.now() - generation.copy.holderChosenAt >= HOLDER_RETRY_INTERVAL_MILLIS;
-    if (wanted && due && !members.reachable().isEmpty()) {
+    if (wanted && due && !members.reachablePeers().isEmpty()) {
       openCopy(generation);
     }
   }
@@ -146,7 +146,7 @@
     if (!context.isPauseRecent()) {
       copy.unacknowledgedSends++;
     }
-    if (copy.unacknowledgedSends >= MAX_UNACKNOWLEDGED_SENDS || !members.isAnswering(holder)) {
+    if (copy.unacknowledgedSends >= MAX_UNACKNOWLEDGED_SENDS || !members.isResponding(holder)) {
       replaceHolder(generation);
     } else if (copy.ready) {
       sendMissingTokens(generation);
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -250,7 +250,7 @@
         generation.length() + " tokens so far");
     if (generation.caller != Generation.NO_CALLER) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               generation.caller,
               new Problem(
                   ProblemType.NO_TARGET,
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -117,7 +117,7 @@
     @Override
     public void refuse(Problem problem) {
       pendingByCaller.remove(caller);
-      context.emit(new Action.Refuse(caller, problem));
+      context.emit(new Action.SendProblem(caller, problem));
       context.logEvent(
           EventCode.REQUEST_REFUSED,
           spec.request().value(),
@@ -130,12 +130,12 @@
     Optional<Row> service =
         table
             .service(event.service())
-            .filter(row -> row.choice(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
+            .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
     if (account.isEmpty()) {
       refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key");
     } else if (service.isEmpty()) {
       refuse(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
-    } else if (event.maximumTokens() > service.get().number(Column.MAXIMUM_TOKENS)) {
+    } else if (event.maximumTokens() > service.get().intValue(Column.MAXIMUM_TOKENS)) {
       String maximum = service.get().text(Column.MAXIMUM_TOKENS);
       refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens is greater than " + maximum);
     } else {
@@ -144,7 +144,7 @@
   }
 
   private void refuse(Event.GenerationRequested event, ProblemType type, String detail) {
-    context.emit(new Action.Refuse(event.caller(), Problem.notRun(type, detail)));
+    context.emit(new Action.SendProblem(event.caller(), Problem.notRun(type, detail)));
     context.logEvent(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
   }
 
@@ -158,9 +158,9 @@
             event.service(),
             event.prompt(),
             event.maximumTokens(),
-            Math.min(LOWEST_PRIORITY, account.number(Column.PRIORITY) + priorityPenalty));
+            Math.min(LOWEST_PRIORITY, account.intValue(Column.PRIORITY) + priorityPenalty));
     PendingGeneration pending = new PendingGeneration(spec, event.caller());
-    budgets.forService(event.service()).earn(service.number(Column.RETRY_PERCENT));
+    budgets.forService(event.service()).earn(service.intValue(Column.RETRY_PERCENT));
     pendingByCaller.put(event.caller(), pending);
     pending.permit = admission.apply(pending, account, service);
     pending.startIfChosen();
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/RequestPlacement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/RequestPlacement.java
@@ -18,13 +18,13 @@
   /** Returns the policy variant of a request; every host returns the same one. */
   public static PolicyVariant variant(Row service, RequestId request) {
     int hash = Hashing.sipHash24().hashString(request.value(), StandardCharsets.UTF_8).asInt();
-    boolean second = Math.floorMod(hash, PERCENT) < service.number(Column.SECOND_SHARE);
+    boolean second = Math.floorMod(hash, PERCENT) < service.intValue(Column.SECOND_SHARE);
     return second ? PolicyVariant.SECOND : PolicyVariant.FIRST;
   }
 
   public static PlacementPolicy placementPolicy(Row service, PolicyVariant variant) {
     Column column = variant == PolicyVariant.FIRST ? Column.PLACEMENT : Column.SECOND_PLACEMENT;
-    return service.choice(column, PlacementPolicy.class);
+    return service.enumValue(column, PlacementPolicy.class);
   }
 
   /** Returns the start of a prompt, which is equal for requests with a common context. */
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -107,9 +107,9 @@
       }
       allPeersContacted = true;
       Set<HostId> peers = new LinkedHashSet<>();
-      members.known().stream()
+      members.knownPeers().stream()
           .map(peer -> peer.id())
-          .filter(members::isAnswering)
+          .filter(members::isResponding)
           .forEach(peers::add);
       return peers;
     }
@@ -168,7 +168,7 @@
       String detail =
           "after offset " + lastEventId.offset() + "; unresponsive hosts: " + unresponsive.size();
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               caller, new Problem(ProblemType.GENERATION_LOST, Outcome.RAN, detail, retry)));
     }
   }
@@ -178,7 +178,7 @@
     Optional<Row> account = table.accountWithCredential(event.credential());
     if (account.isEmpty()) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               event.caller(),
               Problem.notRun(
                   ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key")));
@@ -211,7 +211,7 @@
 
   private void refuseWrongAccount(long caller, EventId lastEventId) {
     context.emit(
-        new Action.Refuse(
+        new Action.SendProblem(
             caller,
             new Problem(
                 ProblemType.WRONG_ACCOUNT, Outcome.RAN, "request " + lastEventId.request(), 0)));
@@ -222,7 +222,7 @@
     Optional<Row> service = table.service(handover.spec().service());
     if (service.isEmpty()) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               caller,
               new Problem(
                   ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row was deleted", 0)));
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
@@ -105,7 +105,7 @@
 
   /** Puts an entry on the time line. */
   public void logEvent(EventCode code, String subject, String detail) {
-    emit(new Action.Note(code, subject, detail));
+    emit(new Action.LogEvent(code, subject, detail));
   }
 
   /** Hands over the actions since the last call. */
@@ -117,6 +117,6 @@
 
   /** Adds a value to the statistics that policies are compared by. */
   public void measure(Measurement measurement, ServiceName service, PolicyVariant arm, long value) {
-    emit(new Action.Measure(measurement, service, arm, value));
+    emit(new Action.RecordMeasurement(measurement, service, arm, value));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/DecayingCount.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/DecayingCount.java
@@ -6,7 +6,7 @@
 public final class DecayingCount {
   private final double halfLifeMillis;
   private double value;
-  private long countedAt;
+  private long updatedAt;
 
   /** Makes a count of nothing. */
   public DecayingCount(long halfLifeMillis) {
@@ -15,12 +15,12 @@
 
   /** Adds one. */
   public void increment(long now) {
-    value = at(now) + 1;
-    countedAt = now;
+    value = valueAt(now) + 1;
+    updatedAt = now;
   }
 
   /** Returns what is left of the count at a time, in milliseconds. */
-  public double at(long now) {
-    return value == 0 ? 0 : value * Math.pow(0.5, (now - countedAt) / halfLifeMillis);
+  public double valueAt(long now) {
+    return value == 0 ? 0 : value * Math.pow(0.5, (now - updatedAt) / halfLifeMillis);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/SharedFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/GossipFacts.java
@@ -7,7 +7,7 @@
  *
  * @param <F> one fact
  */
-public interface SharedFacts<F> {
+public interface GossipFacts<F> {
   /**
    * A fact and its place among those that this host knows.
    *
@@ -19,18 +19,18 @@
   List<Numbered<F>> after(long number, int most);
 
   /** Takes in what another host told; what is known already changes nothing. */
-  void learn(List<F> told);
+  void merge(List<F> told);
 
   /** Returns facts that nobody tells and that take nothing in. */
-  static <F> SharedFacts<F> none() {
-    return new SharedFacts<>() {
+  static <F> GossipFacts<F> none() {
+    return new GossipFacts<>() {
       @Override
       public List<Numbered<F>> after(long number, int most) {
         return List.of();
       }
 
       @Override
-      public void learn(List<F> told) {}
+      public void merge(List<F> told) {}
     };
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/SuspensionWatch.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/SuspensionDetector.java
@@ -8,11 +8,11 @@
  * which is safe. Set backward it says nothing. A suspension during which it is set backward by as
  * much is not found.
  */
-public final class SuspensionWatch {
+public final class SuspensionDetector {
   /** Clocks that are kept in step differ by far less; what is shorter adds up until it counts. */
-  static final long LEAST_MILLIS = 200;
+  static final long MIN_SUSPENSION_MILLIS = 200;
 
-  private long usualAhead;
+  private long usualOffsetMillis;
   private boolean started;
 
   /**
@@ -22,16 +22,16 @@
    */
   public long observe(long steadyMillis, long timeOfDayMillis) {
     long ahead = timeOfDayMillis - steadyMillis;
-    long lost = started ? ahead - usualAhead : 0;
+    long lost = started ? ahead - usualOffsetMillis : 0;
     if (!started || lost < 0) {
       started = true;
-      usualAhead = ahead;
+      usualOffsetMillis = ahead;
       return 0;
     }
-    if (lost < LEAST_MILLIS) {
+    if (lost < MIN_SUSPENSION_MILLIS) {
       return 0;
     }
-    usualAhead = ahead;
+    usualOffsetMillis = ahead;
     return lost;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitBook.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitBook.java
@@ -99,6 +99,6 @@
 
   /** Takes in what another host says of a target's limit. */
   void learn(LimitFact fact) {
-    facts.learn(List.of(fact));
+    facts.merge(List.of(fact));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/FactSources.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/FactSources.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.load;
 
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.poison.PoisonFact;
 import org.gatereel.core.statement.TargetFact;
 
@@ -10,12 +10,12 @@
  * @param poison requests under which targets end
  * @param targets what targets have said
  */
-record FactSources(SharedFacts<PoisonFact> poison, SharedFacts<TargetFact> targets) {
-  static final FactSources NONE = new FactSources(SharedFacts.none(), SharedFacts.none());
+record FactSources(GossipFacts<PoisonFact> poison, GossipFacts<TargetFact> targets) {
+  static final FactSources NONE = new FactSources(GossipFacts.none(), GossipFacts.none());
 
   /** Takes in what a report carries. */
   void learn(LoadReport report) {
-    poison.learn(report.poison());
-    targets.learn(report.targetFacts());
+    poison.merge(report.poison());
+    targets.merge(report.targetFacts());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetId;
@@ -89,12 +89,12 @@
   }
 
   /** Has reports carry what hosts have seen of requests under which targets end. */
-  public void exchangePoison(SharedFacts<PoisonFact> told) {
+  public void exchangePoison(GossipFacts<PoisonFact> told) {
     facts = new FactSources(told, facts.targets());
   }
 
   /** Has reports carry what targets have said. */
-  public void exchangeTargetFacts(SharedFacts<TargetFact> told) {
+  public void exchangeTargetFacts(GossipFacts<TargetFact> told) {
     facts = new FactSources(facts.poison(), told);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/load/ToldFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/ToldFacts.java
@@ -1,7 +1,7 @@
 package org.gatereel.core.load;
 
 import java.util.List;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 
 /** Which facts of one kind a receiver has been told, each of them once. */
 final class ToldFacts<F> {
@@ -12,12 +12,12 @@
    *
    * @param anew whether all are to be told once more
    */
-  List<F> next(SharedFacts<F> facts, boolean anew, int most) {
-    List<SharedFacts.Numbered<F>> next = facts.after(anew ? 0 : told, most);
+  List<F> next(GossipFacts<F> facts, boolean anew, int most) {
+    List<GossipFacts.Numbered<F>> next = facts.after(anew ? 0 : told, most);
     if (anew) {
       told = 0;
     }
     next.forEach(fact -> told = fact.number());
-    return next.stream().map(SharedFacts.Numbered::fact).toList();
+    return next.stream().map(GossipFacts.Numbered::fact).toList();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
@@ -29,11 +29,11 @@
  * hosts) and from messages that could not be delivered.
  */
 public final class Membership {
-  static final long HEARTBEAT_MILLIS = 500;
-  static final long SILENCE_MILLIS = 2_000;
-  private static final long UNREACHABLE_MILLIS = 1_000;
-  private static final int NEIGHBOURS_EACH_WAY = 4;
-  private static final String RING = "ring";
+  static final long HEARTBEAT_INTERVAL_MILLIS = 500;
+  static final long SILENCE_TIMEOUT_MILLIS = 2_000;
+  private static final long UNREACHABLE_TIMEOUT_MILLIS = 1_000;
+  private static final int NEIGHBOURS_PER_DIRECTION = 4;
+  private static final String RING_KEY = "ring";
 
   private final CoreContext context;
   private final Map<HostId, Peer> peers = new LinkedHashMap<>();
@@ -44,14 +44,14 @@
 
   private static final class Peer {
     private HostDescription description;
-    private long lastHeard;
+    private long lastReceivedAt;
     private long unreachableUntil;
     private boolean draining;
-    private boolean answering = true;
+    private boolean responding = true;
 
     private Peer(HostDescription description, long now) {
       this.description = description;
-      this.lastHeard = now;
+      this.lastReceivedAt = now;
     }
   }
 
@@ -62,9 +62,9 @@
 
   /** Starts the heartbeats; {@code seeds} are known from the settings. */
   public void start(List<HostDescription> seeds) {
-    seeds.forEach(this::add);
+    seeds.forEach(this::addPeer);
     chooseNeighbours();
-    beat();
+    runHeartbeat();
   }
 
   /** Has {@code listener} called when a peer no longer answers. */
@@ -73,7 +73,7 @@
   }
 
   /** Takes in the platform's list, unless a later one was seen. */
-  public void see(HostList list) {
+  public void applyList(HostList list) {
     if (list.version() < listVersion || list.hosts().isEmpty()) {
       return;
     }
@@ -83,13 +83,13 @@
         .forEach(
             host -> {
               named.add(host.id());
-              add(host);
+              addPeer(host);
             });
-    peers.keySet().removeIf(id -> !named.contains(id) && !isAnswering(id));
+    peers.keySet().removeIf(id -> !named.contains(id) && !isResponding(id));
     chooseNeighbours();
   }
 
-  private void add(HostDescription host) {
+  private void addPeer(HostDescription host) {
     if (!host.id().equals(context.self())) {
       peers.computeIfAbsent(host.id(), id -> new Peer(host, context.now())).description = host;
     }
@@ -98,22 +98,22 @@
   private void chooseNeighbours() {
     List<HostId> ring = new ArrayList<>(peers.keySet());
     ring.add(context.self());
-    ring.sort(Comparator.comparingLong(id -> Rendezvous.score(RING, id.value())));
+    ring.sort(Comparator.comparingLong(id -> Rendezvous.score(RING_KEY, id.value())));
     Set<HostId> chosen = new HashSet<>();
     int here = ring.indexOf(context.self());
-    for (int step = 1; step <= NEIGHBOURS_EACH_WAY; step++) {
+    for (int step = 1; step <= NEIGHBOURS_PER_DIRECTION; step++) {
       chosen.add(ring.get(Math.floorMod(here + step, ring.size())));
       chosen.add(ring.get(Math.floorMod(here - step, ring.size())));
     }
     chosen.remove(context.self());
     chosen.stream()
         .filter(id -> !neighbours.contains(id))
-        .forEach(id -> peers.get(id).lastHeard = context.now());
+        .forEach(id -> peers.get(id).lastReceivedAt = context.now());
     neighbours = chosen;
   }
 
   /** Tells the neighbours at once how this host is. */
-  public void beatNow() {
+  public void sendHeartbeats() {
     neighbours.forEach(id -> context.emit(new Action.SendPeer(id, heartbeat.get())));
   }
 
@@ -122,97 +122,97 @@
     return neighbours;
   }
 
-  private void beat() {
-    beatNow();
-    List.copyOf(neighbours).forEach(this::judge);
-    context.schedule(HEARTBEAT_MILLIS, this::beat);
+  private void runHeartbeat() {
+    sendHeartbeats();
+    List.copyOf(neighbours).forEach(this::checkSilence);
+    context.schedule(HEARTBEAT_INTERVAL_MILLIS, this::runHeartbeat);
   }
 
-  private void judge(HostId id) {
+  private void checkSilence(HostId id) {
     Peer peer = peers.get(id);
     if (context.isPauseRecent()) {
-      peer.lastHeard = context.now();
+      peer.lastReceivedAt = context.now();
     }
-    if (peer.answering && context.now() - peer.lastHeard > SILENCE_MILLIS) {
+    if (peer.responding && context.now() - peer.lastReceivedAt > SILENCE_TIMEOUT_MILLIS) {
       // The connection may be half open, and would swallow whatever is sent for minutes.
-      context.emit(new Action.DropLink(id));
-      lose(id, peer, "silent");
+      context.emit(new Action.CloseConnection(id));
+      markLost(id, peer, "silent");
     }
   }
 
-  private void lose(HostId id, Peer peer, String why) {
-    peer.answering = false;
+  private void markLost(HostId id, Peer peer, String why) {
+    peer.responding = false;
     context.logEvent(EventCode.PEER_LOST, id.value(), why);
     lostListeners.forEach(listener -> listener.accept(id));
   }
 
   /** Notes that a peer said something. */
-  public void heard(HostId id, boolean draining) {
+  public void recordMessage(HostId id, boolean draining) {
     Peer peer = peers.get(id);
     if (peer == null) {
       return;
     }
-    peer.lastHeard = context.now();
+    peer.lastReceivedAt = context.now();
     peer.draining = draining;
     peer.unreachableUntil = 0;
-    if (!peer.answering) {
-      peer.answering = true;
+    if (!peer.responding) {
+      peer.responding = true;
       context.logEvent(EventCode.PEER_REACHED, id.value(), "");
     }
   }
 
   /** Notes that a peer said something that is not a heartbeat. */
-  public void heard(HostId id) {
+  public void recordMessage(HostId id) {
     Peer peer = peers.get(id);
     if (peer != null) {
-      heard(id, peer.draining);
+      recordMessage(id, peer.draining);
     }
   }
 
   /** Notes that a message to a peer could not be delivered. */
-  public void unreachable(HostId id) {
+  public void markUnreachable(HostId id) {
     Peer peer = peers.get(id);
     if (peer == null) {
       return;
     }
-    peer.unreachableUntil = context.now() + UNREACHABLE_MILLIS;
-    if (peer.answering) {
-      lose(id, peer, "not connected");
+    peer.unreachableUntil = context.now() + UNREACHABLE_TIMEOUT_MILLIS;
+    if (peer.responding) {
+      markLost(id, peer, "not connected");
     }
   }
 
   /** Returns whether a message to the peer has a chance. */
-  public boolean isAnswering(HostId id) {
+  public boolean isResponding(HostId id) {
     Peer peer = peers.get(id);
     if (peer == null || context.now() < peer.unreachableUntil) {
       return false;
     }
-    return peer.answering || !neighbours.contains(id);
+    return peer.responding || !neighbours.contains(id);
   }
 
   /** Returns the peers that answer and take new work. */
-  public List<HostDescription> reachable() {
+  public List<HostDescription> reachablePeers() {
     return peers.values().stream()
         .filter(peer -> !peer.draining && peer.description.state() == LifeState.LIVE)
         .map(peer -> peer.description)
-        .filter(description -> isAnswering(description.id()))
+        .filter(description -> isResponding(description.id()))
         .toList();
   }
 
   /** Returns the answering hosts of a data centre, this one too if it is there. */
-  public List<HostId> answeringIn(DataCentre dataCentre) {
+  public List<HostId> respondingHosts(DataCentre dataCentre) {
     List<HostId> hosts = new ArrayList<>();
     if (dataCentre.equals(context.dataCentre())) {
       hosts.add(context.self());
     }
-    reachable().stream()
+    reachablePeers().stream()
         .filter(peer -> peer.dataCentre().equals(dataCentre))
         .forEach(peer -> hosts.add(peer.id()));
     return hosts;
   }
 
   /** Returns how many data centres the known hosts are in, this one included. */
-  public int dataCentres() {
+  public int dataCentreCount() {
     Set<DataCentre> all = new HashSet<>();
     all.add(context.dataCentre());
     peers.values().forEach(peer -> all.add(peer.description.dataCentre()));
@@ -220,7 +220,7 @@
   }
 
   /** Returns every known peer, for status pages and links. */
-  public List<HostDescription> known() {
+  public List<HostDescription> knownPeers() {
     return peers.values().stream().map(peer -> peer.description).toList();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/model/TargetId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/TargetId.java
@@ -12,11 +12,11 @@
  *
  * @param value the name, unique among targets that live
  * @param born when the run began, in milliseconds since 1970 by the target's own clock; {@link
- *     #UNKNOWN_BORN} where targets do not tell
+ *     #UNKNOWN_START} where targets do not tell
  */
 public record TargetId(String value, long born) {
   /** The start of a target that does not tell when it began. */
-  public static final long UNKNOWN_BORN = 0;
+  public static final long UNKNOWN_START = 0;
 
   public TargetId {
     Objects.requireNonNull(value, "value");
@@ -24,16 +24,16 @@
 
   /** Names a target that takes a new name with each start. */
   public TargetId(String value) {
-    this(value, UNKNOWN_BORN);
+    this(value, UNKNOWN_START);
   }
 
   /** Returns whether this is an earlier run under the same name. */
-  public boolean isBefore(TargetId other) {
+  public boolean isEarlierIncarnationOf(TargetId other) {
     return value.equals(other.value) && born < other.born;
   }
 
   @Override
   public String toString() {
-    return born == UNKNOWN_BORN ? value : value + "@" + born;
+    return born == UNKNOWN_START ? value : value + "@" + born;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
@@ -17,6 +17,6 @@
   }
 
   double perSecond(long now) {
-    return arrivals.at(now) / SECONDS_HELD;
+    return arrivals.valueAt(now) / SECONDS_HELD;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/PlatformPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/PlatformPort.java
@@ -47,7 +47,7 @@
   }
 
   /** Passes the end of a transaction on. */
-  public void ended(Event.TransactionEnded event) {
+  public void complete(Event.TransactionEnded event) {
     Consumer<TransactionResult> done = transactions.remove(event.ticket());
     if (done != null) {
       done.accept(event.result());
@@ -55,7 +55,7 @@
   }
 
   /** Passes the end of a read on. */
-  public void ended(Event.ReadEnded event) {
+  public void complete(Event.ReadEnded event) {
     Consumer<ReadResult> done = reads.remove(event.ticket());
     if (done != null) {
       done.accept(event.result());
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/TransactionResult.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/TransactionResult.java
@@ -17,7 +17,7 @@
       implements TransactionResult {}
 
   /** The platform did not take the transaction: refused, throttled, or never reached. */
-  record NotTaken() implements TransactionResult {}
+  record NotApplied() implements TransactionResult {}
 
   /** The answer was lost: the writes may have taken effect, or may yet. */
   record Unknown() implements TransactionResult {}
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 
 /**
  * Keeps requests under which targets end, again and again, from reaching any more of them.
@@ -15,7 +15,7 @@
  * <p>What this host sees it tells others, and counts what they tell; the verdict is each host's
  * own. Fingerprints are asked for only while something is known of any request.
  */
-public final class PoisonControl implements SharedFacts<PoisonFact> {
+public final class PoisonControl implements GossipFacts<PoisonFact> {
   private static final long EXPIRE_MILLIS = 60_000;
 
   /** From so many ends on the next try waits until it is known whether the target ended. */
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public void learn(List<PoisonFact> told) {
+  public void merge(List<PoisonFact> told) {
     learn(told, Source.OTHER_HOST);
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 
 /**
@@ -170,10 +170,10 @@
     return facts.values().stream().filter(fact -> fact.request().equals(request)).toList();
   }
 
-  List<SharedFacts.Numbered<PoisonFact>> after(long known, int most) {
+  List<GossipFacts.Numbered<PoisonFact>> after(long known, int most) {
     return facts.tailMap(known, false).entrySet().stream()
         .limit(most)
-        .map(entry -> new SharedFacts.Numbered<>(entry.getKey(), entry.getValue()))
+        .map(entry -> new GossipFacts.Numbered<>(entry.getKey(), entry.getValue()))
         .toList();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 
 /**
@@ -21,7 +21,7 @@
  * a word that a host heard before it was suspended must not seem younger than what others heard
  * meanwhile.
  */
-public final class TargetFacts implements SharedFacts<TargetFact> {
+public final class TargetFacts implements GossipFacts<TargetFact> {
   /** Facts of targets that are listed no more are looked through so often. */
   private static final long FORGET_MILLIS = 60_000;
 
@@ -92,7 +92,7 @@
   }
 
   @Override
-  public void learn(List<TargetFact> told) {
+  public void merge(List<TargetFact> told) {
     for (TargetFact fact : told) {
       Entry known = entries.get(fact.kind()).get(fact.target());
       TargetFact kept = inward(fact);
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
@@ -35,22 +35,22 @@
 
   private final RowKind rowKind;
   private final ColumnType type;
-  private final String standard;
-  private final long least;
-  private final long most;
-  private final String meaning;
+  private final String defaultValue;
+  private final long minimum;
+  private final long maximum;
+  private final String description;
 
   Column(RowKind rowKind, ColumnType type, String standard, long least, long most, String meaning) {
     this.rowKind = rowKind;
     this.type = type;
-    this.standard = standard;
-    this.least = least;
-    this.most = most;
-    this.meaning = meaning;
+    this.defaultValue = standard;
+    this.minimum = least;
+    this.maximum = most;
+    this.description = meaning;
   }
 
   /** Returns the name of the column in files and on the command line. */
-  public String word() {
+  public String externalName() {
     return name().toLowerCase(Locale.ROOT);
   }
 
@@ -59,17 +59,17 @@
   }
 
   /** Returns the value of a cell that was never set. */
-  public String standard() {
-    return standard;
+  public String defaultValue() {
+    return defaultValue;
   }
 
-  public String meaning() {
-    return meaning;
+  public String description() {
+    return description;
   }
 
   /** Returns the rule that {@code text} would break in this column, if it breaks one. */
-  public Optional<String> brokenRule(String text) {
-    return type.brokenRule(text, least, most);
+  public Optional<String> findViolation(String text) {
+    return type.findViolation(text, minimum, maximum);
   }
 
   /**
@@ -79,11 +79,11 @@
    */
   public static Column of(RowKey row, String word) throws InvalidEditException {
     for (Column column : values()) {
-      if (column.rowKind == row.kind() && column.word().equals(word)) {
+      if (column.rowKind == row.kind() && column.externalName().equals(word)) {
         return column;
       }
     }
     throw new InvalidEditException(
-        row.toString(), word, "no such column for rows of kind " + row.kind().word());
+        row.toString(), word, "no such column for rows of kind " + row.kind().externalName());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/ColumnType.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/ColumnType.java
@@ -11,7 +11,7 @@
 enum ColumnType {
   WHOLE_NUMBER {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
+    Optional<String> findViolation(String text, long least, long most) {
       try {
         long value = Long.parseLong(text);
         if (value >= least && value <= most) {
@@ -25,13 +25,13 @@
   },
   TRUTH {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
+    Optional<String> findViolation(String text, long least, long most) {
       return oneOf(text, "true", "false");
     }
   },
   KEY_HASH {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
+    Optional<String> findViolation(String text, long least, long most) {
       return HASH.matcher(text).matches()
           ? Optional.empty()
           : Optional.of("is not the SHA-256 of a bearer key in 64 hexadecimal digits");
@@ -39,42 +39,42 @@
   },
   SERVICE_KIND {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
-      return oneOf(text, words(ServiceKind.values()));
+    Optional<String> findViolation(String text, long least, long most) {
+      return oneOf(text, cellValues(ServiceKind.values()));
     }
   },
   PLACEMENT {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
-      return oneOf(text, words(PlacementPolicy.values()));
+    Optional<String> findViolation(String text, long least, long most) {
+      return oneOf(text, cellValues(PlacementPolicy.values()));
     }
   },
   SUSPICION {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
-      return oneOf(text, words(SuspicionPolicy.values()));
+    Optional<String> findViolation(String text, long least, long most) {
+      return oneOf(text, cellValues(SuspicionPolicy.values()));
     }
   },
   COPYING {
     @Override
-    Optional<String> brokenRule(String text, long least, long most) {
-      return oneOf(text, words(CopyPolicy.values()));
+    Optional<String> findViolation(String text, long least, long most) {
+      return oneOf(text, cellValues(CopyPolicy.values()));
     }
   };
 
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
-  abstract Optional<String> brokenRule(String text, long least, long most);
+  abstract Optional<String> findViolation(String text, long least, long most);
 
   /** Returns the word for a constant in cells. */
-  static String word(Enum<?> constant) {
+  static String cellValue(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  private static String[] words(Enum<?>[] constants) {
+  private static String[] cellValues(Enum<?>[] constants) {
     String[] words = new String[constants.length];
     for (int index = 0; index < constants.length; index++) {
-      words[index] = word(constants[index]);
+      words[index] = cellValue(constants[index]);
     }
     return words;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/PolicyTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/PolicyTable.java
@@ -19,11 +19,11 @@
  * that no stale read and no late message can bring an earlier policy back.
  */
 public final class PolicyTable {
-  private static final int RECENT_EDITS = 512;
+  private static final int MAX_RECENT_EDITS = 512;
 
-  private final SortedMap<RowKey, TableEdit> latest = new TreeMap<>();
+  private final SortedMap<RowKey, TableEdit> latestByKey = new TreeMap<>();
   private final Map<String, Row> accountsByCredential = new HashMap<>();
-  private final List<TableEdit> recent = new ArrayList<>();
+  private final List<TableEdit> recentEdits = new ArrayList<>();
   private long revision;
 
   public long revision() {
@@ -37,9 +37,9 @@
     }
     put(edit);
     revision = edit.revision();
-    recent.add(edit);
-    if (recent.size() > RECENT_EDITS) {
-      recent.remove(0);
+    recentEdits.add(edit);
+    if (recentEdits.size() > MAX_RECENT_EDITS) {
+      recentEdits.remove(0);
     }
     return true;
   }
@@ -49,9 +49,9 @@
     if (newRevision <= revision) {
       return false;
     }
-    latest.clear();
+    latestByKey.clear();
     accountsByCredential.clear();
-    recent.clear();
+    recentEdits.clear();
     latestEdits.forEach(this::put);
     revision = newRevision;
     return true;
@@ -59,23 +59,23 @@
 
   /** Returns the edits after a revision, or empty if this host no longer has all of them. */
   public Optional<List<TableEdit>> editsAfter(long have) {
-    List<TableEdit> edits = recent.stream().filter(edit -> edit.revision() > have).toList();
+    List<TableEdit> edits = recentEdits.stream().filter(edit -> edit.revision() > have).toList();
     return edits.size() == revision - have ? Optional.of(edits) : Optional.empty();
   }
 
   /** Returns the latest edit of each row, deleted rows too, in the order of their revisions. */
   public List<TableEdit> latestEdits() {
-    return latest.values().stream().sorted(Comparator.comparing(TableEdit::revision)).toList();
+    return latestByKey.values().stream().sorted(Comparator.comparing(TableEdit::revision)).toList();
   }
 
   /** Returns the rows that are not deleted. */
   public List<Row> rows() {
-    return latest.values().stream().map(TableEdit::row).filter(row -> !row.deleted()).toList();
+    return latestByKey.values().stream().map(TableEdit::row).filter(row -> !row.deleted()).toList();
   }
 
   /** Returns the latest edit of a row, even if it deleted the row. */
   public Optional<TableEdit> latestEdit(RowKey key) {
-    return Optional.ofNullable(latest.get(key));
+    return Optional.ofNullable(latestByKey.get(key));
   }
 
   public Optional<Row> row(RowKey key) {
@@ -93,8 +93,8 @@
   /** Returns the weight of a data centre; one without a row has the standard weight. */
   public int weight(DataCentre dataCentre) {
     return row(new RowKey(RowKind.DATA_CENTRE, dataCentre.value()))
-        .map(row -> row.number(Column.DATA_CENTRE_WEIGHT))
-        .orElse(Integer.parseInt(Column.DATA_CENTRE_WEIGHT.standard()));
+        .map(row -> row.intValue(Column.DATA_CENTRE_WEIGHT))
+        .orElse(Integer.parseInt(Column.DATA_CENTRE_WEIGHT.defaultValue()));
   }
 
   /**
@@ -106,7 +106,7 @@
     RowNames.check(change.key());
     Row present =
         row(change.key()).orElseGet(() -> new Row(change.key(), 0, false, new TreeMap<>()));
-    Row changed = present.with(change, revision + 1);
+    Row changed = present.withChange(change, revision + 1);
     checkCredentialIsNotShared(changed);
     return changed;
   }
@@ -116,12 +116,14 @@
     boolean shared = other != null && !other.key().equals(changed.key());
     if (shared && changed.key().kind() == RowKind.ACCOUNT && !changed.deleted()) {
       throw new InvalidEditException(
-          changed.key().toString(), Column.KEY_SHA256.word(), "is the key of " + other.key());
+          changed.key().toString(),
+          Column.KEY_SHA256.externalName(),
+          "is the key of " + other.key());
     }
   }
 
   private void put(TableEdit edit) {
-    TableEdit before = latest.put(edit.row().key(), edit);
+    TableEdit before = latestByKey.put(edit.row().key(), edit);
     if (edit.row().key().kind() != RowKind.ACCOUNT) {
       return;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Row.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Row.java
@@ -17,19 +17,19 @@
 
   /** Returns the text of a cell, or the column's standard value. */
   public String text(Column column) {
-    return cells.getOrDefault(column.word(), column.standard());
+    return cells.getOrDefault(column.externalName(), column.defaultValue());
   }
 
-  public int number(Column column) {
+  public int intValue(Column column) {
     return Integer.parseInt(text(column));
   }
 
-  public boolean truth(Column column) {
+  public boolean booleanValue(Column column) {
     return Boolean.parseBoolean(text(column));
   }
 
   /** Returns the constant that a cell names. */
-  public <E extends Enum<E>> E choice(Column column, Class<E> type) {
+  public <E extends Enum<E>> E enumValue(Column column, Class<E> type) {
     String name = text(column).toUpperCase(Locale.ROOT).replace('-', '_');
     return Enum.valueOf(type, name);
   }
@@ -39,13 +39,13 @@
    *
    * @throws InvalidEditException if a cell breaks a rule
    */
-  Row with(RowChange change, long newRevision) throws InvalidEditException {
+  Row withChange(RowChange change, long newRevision) throws InvalidEditException {
     SortedMap<String, String> changed = new TreeMap<>();
     if (!change.deleted()) {
       changed.putAll(cells);
       for (var cell : change.cells().entrySet()) {
         Column column = Column.of(key, cell.getKey());
-        var broken = column.brokenRule(cell.getValue());
+        var broken = column.findViolation(cell.getValue());
         if (broken.isPresent()) {
           throw new InvalidEditException(key.toString(), cell.getKey(), broken.get());
         }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowKey.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowKey.java
@@ -10,6 +10,6 @@
 
   @Override
   public String toString() {
-    return kind.word() + "/" + name;
+    return kind.externalName() + "/" + name;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowKind.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowKind.java
@@ -9,7 +9,7 @@
   DATA_CENTRE;
 
   /** Returns the word for this kind in paths and files. */
-  public String word() {
+  public String externalName() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
@@ -20,7 +20,7 @@
    */
   public static RowKind of(String word) throws InvalidEditException {
     for (RowKind kind : values()) {
-      if (kind.word().equals(word)) {
+      if (kind.externalName().equals(word)) {
         return kind;
       }
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -83,7 +83,7 @@
     TargetState known = targets.get(description.id());
     if (known == null) {
       Optional<TargetId> later =
-          targets.keySet().stream().filter(description.id()::isBefore).findFirst();
+          targets.keySet().stream().filter(description.id()::isEarlierIncarnationOf).findFirst();
       if (later.isPresent()) {
         return later.get();
       }
@@ -109,7 +109,7 @@
     }
     for (TargetState known : List.copyOf(targets.values())) {
       TargetId id = known.description().id();
-      if (id.isBefore(successor.id())
+      if (id.isEarlierIncarnationOf(successor.id())
           || known.description().address().equals(successor.address())) {
         leave(id, changes);
       }
@@ -276,7 +276,7 @@
   /** Notes a failure; a goodbye makes the target a leaving one. */
   public void failed(TargetState target, TargetFailure failure) {
     TargetId id = target.description().id();
-    if (failure.saysLeaving()) {
+    if (failure.announcesDraining()) {
       target.noteGone(context.now());
       leaving(id);
       return;
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
@@ -116,7 +116,7 @@
 
   /** Returns how many errors this host got from the target lately; old ones count less. */
   public double errorsHere(long now) {
-    return errors.at(now);
+    return errors.valueAt(now);
   }
 
   void reported(int load, long now) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -298,14 +298,14 @@
     SentCall sound = world.last();
     TargetId shared = fatal.dispatch.target().id();
     endsTarget(fatal);
-    world.poison.learn(
+    world.poison.merge(
         List.of(
             PoisonFact.end(
                 fingerprint("sound"), shared, world.context.now(), world.context.now())));
     fatal = world.last();
     TargetId third = fatal.dispatch.target().id();
     endsTarget(fatal);
-    world.poison.learn(
+    world.poison.merge(
         List.of(
             PoisonFact.end(fingerprint("sound"), third, world.context.now(), world.context.now())));
 
@@ -324,7 +324,7 @@
   @Test
   void whatOthersSawHoldsTheRequestBackHere() {
     long now = world.context.now();
-    world.poison.learn(
+    world.poison.merge(
         List.of(
             PoisonFact.end(fingerprint("fatal"), new TargetId("a"), now, now),
             PoisonFact.end(fingerprint("fatal"), new TargetId("b"), now, now),
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
@@ -79,8 +79,8 @@
 
   private List<EventCode> events() {
     return world.context.takeActions().stream()
-        .filter(action -> action instanceof Action.Note)
-        .map(action -> ((Action.Note) action).code())
+        .filter(action -> action instanceof Action.LogEvent)
+        .map(action -> ((Action.LogEvent) action).code())
         .toList();
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -254,10 +254,10 @@
 
   private List<String> logged(EventCode code) {
     return world.context.takeActions().stream()
-        .filter(Action.Note.class::isInstance)
-        .map(Action.Note.class::cast)
+        .filter(Action.LogEvent.class::isInstance)
+        .map(Action.LogEvent.class::cast)
         .filter(note -> note.code() == code)
-        .map(Action.Note::detail)
+        .map(Action.LogEvent::detail)
         .toList();
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/generation/GenerationHost.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/generation/GenerationHost.java
@@ -91,7 +91,7 @@
               8,
               state));
     }
-    handle(new Event.HostListSeen(new HostList(++listVersion, List.of(), targets)));
+    handle(new Event.HostListReceived(new HostList(++listVersion, List.of(), targets)));
   }
 
   /** Advances the time until the host has started {@code count} attempts in all. */
--- a/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionWatchTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionDetectorTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /** A host's two clocks, of which one stands still while the host is suspended. */
-class SuspensionWatchTest {
+class SuspensionDetectorTest {
   private static final long STEADY = 5_000;
   private static final long DAY = 1_790_000_000_000L;
 
-  private final SuspensionWatch watch = new SuspensionWatch();
+  private final SuspensionDetector watch = new SuspensionDetector();
   private long lost;
 
   private long at(long steady, long day) {
@@ -58,6 +58,6 @@
       at(turn, turn * 151);
     }
 
-    assertTrue(lost >= 1_500 - SuspensionWatch.LEAST_MILLIS, "lost: " + lost);
+    assertTrue(lost >= 1_500 - SuspensionDetector.MIN_SUSPENSION_MILLIS, "lost: " + lost);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/LimitBookTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/LimitBookTest.java
@@ -48,13 +48,13 @@
   }
 
   private void told(double perSecond, long ago) {
-    facts.learn(List.of(new LimitFact(TARGET, new AnnouncedLimit(perSecond, context.now() - ago))));
+    facts.merge(List.of(new LimitFact(TARGET, new AnnouncedLimit(perSecond, context.now() - ago))));
   }
 
-  private List<Action.Note> notes() {
+  private List<Action.LogEvent> notes() {
     return context.takeActions().stream()
-        .filter(action -> action instanceof Action.Note)
-        .map(action -> (Action.Note) action)
+        .filter(action -> action instanceof Action.LogEvent)
+        .map(action -> (Action.LogEvent) action)
         .toList();
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
@@ -68,13 +68,13 @@
     for (long now = 0; now <= 3_000; now += 500) {
       context.advanceTo(now);
       context.timers().runDue(now);
-      members.heard(new HostId("host-2"));
+      members.recordMessage(new HostId("host-2"));
     }
     assertEquals(List.of(peer), lost);
     // A half-open connection would swallow every later message.
-    assertTrue(context.takeActions().contains(new Action.DropLink(peer)));
-    assertFalse(members.isAnswering(peer));
-    members.heard(peer);
-    assertTrue(members.isAnswering(peer));
+    assertTrue(context.takeActions().contains(new Action.CloseConnection(peer)));
+    assertFalse(members.isResponding(peer));
+    members.recordMessage(peer);
+    assertTrue(members.isResponding(peer));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 import org.junit.jupiter.api.Test;
 
@@ -175,12 +175,12 @@
   @Test
   void aReaderIsToldEachFactOnceInTheirOrder() {
     ended(FATAL, "a", "b", "c");
-    List<SharedFacts.Numbered<PoisonFact>> first = ledger.after(0, 2);
+    List<GossipFacts.Numbered<PoisonFact>> first = ledger.after(0, 2);
 
     assertEquals(2, first.size());
     assertEquals(
         List.of(end(FATAL, "c")),
-        ledger.after(first.get(1).number(), 10).stream().map(SharedFacts.Numbered::fact).toList());
+        ledger.after(first.get(1).number(), 10).stream().map(GossipFacts.Numbered::fact).toList());
   }
 
   /** Facts come in any order, by several ways; who knows the same holds the same back. */
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
@@ -55,7 +55,7 @@
 
   @Test
   void theSecondEndIsWrittenWithTheFirstWhoeverSawThat() {
-    control.learn(List.of(end("a")));
+    control.merge(List.of(end("a")));
     ended("b");
 
     assertEquals(2, written.get(0).size());
@@ -63,7 +63,7 @@
 
   @Test
   void whatOthersSawIsTheirsToWrite() {
-    control.learn(List.of(end("a"), end("b")));
+    control.merge(List.of(end("a"), end("b")));
 
     assertEquals(List.of(), written);
   }
@@ -92,7 +92,7 @@
     pass(1_000);
     ended("a");
     assertFalse(records.needsReading());
-    control.learn(List.of(end("b")));
+    control.merge(List.of(end("b")));
     assertTrue(records.needsReading());
     long askedBefore = context.now() - 10;
     records.learn(List.of(), askedBefore);
--- a/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/RestsTest.java
@@ -137,7 +137,7 @@
 
   @Test
   void whatAnotherHostWasAskedForIsNoBarButToldUntilItsEnd() {
-    facts.learn(List.of(new RestFact(TARGET, context.now() - 200, context.now() + 2_800)));
+    facts.merge(List.of(new RestFact(TARGET, context.now() - 200, context.now() + 2_800)));
 
     assertTrue(admits());
     assertTrue(rests.restsElsewhere(TARGET));
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
@@ -52,7 +52,7 @@
     facts.hear(new LeavingFact(TARGET, context.now()));
     pass(500);
     facts.hear(new LeavingFact(TARGET, context.now()));
-    facts.learn(List.of(new LeavingFact(TARGET, context.now() - 900)));
+    facts.merge(List.of(new LeavingFact(TARGET, context.now() - 900)));
 
     assertEquals(1, news.size());
     assertEquals(1, facts.after(0, 10).size());
@@ -60,8 +60,8 @@
 
   @Test
   void theLaterEndOfTwoRestsHoldsInAnyOrder() {
-    facts.learn(List.of(new RestFact(TARGET, context.now(), context.now() + 3_000)));
-    facts.learn(List.of(new RestFact(TARGET, context.now(), context.now() + 1_000)));
+    facts.merge(List.of(new RestFact(TARGET, context.now(), context.now() + 3_000)));
+    facts.merge(List.of(new RestFact(TARGET, context.now(), context.now() + 1_000)));
 
     RestFact rest = (RestFact) facts.find(FactKind.REST, TARGET).orElseThrow();
 
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/UnknownHeadersTest.java
@@ -23,8 +23,8 @@
       new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(1));
   private final UnknownHeaders unknown = new UnknownHeaders(context);
 
-  private List<Action.Note> notes() {
-    return context.takeActions().stream().map(action -> (Action.Note) action).toList();
+  private List<Action.LogEvent> notes() {
+    return context.takeActions().stream().map(action -> (Action.LogEvent) action).toList();
   }
 
   @Test
@@ -34,7 +34,7 @@
       unknown.note(new ServiceName("engines"), TARGET, Map.of("x-new", "value"));
     }
 
-    List<Action.Note> notes = notes();
+    List<Action.LogEvent> notes = notes();
     assertEquals(2, notes.size());
     assertEquals(EventCode.TARGET_HEADER_UNKNOWN, notes.get(0).code());
     assertEquals("service=counters header=x-new value=value 0", notes.get(0).detail());
@@ -46,7 +46,7 @@
       unknown.note(SERVICE, TARGET, Map.of("x-" + name, "v".repeat(1_000)));
     }
 
-    List<Action.Note> notes = notes();
+    List<Action.LogEvent> notes = notes();
     assertTrue(notes.size() <= 200);
     notes.forEach(note -> assertTrue(note.detail().length() < 150));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/table/PolicyTableTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/table/PolicyTableTest.java
@@ -43,7 +43,7 @@
     edits.sort(java.util.Comparator.comparingLong(TableEdit::revision));
     edits.forEach(table::apply);
     assertEquals(20, table.revision());
-    assertEquals(20, table.row(SERVICE).orElseThrow().number(Column.RETRY_PERCENT));
+    assertEquals(20, table.row(SERVICE).orElseThrow().intValue(Column.RETRY_PERCENT));
   }
 
   @Test
@@ -51,7 +51,7 @@
     PolicyTable table = new PolicyTable();
     table.replace(5, List.of(edit(SERVICE, 5, Map.of("retry_percent", "5"))));
     assertFalse(table.replace(4, List.of(edit(SERVICE, 4, Map.of("retry_percent", "4")))));
-    assertEquals(5, table.row(SERVICE).orElseThrow().number(Column.RETRY_PERCENT));
+    assertEquals(5, table.row(SERVICE).orElseThrow().intValue(Column.RETRY_PERCENT));
   }
 
   @ParameterizedTest
@@ -86,8 +86,8 @@
   void everyColumnHasAStandardValueThatItsOwnRuleAllows() {
     for (Column column : Column.values()) {
       boolean allowed =
-          column == Column.KEY_SHA256 || column.brokenRule(column.standard()).isEmpty();
-      assertTrue(allowed, column.word());
+          column == Column.KEY_SHA256 || column.findViolation(column.defaultValue()).isEmpty();
+      assertTrue(allowed, column.externalName());
     }
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/target/ListChangesTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/target/ListChangesTest.java
@@ -42,10 +42,10 @@
   private List<String> linesOf(TargetDescription... listed) {
     targets.see(new HostList(++version, List.of(), List.of(listed)));
     return context.takeActions().stream()
-        .filter(Action.Note.class::isInstance)
-        .map(Action.Note.class::cast)
+        .filter(Action.LogEvent.class::isInstance)
+        .map(Action.LogEvent.class::cast)
         .filter(note -> note.code() == EventCode.TARGETS_CHANGED)
-        .map(Action.Note::detail)
+        .map(Action.LogEvent::detail)
         .toList();
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
@@ -131,7 +131,7 @@
 
   private int openRequests() {
     try {
-      return control.ask(EntryHost::open).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      return control.ask(EntryHost::openCount).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       return 1;
     } catch (InterruptedException e) {
@@ -142,7 +142,7 @@
 
   @Override
   public void close() throws GatereelException {
-    events.note(new Action.Note(EventCode.HOST_STOPPED, settings.host().value(), ""));
+    events.note(new Action.LogEvent(EventCode.HOST_STOPPED, settings.host().value(), ""));
     kernel.close();
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/Exchanges.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/Exchanges.java
@@ -39,7 +39,7 @@
 
   private void gone(long caller) {
     if (open.remove(caller) != null) {
-      inbox.accept(new Event.CallerGone(caller));
+      inbox.accept(new Event.CallerDisconnected(caller));
     }
   }
 
@@ -52,11 +52,11 @@
       }
     } else if (action instanceof Action.EndStream end) {
       end(end.caller(), exchange -> exchange.end(end.id()));
-    } else if (action instanceof Action.Refuse refuse) {
+    } else if (action instanceof Action.SendProblem refuse) {
       end(refuse.caller(), exchange -> exchange.refuse(refuse.problem()));
     } else if (action instanceof Action.Disconnect disconnect) {
       end(disconnect.caller(), exchange -> exchange.disconnect(ProblemType.SUPERSEDED));
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.SendResponse answer) {
       byte[] body = answer.body().getBytes(StandardCharsets.UTF_8);
       end(
           answer.caller(),
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionRunner.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionRunner.java
@@ -42,11 +42,11 @@
       callers.sendToken(send);
     } else if (action instanceof Action.SendPeer send) {
       peers.send(send);
-    } else if (action instanceof Action.DropLink drop) {
+    } else if (action instanceof Action.CloseConnection drop) {
       peers.drop(drop.peer());
-    } else if (action instanceof Action.Note note) {
+    } else if (action instanceof Action.LogEvent note) {
       events.note(note);
-    } else if (action instanceof Action.Measure measure) {
+    } else if (action instanceof Action.RecordMeasurement measure) {
       events.measure(measure);
     } else if (!runTarget(action) && !runPlatform(action)) {
       callers.run(action);
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
@@ -49,7 +49,7 @@
    */
   public void post(Event event) {
     Runnable handling = () -> perform(core.handle(event, nowMillis()));
-    if (event instanceof Event.CallerGone) {
+    if (event instanceof Event.CallerDisconnected) {
       inbox.addFirst(handling);
     }
     // A caller's leaving comes again in its turn, since its request itself may still wait.
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
@@ -42,7 +42,7 @@
   private void seen(HostList list) {
     hosts = Math.max(1, list.hosts().size());
     peers.learn(list.hosts());
-    inbox.post(new Event.HostListSeen(list));
+    inbox.post(new Event.HostListReceived(list));
   }
 
   @Override
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -49,7 +49,7 @@
 
   @Override
   public void answered(long ticket, int status, String body, int load) {
-    post(new Event.CallAnswered(ticket, status, body, load));
+    post(new Event.CallResponseReceived(ticket, status, body, load));
   }
 
   @Override
@@ -59,7 +59,7 @@
 
   @Override
   public void said(HostId from, PeerMessage message) {
-    post(new Event.PeerSaid(from, message));
+    post(new Event.PeerMessageReceived(from, message));
   }
 
   @Override
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
@@ -71,7 +71,7 @@
   }
 
   /** Takes in an event of the core. */
-  public void note(Action.Note note) {
+  public void note(Action.LogEvent note) {
     EventCode code = note.code();
     counters.get(code).increment();
     ring.add(
@@ -95,7 +95,7 @@
   }
 
   /** Takes in a measured value. */
-  public void measure(Action.Measure measure) {
+  public void measure(Action.RecordMeasurement measure) {
     MeasureKey key =
         new MeasureKey(
             measure.measurement().name(), measure.service().value(), measure.arm().name());
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/ExchangeTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/ExchangeTest.java
@@ -64,7 +64,7 @@
     // A host's open streams were ended in order and without any event when it was stopped, so that
     // to their framing they were whole.
     try (Exchanges exchanges = new Exchanges(1_000_000, event -> {})) {
-      exchanges.take(context(), caller -> new Event.CallerGone(caller));
+      exchanges.take(context(), caller -> new Event.CallerDisconnected(caller));
       exchanges.run(new Action.OpenStream(1, EventId.parse(ID)));
     }
     assertEquals(2, bodies.size(), bodies.toString());
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -89,7 +89,7 @@
       answerAtOnce(start);
     } else if (action instanceof Action.SendToken send) {
       exchanges.sendToken(send);
-    } else if (action instanceof Action.Note note) {
+    } else if (action instanceof Action.LogEvent note) {
       notes.add(note.code());
     } else {
       exchanges.run(action);
@@ -159,7 +159,7 @@
     seed(2, RowKind.SERVICE, "assistant", Map.of("kind", "generation"));
     loop = control;
     control.start(List.of());
-    control.post(new Event.HostListSeen(new HostList(1, List.of(), List.of(engine()))));
+    control.post(new Event.HostListReceived(new HostList(1, List.of(), List.of(engine()))));
     while (!control.ask(EntryHost::isReady).get(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
       Thread.onSpinWait();
     }
@@ -190,7 +190,7 @@
           caller -> new Event.GenerationRequested(caller, CREDENTIAL, SERVICE, "long", TOKENS));
       List<EventCode> seen = untilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
-      control.ask(EntryHost::open).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      control.ask(EntryHost::openCount).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
       assertEquals(0, notes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
     }
     String last = written.get(written.size() - 1);
@@ -209,7 +209,7 @@
       CountDownLatch posted = new CountDownLatch(1);
       CompletableFuture<Boolean> busy = control.ask(host -> awaitQuietly(posted));
       control.post(new Event.GenerationRequested(7, CREDENTIAL, SERVICE, "long", TOKENS));
-      control.post(new Event.CallerGone(7));
+      control.post(new Event.CallerDisconnected(7));
       posted.countDown();
       assertTrue(busy.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SuspensionWatch;
+import org.gatereel.core.internal.SuspensionDetector;
 import org.gatereel.forward.log.ForwardLog;
 
 /**
@@ -19,7 +19,7 @@
   private final EventLoop loop;
   private final CoreContext context;
   private final ForwardLog log;
-  private final SuspensionWatch suspensions = new SuspensionWatch();
+  private final SuspensionDetector suspensions = new SuspensionDetector();
   private ScheduledFuture<?> scheduled;
   private long scheduledFor = Long.MAX_VALUE;
   private boolean running;
@@ -72,7 +72,7 @@
 
   private void logNotes() {
     for (Action action : context.takeActions()) {
-      if (action instanceof Action.Note note) {
+      if (action instanceof Action.LogEvent note) {
         log.event(note.code(), note.subject(), note.detail());
       }
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -113,7 +113,7 @@
   }
 
   private boolean isKnownByName() {
-    return probed.born() == TargetId.UNKNOWN_BORN;
+    return probed.born() == TargetId.UNKNOWN_START;
   }
 
   private void conclude(ProbeResult result) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetNames.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetNames.java
@@ -14,7 +14,7 @@
 
   static String write(TargetId target) {
     String name = target.value();
-    boolean plain = target.born() == TargetId.UNKNOWN_BORN && name.indexOf(SEPARATOR) < 0;
+    boolean plain = target.born() == TargetId.UNKNOWN_START && name.indexOf(SEPARATOR) < 0;
     return plain ? name : name + SEPARATOR + Long.toString(target.born(), RADIX);
   }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/Slopes.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/Slopes.java
@@ -94,7 +94,7 @@
   }
 
   private static void say(EntryHost host, PeerMessage message) {
-    List<Action> actions = host.handle(new Event.PeerSaid(OWNER, message), 1);
+    List<Action> actions = host.handle(new Event.PeerMessageReceived(OWNER, message), 1);
     if (actions.isEmpty()) {
       throw new IllegalStateException("a copy message is always answered");
     }
@@ -113,7 +113,9 @@
     }
     int wireBytes = TableEditCodec.encode(edits.get(ACCOUNTS - 1)).length();
     host.handle(
-        new Event.PeerSaid(OWNER, new PeerMessage.TablePush(ACCOUNTS, List.copyOf(edits))), 1);
+        new Event.PeerMessageReceived(
+            OWNER, new PeerMessage.TablePush(ACCOUNTS, List.copyOf(edits))),
+        1);
     edits.clear();
     out.printf(
         "row of an account in the table: %d bytes in memory, %d as JSON%n",
@@ -135,7 +137,7 @@
         for (int number = 1; number < count; number++) {
           // Keeps every neighbour answering, so that only heartbeats are counted.
           PeerMessage beat = new PeerMessage.Heartbeat(0, false, List.of());
-          host.handle(new Event.PeerSaid(new HostId("host-" + number), beat), now);
+          host.handle(new Event.PeerMessageReceived(new HostId("host-" + number), beat), now);
         }
         beats +=
             host.advance(now).stream().filter(action -> action instanceof Action.SendPeer).count();
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/CallStep.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/CallStep.java
@@ -49,7 +49,7 @@
   TOLD {
     @Override
     public boolean isReached(CallScene scene, FakeHost host, Action action) {
-      return action instanceof Action.Answer;
+      return action instanceof Action.SendResponse;
     }
   };
 }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/FaultMatrix.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/FaultMatrix.java
@@ -86,9 +86,9 @@
 
   private static void print(Scene scene, FakeHost host, Action action) {
     boolean telling =
-        action instanceof Action.Note
-            || action instanceof Action.Refuse
-            || action instanceof Action.Answer
+        action instanceof Action.LogEvent
+            || action instanceof Action.SendProblem
+            || action instanceof Action.SendResponse
             || action instanceof Action.EndStream;
     if (telling) {
       System.out.println(scene.world().now() + " " + host.id() + " " + action);
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/Step.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/matrix/Step.java
@@ -12,6 +12,6 @@
 
   /** Returns whether an action is the event with a code. */
   static boolean isNote(Action action, EventCode code) {
-    return action instanceof Action.Note note && note.code() == code;
+    return action instanceof Action.LogEvent note && note.code() == code;
   }
 }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayReport.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayReport.java
@@ -36,7 +36,7 @@
     this.world = world;
   }
 
-  void noted(Action.Note note) {
+  void noted(Action.LogEvent note) {
     events.merge(note.code(), 1, Integer::sum);
     if (note.code() == EventCode.ATTEMPT_FAILED) {
       count(FAILURE, note.detail(), failures);
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/replay/ReplayWorld.java
@@ -468,7 +468,7 @@
   }
 
   void noted(Action action) {
-    if (action instanceof Action.Note note) {
+    if (action instanceof Action.LogEvent note) {
       report.noted(note);
     }
   }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/CallCaller.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/CallCaller.java
@@ -60,7 +60,7 @@
     if (isDone()) {
       return;
     }
-    if (action instanceof Action.Answer told) {
+    if (action instanceof Action.SendResponse told) {
       answer = Optional.of(told.body());
       if (!told.body().equals("ran " + id())) {
         world.oracle().violated(Promise.OWN_ANSWER, id() + " was answered " + told.body());
@@ -68,7 +68,7 @@
       if (world.oracle().executions(id()) != 1) {
         world.oracle().violated(Promise.OWN_ANSWER, id() + " was answered but did not run");
       }
-    } else if (action instanceof Action.Refuse refuse) {
+    } else if (action instanceof Action.SendProblem refuse) {
       refused(from, refuse.problem());
     }
   }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakeHost.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakeHost.java
@@ -73,7 +73,7 @@
       return;
     }
     if (!paused) {
-      world.platform().list(this).ifPresent(list -> receive(new Event.HostListSeen(list)));
+      world.platform().list(this).ifPresent(list -> receive(new Event.HostListReceived(list)));
     }
     world.after(1_000, () -> readList(started));
   }
@@ -122,7 +122,7 @@
 
   void disconnect(long number) {
     if (callers.remove(number) != null) {
-      receive(new Event.CallerGone(number));
+      receive(new Event.CallerDisconnected(number));
     }
   }
 
@@ -210,11 +210,11 @@
       tell(send.caller(), action, false);
     } else if (action instanceof Action.EndStream end) {
       tell(end.caller(), action, true);
-    } else if (action instanceof Action.Refuse refuse) {
+    } else if (action instanceof Action.SendProblem refuse) {
       tell(refuse.caller(), action, true);
     } else if (action instanceof Action.Disconnect disconnect) {
       tell(disconnect.caller(), action, true);
-    } else if (action instanceof Action.Answer answer) {
+    } else if (action instanceof Action.SendResponse answer) {
       tell(answer.caller(), action, true);
     } else if (action instanceof Action.ConfirmEdit confirm) {
       tell(confirm.caller(), action, true);
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakePlatform.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakePlatform.java
@@ -153,7 +153,7 @@
       // The first packet never arrives, but the host cannot know that.
       answer(host, transact, new TransactionResult.Unknown(), TIMEOUT);
     } else if (down) {
-      answer(host, transact, new TransactionResult.NotTaken(), DELAY);
+      answer(host, transact, new TransactionResult.NotApplied(), DELAY);
     } else if (slow) {
       boolean tooLate = world.random().nextInt(3) == 0;
       long arrival = tooLate ? TIMEOUT + SLOW : SLOW;
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakeService.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/FakeService.java
@@ -60,7 +60,7 @@
   private void answer(Open call) {
     if (!dead && open.remove(call)) {
       String body = "ran " + call.send().executionId();
-      call.host().receive(new Event.CallAnswered(call.send().ticket(), 200, body, 0));
+      call.host().receive(new Event.CallResponseReceived(call.send().ticket(), 200, body, 0));
     }
   }
 
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Network.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Network.java
@@ -87,7 +87,8 @@
       arrival = Math.max(arrival, lastArrival.getOrDefault(link, 0L));
       lastArrival.put(link, arrival);
     }
-    world.after(arrival - world.now(), () -> to.receive(new Event.PeerSaid(from.id(), message)));
+    world.after(
+        arrival - world.now(), () -> to.receive(new Event.PeerMessageReceived(from.id(), message)));
   }
 
   private boolean happens(int percent) {
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Operator.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Operator.java
@@ -79,7 +79,7 @@
       world.oracle().accepted(confirm.edit());
     } else if (action instanceof Action.ReportLostRace lost) {
       lostTo = Optional.of(lost.present());
-    } else if (action instanceof Action.Refuse refuse) {
+    } else if (action instanceof Action.SendProblem refuse) {
       if (refuse.problem().retryAfterMillis() > 0 && sends < MOST_SENDS) {
         world.after(refuse.problem().retryAfterMillis(), () -> sendElsewhere(from));
       } else {
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Sabotage.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/Sabotage.java
@@ -39,8 +39,8 @@
   ANSWERS_WITH_ANOTHER_BODY {
     @Override
     List<Action> change(Action action) {
-      return action instanceof Action.Answer answer
-          ? List.of(new Action.Answer(answer.caller(), answer.status(), "ran another"))
+      return action instanceof Action.SendResponse answer
+          ? List.of(new Action.SendResponse(answer.caller(), answer.status(), "ran another"))
           : List.of(action);
     }
   },
@@ -48,10 +48,10 @@
   SAYS_NOT_RUN {
     @Override
     List<Action> change(Action action) {
-      if (action instanceof Action.Refuse refuse) {
+      if (action instanceof Action.SendProblem refuse) {
         Problem told = refuse.problem();
         Problem changed = new Problem(told.type(), Outcome.NOT_RUN, told.detail(), 0);
-        return List.of(new Action.Refuse(refuse.caller(), changed));
+        return List.of(new Action.SendProblem(refuse.caller(), changed));
       }
       return List.of(action);
     }
@@ -69,7 +69,7 @@
   IGNORES_LEAVING {
     @Override
     Event change(Event event) {
-      if (!(event instanceof Event.HostListSeen seen)) {
+      if (!(event instanceof Event.HostListReceived seen)) {
         return event;
       }
       List<TargetDescription> targets =
@@ -85,7 +85,7 @@
                           target.slots(),
                           LifeState.LIVE))
               .toList();
-      return new Event.HostListSeen(
+      return new Event.HostListReceived(
           new HostList(seen.list().version(), seen.list().hosts(), targets));
     }
   },
@@ -94,7 +94,7 @@
     @Override
     List<Action> change(Action action) {
       boolean draining =
-          action instanceof Action.Note note
+          action instanceof Action.LogEvent note
               && note.code() == org.gatereel.core.event.EventCode.HOST_DRAINING;
       return draining ? List.of(action, new Action.Disconnect(1)) : List.of(action);
     }
--- a/gatereel-proofs/src/test/java/org/gatereel/proofs/world/StreamCaller.java
+++ b/gatereel-proofs/src/test/java/org/gatereel/proofs/world/StreamCaller.java
@@ -109,7 +109,7 @@
       token(send);
     } else if (action instanceof Action.EndStream end) {
       ended(end);
-    } else if (action instanceof Action.Refuse refuse) {
+    } else if (action instanceof Action.SendProblem refuse) {
       refused(refuse.problem());
     } else if (action instanceof Action.Disconnect) {
       connectionBroke();
