--- a/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
@@ -11,7 +11,7 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.ServiceName;
 
-/** What every part of the core shares: who it is, the time, timers, randomness, and its outbox. */
+/** The state that all parts of the core share: identity, time, timers, randomness and actions. */
 public final class CoreContext {
   private static final long PAUSE_EFFECT_MILLIS = 300;
 
@@ -44,23 +44,23 @@
     return random;
   }
 
-  /** Returns the time in milliseconds; it never goes back. */
+  /** Returns the time in milliseconds; it never decreases. */
   public long now() {
     return now;
   }
 
   /**
-   * Returns the time by which the age of what is known is taken, in milliseconds; it never goes
-   * back.
+   * Returns the time in milliseconds for computing the age of information; it never decreases.
    *
-   * <p>Beyond {@link #now} it counts the time in which this host may have been suspended. Deadlines
-   * and time-outs go by {@link #now}: a time of day that is set forward must not end requests.
+   * <p>In addition to {@link #now} it includes the time in which this host may have been suspended.
+   * Deadlines and timeouts use {@link #now}, as setting the time of day forward must not end
+   * requests.
    */
   public long nowIncludingSuspensions() {
     return now + suspendedMillis;
   }
 
-  /** Notes that this host was suspended, so that all it knows is older by that. */
+  /** Records a suspension of this host, which adds to the age of all its information. */
   public void recordSuspension(long millis) {
     suspendedMillis += millis;
     logEvent(
@@ -68,25 +68,26 @@
   }
 
   /**
-   * Returns a number that was not given out before, not even by an earlier process of this host.
+   * Returns a number that no earlier call returned, including calls in earlier processes of this
+   * host.
    *
-   * <p>A peer's answer to that process may reach this one, and must not be taken for another.
+   * <p>A peer's late response to an earlier process must not match a request of this one.
    */
   public long nextTicket() {
     return ++ticket;
   }
 
-  /** Moves the time on; a time before the present one is ignored. */
+  /** Advances the time; a time before the current one is ignored. */
   public void advanceTo(long time) {
     now = Math.max(now, time);
   }
 
-  /** Says that this host did not run for a while, so that its time-outs prove nothing. */
+  /** Records that this host was paused, so that its timeouts are unreliable for a while. */
   public void recordPause() {
     pauseEffectUntil = now + PAUSE_EFFECT_MILLIS;
   }
 
-  /** Returns whether a time-out may be this host's own fault, because it was paused itself. */
+  /** Returns whether a timeout may be caused by a pause of this host itself. */
   public boolean isPauseRecent() {
     return now < pauseEffectUntil;
   }
@@ -103,19 +104,19 @@
     actions.add(action);
   }
 
-  /** Puts an entry on the time line. */
+  /** Emits an entry for the timeline and the log. */
   public void logEvent(EventCode code, String subject, String detail) {
     emit(new Action.LogEvent(code, subject, detail));
   }
 
-  /** Hands over the actions since the last call. */
+  /** Returns and removes the actions emitted since the last call. */
   public List<Action> takeActions() {
     List<Action> taken = actions;
     actions = new ArrayList<>();
     return taken;
   }
 
-  /** Adds a value to the statistics that policies are compared by. */
+  /** Records a value in the statistics by which policies are compared. */
   public void measure(Measurement measurement, ServiceName service, PolicyVariant arm, long value) {
     emit(new Action.RecordMeasurement(measurement, service, arm, value));
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/DecayingCount.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/DecayingCount.java
@@ -1,14 +1,12 @@
 package org.gatereel.core.internal;
 
-/**
- * A count that forgets: what was added a half-life ago weighs half as much as what is added now.
- */
+/** A count with exponential decay: an increment counts half as much after each half-life. */
 public final class DecayingCount {
   private final double halfLifeMillis;
   private double value;
   private long updatedAt;
 
-  /** Makes a count of nothing. */
+  /** Makes a count of zero. */
   public DecayingCount(long halfLifeMillis) {
     this.halfLifeMillis = halfLifeMillis;
   }
@@ -19,7 +17,7 @@
     updatedAt = now;
   }
 
-  /** Returns what is left of the count at a time, in milliseconds. */
+  /** Returns the decayed count at {@code now}, a time in milliseconds. */
   public double valueAt(long now) {
     return value == 0 ? 0 : value * Math.pow(0.5, (now - updatedAt) / halfLifeMillis);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/GossipFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/GossipFacts.java
@@ -3,34 +3,35 @@
 import java.util.List;
 
 /**
- * What hosts tell each other once, as it becomes known, and pass on to all others.
+ * Facts that hosts exchange by gossip: each host sends every fact once and forwards the facts that
+ * it receives.
  *
- * @param <F> one fact
+ * @param <F> the type of a fact
  */
 public interface GossipFacts<F> {
   /**
-   * A fact and its place among those that this host knows.
+   * A fact with its sequence number.
    *
-   * @param number rises with each fact
+   * @param number increases with each fact that this host adds
    */
   record Numbered<F>(long number, F fact) {}
 
-  /** Returns what became known after a number, the earliest first. */
-  List<Numbered<F>> after(long number, int most);
+  /** Returns at most {@code limit} facts with a number above {@code number}, in ascending order. */
+  List<Numbered<F>> after(long number, int limit);
 
-  /** Takes in what another host told; what is known already changes nothing. */
-  void merge(List<F> told);
+  /** Adds the facts of another host; facts that are already present change nothing. */
+  void merge(List<F> facts);
 
-  /** Returns facts that nobody tells and that take nothing in. */
+  /** Returns an instance that is always empty and ignores merged facts. */
   static <F> GossipFacts<F> none() {
     return new GossipFacts<>() {
       @Override
-      public List<Numbered<F>> after(long number, int most) {
+      public List<Numbered<F>> after(long number, int limit) {
         return List.of();
       }
 
       @Override
-      public void merge(List<F> told) {}
+      public void merge(List<F> facts) {}
     };
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/Rendezvous.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/Rendezvous.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Rendezvous hashing: every host that sees the same members ranks them alike for a key. */
+/** Rendezvous hashing: hosts with the same members compute the same ranking for a key. */
 public final class Rendezvous {
   private static final HashFunction SIP = Hashing.sipHash24();
 
   private Rendezvous() {}
 
-  /** Returns the members by falling rank for {@code key}. */
+  /** Returns the members by descending score for {@code key}. */
   public static <T> List<T> rank(String key, Collection<T> members, Function<T, String> name) {
     Comparator<T> byScore = Comparator.comparingLong(member -> score(key, name.apply(member)));
     return members.stream().sorted(byScore.reversed().thenComparing(name)).toList();
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/TimerQueue.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/TimerQueue.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 import java.util.PriorityQueue;
 
-/** Deadlines in order; whoever drives the core asks for the next one and says what time it is. */
+/** A queue of tasks by deadline. The driver of the core supplies the time. */
 public final class TimerQueue {
   private final PriorityQueue<Timer> queue =
       new PriorityQueue<>(
@@ -12,7 +12,7 @@
               .thenComparingLong(timer -> timer.sequence));
   private long sequence;
 
-  /** A deadline that can be called off. */
+  /** A scheduled task that can be cancelled. */
   public static final class Timer {
     private final long deadline;
     private final long sequence;
@@ -24,20 +24,20 @@
       this.task = task;
     }
 
-    /** Calls the deadline off; harmless if it has passed. */
+    /** Cancels the task; has no effect if it has run. */
     public void cancel() {
       task = null;
     }
   }
 
-  /** Adds a task that is to run once {@code deadline} has come, in milliseconds. */
+  /** Adds a task to run at {@code deadline}, a time in milliseconds. */
   public Timer add(long deadline, Runnable task) {
     Timer timer = new Timer(deadline, sequence++, task);
     queue.add(timer);
     return timer;
   }
 
-  /** Runs what is due at {@code now}, in the order of the deadlines. */
+  /** Runs the tasks that are due at {@code now}, in the order of their deadlines. */
   public void runDue(long now) {
     while (!queue.isEmpty() && queue.peek().deadline <= now) {
       Runnable task = queue.poll().task;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Returns the next deadline that was not called off. */
+  /** Returns the deadline of the next task that was not cancelled. */
   public OptionalLong nextDeadline() {
     while (!queue.isEmpty() && queue.peek().task == null) {
       queue.poll();
--- a/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/member/Membership.java
@@ -22,11 +22,11 @@
 import org.gatereel.core.peer.PeerMessage;
 
 /**
- * Which entry hosts there are and which of them answer.
+ * Tracks the entry hosts and which of them respond.
  *
- * <p>The platform's list says who exists. Whether a peer answers is learnt by exchanging heartbeats
- * with a few neighbours on a ring of hashes (so that the cost does not grow with the number of
- * hosts) and from messages that could not be delivered.
+ * <p>The platform's list names the hosts. Each host exchanges heartbeats with a fixed number of
+ * neighbours on a hash ring, so that the cost does not grow with the number of hosts. A peer counts
+ * as lost if its heartbeats stop or if a message to it could not be delivered.
  */
 public final class Membership {
   static final long HEARTBEAT_INTERVAL_MILLIS = 500;
@@ -60,32 +60,32 @@
     this.heartbeat = heartbeat;
   }
 
-  /** Starts the heartbeats; {@code seeds} are known from the settings. */
+  /** Starts the heartbeats; {@code seeds} are the peers from the settings. */
   public void start(List<HostDescription> seeds) {
     seeds.forEach(this::addPeer);
     chooseNeighbours();
     runHeartbeat();
   }
 
-  /** Has {@code listener} called when a peer no longer answers. */
+  /** Registers a listener that is called when a peer is lost. */
   public void onLost(Consumer<HostId> listener) {
     lostListeners.add(listener);
   }
 
-  /** Takes in the platform's list, unless a later one was seen. */
+  /** Applies the platform's list, unless a later version was applied. */
   public void applyList(HostList list) {
     if (list.version() < listVersion || list.hosts().isEmpty()) {
       return;
     }
     listVersion = list.version();
-    Set<HostId> named = new HashSet<>();
+    Set<HostId> listedIds = new HashSet<>();
     list.hosts()
         .forEach(
             host -> {
-              named.add(host.id());
+              listedIds.add(host.id());
               addPeer(host);
             });
-    peers.keySet().removeIf(id -> !named.contains(id) && !isResponding(id));
+    peers.keySet().removeIf(id -> !listedIds.contains(id) && !isResponding(id));
     chooseNeighbours();
   }
 
@@ -100,10 +100,10 @@
     ring.add(context.self());
     ring.sort(Comparator.comparingLong(id -> Rendezvous.score(RING_KEY, id.value())));
     Set<HostId> chosen = new HashSet<>();
-    int here = ring.indexOf(context.self());
+    int ownIndex = ring.indexOf(context.self());
     for (int step = 1; step <= NEIGHBOURS_PER_DIRECTION; step++) {
-      chosen.add(ring.get(Math.floorMod(here + step, ring.size())));
-      chosen.add(ring.get(Math.floorMod(here - step, ring.size())));
+      chosen.add(ring.get(Math.floorMod(ownIndex + step, ring.size())));
+      chosen.add(ring.get(Math.floorMod(ownIndex - step, ring.size())));
     }
     chosen.remove(context.self());
     chosen.stream()
@@ -112,7 +112,7 @@
     neighbours = chosen;
   }
 
-  /** Tells the neighbours at once how this host is. */
+  /** Sends a heartbeat to all neighbours. */
   public void sendHeartbeats() {
     neighbours.forEach(id -> context.emit(new Action.SendPeer(id, heartbeat.get())));
   }
@@ -134,19 +134,19 @@
       peer.lastReceivedAt = context.now();
     }
     if (peer.responding && context.now() - peer.lastReceivedAt > SILENCE_TIMEOUT_MILLIS) {
-      // The connection may be half open, and would swallow whatever is sent for minutes.
+      // The connection may be half open; messages sent over it would be lost.
       context.emit(new Action.CloseConnection(id));
       markLost(id, peer, "silent");
     }
   }
 
-  private void markLost(HostId id, Peer peer, String why) {
+  private void markLost(HostId id, Peer peer, String reason) {
     peer.responding = false;
-    context.logEvent(EventCode.PEER_LOST, id.value(), why);
+    context.logEvent(EventCode.PEER_LOST, id.value(), reason);
     lostListeners.forEach(listener -> listener.accept(id));
   }
 
-  /** Notes that a peer said something. */
+  /** Records a heartbeat of a peer. */
   public void recordMessage(HostId id, boolean draining) {
     Peer peer = peers.get(id);
     if (peer == null) {
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Notes that a peer said something that is not a heartbeat. */
+  /** Records a message of a peer that is not a heartbeat. */
   public void recordMessage(HostId id) {
     Peer peer = peers.get(id);
     if (peer != null) {
@@ -169,7 +169,7 @@
     }
   }
 
-  /** Notes that a message to a peer could not be delivered. */
+  /** Records that a message to a peer could not be delivered. */
   public void markUnreachable(HostId id) {
     Peer peer = peers.get(id);
     if (peer == null) {
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Returns whether a message to the peer has a chance. */
+  /** Returns whether the peer is expected to receive a message. */
   public boolean isResponding(HostId id) {
     Peer peer = peers.get(id);
     if (peer == null || context.now() < peer.unreachableUntil) {
@@ -190,7 +190,7 @@
     return peer.responding || !neighbours.contains(id);
   }
 
-  /** Returns the peers that answer and take new work. */
+  /** Returns the responding peers that accept new work. */
   public List<HostDescription> reachablePeers() {
     return peers.values().stream()
         .filter(peer -> !peer.draining && peer.description.state() == LifeState.LIVE)
@@ -199,7 +199,7 @@
         .toList();
   }
 
-  /** Returns the answering hosts of a data centre, this one too if it is there. */
+  /** Returns the responding hosts of a data centre, including this one if it belongs to it. */
   public List<HostId> respondingHosts(DataCentre dataCentre) {
     List<HostId> hosts = new ArrayList<>();
     if (dataCentre.equals(context.dataCentre())) {
@@ -211,7 +211,7 @@
     return hosts;
   }
 
-  /** Returns how many data centres the known hosts are in, this one included. */
+  /** Returns the number of data centres of all known hosts, including this one. */
   public int dataCentreCount() {
     Set<DataCentre> all = new HashSet<>();
     all.add(context.dataCentre());
@@ -219,7 +219,7 @@
     return all.size();
   }
 
-  /** Returns every known peer, for status pages and links. */
+  /** Returns every known peer, whether or not it responds. */
   public List<HostDescription> knownPeers() {
     return peers.values().stream().map(peer -> peer.description).toList();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/peer/CallState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/peer/CallState.java
@@ -1,15 +1,15 @@
 package org.gatereel.core.peer;
 
-/** How far a call that was claimed has come, as the host that claimed it knows. */
+/** The state of a claimed call, as known by the host that claimed it. */
 public enum CallState {
-  /** The call is running; its answer follows. */
+  /** The call is being executed; its outcome follows. */
   RUNNING,
-  /** The target answered. */
+  /** The target sent a response. */
   ANSWERED,
-  /** The call was given up before any byte was sent, and never will be sent. */
+  /** The call was abandoned before any byte was sent, and will never be sent. */
   NOT_SENT,
-  /** The target failed while it had the call. */
+  /** The target failed while executing the call. */
   FAILED,
-  /** The host does not know the call (it may have been replaced since). */
+  /** The host has no record of the call, for example after a restart. */
   FORGOTTEN
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/peer/TakeoverRefusal.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/peer/TakeoverRefusal.java
@@ -1,11 +1,11 @@
 package org.gatereel.core.peer;
 
-/** Why a host does not hand over a generation. */
+/** The reason why a host does not hand over a generation. */
 public enum TakeoverRefusal {
   /** The host has no copy of it. */
   MISSING,
   /** The generation belongs to another client account. */
   WRONG_ACCOUNT,
-  /** The host's tokens are not a continuation of what the caller has. */
+  /** The host's tokens do not start with the tokens that the caller has received. */
   OTHER_PREFIX
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/PlatformPort.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/PlatformPort.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.event.Event;
 import org.gatereel.core.internal.CoreContext;
 
-/** Matches the platform's answers with the parts of the core that asked. */
+/** Passes the platform's results to the callbacks of the requests. */
 public final class PlatformPort {
   private final CoreContext context;
   private final StoreLimits limits;
@@ -20,45 +20,43 @@
     this.limits = limits;
   }
 
-  /** Returns what the store takes from all hosts together. */
+  /** Returns the limits of the store for all hosts together. */
   public StoreLimits limits() {
     return limits;
   }
 
-  /** Asks for a transaction. */
-  public void transact(List<TableWrite> writes, Consumer<TransactionResult> done) {
+  /** Starts a transaction. */
+  public void transact(List<TableWrite> writes, Consumer<TransactionResult> callback) {
     long ticket = context.nextTicket();
-    transactions.put(ticket, done);
+    transactions.put(ticket, callback);
     context.emit(new Action.Transact(ticket, writes));
   }
 
   /** Reads single rows. */
-  public void read(List<String> keys, Consumer<ReadResult> done) {
+  public void read(List<String> keys, Consumer<ReadResult> callback) {
     long ticket = context.nextTicket();
-    reads.put(ticket, done);
+    reads.put(ticket, callback);
     context.emit(new Action.ReadRows(ticket, keys));
   }
 
-  /** Reads the rows with a prefix, after a key, in one consistent read. */
-  public void scan(String prefix, String after, Consumer<ReadResult> done) {
+  /** Reads the rows whose keys have a prefix and follow {@code after}, in one consistent read. */
+  public void scan(String prefix, String after, Consumer<ReadResult> callback) {
     long ticket = context.nextTicket();
-    reads.put(ticket, done);
+    reads.put(ticket, callback);
     context.emit(new Action.ScanRows(ticket, prefix, after));
   }
 
-  /** Passes the end of a transaction on. */
   public void complete(Event.TransactionEnded event) {
-    Consumer<TransactionResult> done = transactions.remove(event.ticket());
-    if (done != null) {
-      done.accept(event.result());
+    Consumer<TransactionResult> callback = transactions.remove(event.ticket());
+    if (callback != null) {
+      callback.accept(event.result());
     }
   }
 
-  /** Passes the end of a read on. */
   public void complete(Event.ReadEnded event) {
-    Consumer<ReadResult> done = reads.remove(event.ticket());
-    if (done != null) {
-      done.accept(event.result());
+    Consumer<ReadResult> callback = reads.remove(event.ticket());
+    if (callback != null) {
+      callback.accept(event.result());
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/ReadResult.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/ReadResult.java
@@ -2,11 +2,11 @@
 
 import java.util.SortedMap;
 
-/** What came of a read. */
+/** The result of a read. */
 public sealed interface ReadResult {
   /** The rows that exist, by key. */
   record Rows(SortedMap<String, String> rows) implements ReadResult {}
 
-  /** The platform did not answer. */
+  /** The platform did not respond. */
   record Failed() implements ReadResult {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/TableWrite.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/TableWrite.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * One row of a transaction.
+ * A conditional write of one row in a transaction.
  *
  * @param expected the value that the row must have; empty if the row must not exist
- * @param value the value that the row gets
+ * @param value the new value of the row
  */
 public record TableWrite(String key, Optional<String> expected, String value) {
   /** Returns a write that only takes effect if the row does not exist. */
--- a/gatereel-core/src/main/java/org/gatereel/core/platform/TransactionResult.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/platform/TransactionResult.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What came of a transaction; all its writes took effect, or none did. */
+/** The result of a transaction; either all its writes take effect or none. */
 public sealed interface TransactionResult {
   /** All writes took effect. */
   record Committed() implements TransactionResult {}
@@ -10,15 +10,15 @@
   /**
    * No write took effect.
    *
-   * @param present the rows whose condition failed, with their values; a row that is missing has no
-   *     entry
+   * @param keys the rows whose condition failed
+   * @param present the values of these rows; a row that does not exist has no entry
    */
   record Conflict(java.util.Set<String> keys, Map<String, String> present)
       implements TransactionResult {}
 
-  /** The platform did not take the transaction: refused, throttled, or never reached. */
+  /** The platform did not apply the transaction: it was rejected, throttled, or never received. */
   record NotApplied() implements TransactionResult {}
 
-  /** The answer was lost: the writes may have taken effect, or may yet. */
+  /** The response was lost: the writes may have taken effect, or may still take effect. */
   record Unknown() implements TransactionResult {}
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionDetectorTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionDetectorTest.java
@@ -5,18 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A host's two clocks, of which one stands still while the host is suspended. */
+/** Checks how suspensions are derived from the steady clock and the time of day. */
 class SuspensionDetectorTest {
-  private static final long STEADY = 5_000;
-  private static final long DAY = 1_790_000_000_000L;
+  private static final long STEADY_MILLIS = 5_000;
+  private static final long TIME_OF_DAY_MILLIS = 1_790_000_000_000L;
 
-  private final SuspensionDetector watch = new SuspensionDetector();
-  private long lost;
+  private final SuspensionDetector detector = new SuspensionDetector();
+  private long totalLostMillis;
 
-  private long at(long steady, long day) {
-    long found = watch.observe(STEADY + steady, DAY + day);
-    lost += found;
-    return found;
+  private long at(long steadyMillis, long timeOfDayMillis) {
+    long lostMillis =
+        detector.observe(STEADY_MILLIS + steadyMillis, TIME_OF_DAY_MILLIS + timeOfDayMillis);
+    totalLostMillis += lostMillis;
+    return lostMillis;
   }
 
   @Test
@@ -54,10 +55,12 @@
   @Test
   void shortSuspensionsAddUp() {
     at(0, 0);
-    for (long turn = 1; turn <= 10; turn++) {
-      at(turn, turn * 151);
+    for (long index = 1; index <= 10; index++) {
+      at(index, index * 151);
     }
 
-    assertTrue(lost >= 1_500 - SuspensionDetector.MIN_SUSPENSION_MILLIS, "lost: " + lost);
+    assertTrue(
+        totalLostMillis >= 1_500 - SuspensionDetector.MIN_SUSPENSION_MILLIS,
+        "lost: " + totalLostMillis);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 
 class MembershipTest {
-  private static final DataCentre HALL = new DataCentre("vic");
+  private static final DataCentre DATA_CENTRE = new DataCentre("vic");
 
   private static List<HostDescription> hosts(int count) {
     List<HostDescription> hosts = new ArrayList<>();
     Address address = new Address("127.0.0.1", 1);
-    for (int number = 0; number < count; number++) {
+    for (int index = 0; index < count; index++) {
       hosts.add(
           new HostDescription(
-              new HostId("host-" + number), HALL, address, address, LifeState.LIVE));
+              new HostId("host-" + index), DATA_CENTRE, address, address, LifeState.LIVE));
     }
     return hosts;
   }
@@ -40,7 +40,7 @@
   }
 
   private static CoreContext context(String self) {
-    return new CoreContext(new HostId(self), HALL, new SplittableRandom(3));
+    return new CoreContext(new HostId(self), DATA_CENTRE, new SplittableRandom(3));
   }
 
   @Test
@@ -71,7 +71,7 @@
       members.recordMessage(new HostId("host-2"));
     }
     assertEquals(List.of(peer), lost);
-    // A half-open connection would swallow every later message.
+    // Messages sent over a half-open connection would be lost.
     assertTrue(context.takeActions().contains(new Action.CloseConnection(peer)));
     assertFalse(members.isResponding(peer));
     members.recordMessage(peer);
