--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -22,12 +22,12 @@
 import org.gatereel.core.table.TableEdit;
 
 /**
- * Takes in edits from operators.
+ * Commits the edits of operators.
  *
- * <p>An edit is one transaction that raises the table's revision by one and keeps the edit's id. It
- * is accepted when the commit is known: told by the platform, or by reading the edit's id back. An
- * edit that lost against another one of the same row is refused; one that lost against an edit of
- * another row is tried again on top of it.
+ * <p>An edit is one transaction that increments the table's revision and stores the edit's id. It
+ * is accepted when the commit is known, from the result of the transaction or by reading the edit's
+ * id back. An edit that conflicts with another edit of the same row is rejected; one that conflicts
+ * with an edit of another row is retried at the new revision.
  */
 public final class EditService {
   private static final long EDIT_TIMEOUT_MILLIS = 4_000;
@@ -52,7 +52,7 @@
     this.revisions = revisions;
   }
 
-  /** One edit on its way into the table. */
+  /** An edit that is not yet accepted or rejected. */
   private final class PendingEdit {
     private final Event.EditRequested request;
     private final long deadline = context.now() + EDIT_TIMEOUT_MILLIS;
@@ -93,7 +93,7 @@
     }
 
     private List<TableWrite> writes(TableEdit edit) {
-      String text = TableEditCodec.encode(edit);
+      String encodedEdit = TableEditCodec.encode(edit);
       String next = Long.toString(edit.revision());
       long before = edit.revision() - 1;
       return List.of(
@@ -101,25 +101,27 @@
               ? TableWrite.insert(TableKeys.REVISION, next)
               : TableWrite.replace(TableKeys.REVISION, Long.toString(before), next),
           TableWrite.insert(TableKeys.edit(request.editId()), next),
-          TableWrite.insert(TableKeys.history(edit.revision()), text),
+          TableWrite.insert(TableKeys.history(edit.revision()), encodedEdit),
           table
               .latestEdit(change().key())
               .map(
                   latest ->
                       TableWrite.replace(
-                          TableKeys.row(change().key()), TableEditCodec.encode(latest), text))
-              .orElseGet(() -> TableWrite.insert(TableKeys.row(change().key()), text)));
+                          TableKeys.row(change().key()),
+                          TableEditCodec.encode(latest),
+                          encodedEdit))
+              .orElseGet(() -> TableWrite.insert(TableKeys.row(change().key()), encodedEdit)));
     }
 
     private void handleTransactionResult(TableEdit edit, TransactionResult result) {
       if (result instanceof TransactionResult.Committed) {
         handleAccepted(edit);
       } else if (result instanceof TransactionResult.Conflict conflict) {
-        String accepted = conflict.present().get(TableKeys.edit(request.editId()));
-        if (accepted != null) {
-          readAccepted(Long.parseLong(accepted));
+        String acceptedRevision = conflict.present().get(TableKeys.edit(request.editId()));
+        if (acceptedRevision != null) {
+          readAccepted(Long.parseLong(acceptedRevision));
         } else {
-          // Another edit was first: bring it into force here, then see whether it was of this row.
+          // Another edit was committed first: apply it, then check whether it changed this row.
           refreshThen(MAX_CONFLICT_DELAY_MILLIS);
         }
       } else if (result instanceof TransactionResult.Unknown) {
@@ -147,11 +149,11 @@
         scheduleOrFail(RETRY_DELAY_MILLIS, this::readBack);
         return;
       }
-      String accepted = rows.rows().get(TableKeys.edit(request.editId()));
-      if (accepted != null) {
-        readAccepted(Long.parseLong(accepted));
+      String acceptedRevision = rows.rows().get(TableKeys.edit(request.editId()));
+      if (acceptedRevision != null) {
+        readAccepted(Long.parseLong(acceptedRevision));
       } else {
-        // The write may still be on its way; the same edit id cannot take effect twice.
+        // The write may still take effect; a retry is safe as an edit id takes effect only once.
         refreshThen(MAX_CONFLICT_DELAY_MILLIS);
       }
     }
@@ -161,32 +163,36 @@
       platform.read(
           List.of(key),
           result -> {
-            String text = result instanceof ReadResult.Rows rows ? rows.rows().get(key) : null;
-            if (text == null) {
+            String encodedEdit =
+                result instanceof ReadResult.Rows rows ? rows.rows().get(key) : null;
+            if (encodedEdit == null) {
               scheduleOrFail(RETRY_DELAY_MILLIS, () -> readAccepted(revision));
               return;
             }
             try {
-              TableEdit edit = TableEditCodec.decode(text);
+              TableEdit edit = TableEditCodec.decode(encodedEdit);
               revisions.refresh(() -> handleAccepted(edit));
             } catch (MalformedEditException e) {
               refuse(
                   new Problem(
-                      ProblemType.INTERNAL, Outcome.UNKNOWN, "the stored edit is damaged", 0));
+                      ProblemType.INTERNAL,
+                      Outcome.UNKNOWN,
+                      "the stored edit cannot be decoded",
+                      0));
             }
           });
     }
 
-    private void refreshThen(long longestWait) {
+    private void refreshThen(long maxDelayMillis) {
       revisions.refresh(
-          () -> scheduleOrFail(1 + context.random().nextLong(longestWait), this::tryCommit));
+          () -> scheduleOrFail(1 + context.random().nextLong(maxDelayMillis), this::tryCommit));
     }
 
-    private void scheduleOrFail(long delayMillis, Runnable step) {
+    private void scheduleOrFail(long delayMillis, Runnable task) {
       if (context.now() + delayMillis <= deadline) {
-        context.schedule(delayMillis, step);
+        context.schedule(delayMillis, task);
       } else if (mayHaveCommitted) {
-        String detail = "send the same edit id again: " + request.editId();
+        String detail = "retry with the same edit id: " + request.editId();
         refuse(
             new Problem(
                 ProblemType.EDIT_OUTCOME_UNKNOWN,
@@ -197,13 +203,13 @@
         refuse(
             Problem.notRun(
                 ProblemType.PLATFORM_UNAVAILABLE,
-                "the edit was not accepted",
+                "the platform did not accept the edit",
                 OPERATOR_RETRY_DELAY_MILLIS));
       }
     }
 
     private void reportLostRace() {
-      context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "lost race on " + change().key());
+      context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "conflict on " + change().key());
       if (waitingOperators.remove(request.caller())) {
         Optional<TableEdit> present = table.latestEdit(change().key());
         if (present.isPresent()) {
@@ -234,24 +240,23 @@
     }
   }
 
-  /** Takes in an edit. */
   public void handleRequest(Event.EditRequested event) {
     waitingOperators.add(event.caller());
     PendingEdit pending = new PendingEdit(event);
-    boolean behind = event.change().basedOn() > table.revision() || table.revision() == 0;
-    if (behind) {
+    boolean outdated = event.change().basedOn() > table.revision() || table.revision() == 0;
+    if (outdated) {
       revisions.refresh(pending::tryCommit);
     } else {
       pending.tryCommit();
     }
   }
 
-  /** Notes that an operator's connection ended; the edit goes on. */
+  /** Detaches a disconnected operator; the edit continues. Returns whether an edit was pending. */
   public boolean handleCallerDisconnected(long caller) {
     return waitingOperators.remove(caller);
   }
 
-  /** Returns how many operators wait for an edit. */
+  /** Returns the number of operators that wait for an edit. */
   public int openCount() {
     return waitingOperators.size();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionSynchronizer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/RevisionSynchronizer.java
@@ -15,11 +15,12 @@
 import org.gatereel.core.table.TableEdit;
 
 /**
- * Brings accepted edits into force on this host, from the platform and from peers.
+ * Applies accepted edits on this host, from the platform and from peers.
  *
- * <p>Each host reads the revision now and then, the more rarely the more hosts there are, so that
- * the reads of a data centre stay the same. Whoever learns of an edit first passes it on to a few
- * peers, and they to others. Heartbeats carry the revision, so that whoever missed an edit asks.
+ * <p>Each host polls the revision at an interval proportional to the number of hosts in its data
+ * centre, so that the read rate of a data centre stays constant. A host that applies a new edit
+ * sends it to a few peers, which forward it. Heartbeats contain the revision; a host with a lower
+ * one fetches the missing edits.
  */
 public final class RevisionSynchronizer {
   private static final int READS_PER_SECOND_PER_DATA_CENTRE = 3;
@@ -42,7 +43,7 @@
     this.platform = platform;
   }
 
-  /** Starts reading, and asks the peers for what they have. */
+  /** Starts polling, and fetches edits from some peers. */
   public void start() {
     members.reachablePeers().stream()
         .limit(FAN_OUT)
@@ -53,17 +54,17 @@
   private void poll() {
     refresh(() -> {});
     int hosts = members.respondingHosts(context.dataCentre()).size();
-    long interval =
+    long intervalMillis =
         Math.max(
             MIN_POLL_INTERVAL_MILLIS,
             (long) hosts * MILLIS_PER_SECOND / READS_PER_SECOND_PER_DATA_CENTRE);
-    long jitter = context.random().nextLong(interval / 2);
-    context.schedule(interval * 3 / 4 + jitter, this::poll);
+    long jitterMillis = context.random().nextLong(intervalMillis / 2);
+    context.schedule(intervalMillis * 3 / 4 + jitterMillis, this::poll);
   }
 
-  /** Reads what the platform has and calls {@code done} when that is in force, or was in vain. */
-  void refresh(Runnable done) {
-    refreshListeners.add(done);
+  /** Reads the platform's table and runs {@code callback} once it is applied or the read failed. */
+  void refresh(Runnable callback) {
+    refreshListeners.add(callback);
     if (reading) {
       return;
     }
@@ -103,12 +104,12 @@
 
   private void completeRefresh() {
     reading = false;
-    List<Runnable> told = List.copyOf(refreshListeners);
+    List<Runnable> listeners = List.copyOf(refreshListeners);
     refreshListeners.clear();
-    told.forEach(Runnable::run);
+    listeners.forEach(Runnable::run);
   }
 
-  /** Brings edits into force as far as they follow on the revision here, and passes them on. */
+  /** Applies the edits that directly follow the current revision, and sends them to peers. */
   void applyEdits(List<TableEdit> edits) {
     List<TableEdit> applied = new ArrayList<>();
     for (TableEdit edit : edits) {
@@ -140,14 +141,14 @@
     }
   }
 
-  /** Takes in that a peer has a revision in force. */
+  /** Fetches edits from a peer with a higher revision. */
   public void handlePeerRevision(HostId peer, long revision) {
     if (revision > table.revision()) {
       send(peer, new PeerMessage.EditsFetch(table.revision()));
     }
   }
 
-  /** Takes in edits that a peer passes on; asks for the ones between if some are missing. */
+  /** Applies the edits of a peer; fetches the edits before them if some are missing. */
   public void handleEditsPush(HostId from, PeerMessage.EditsPush push) {
     applyEdits(push.edits());
     boolean gap = push.edits().stream().anyMatch(edit -> edit.revision() > table.revision());
@@ -156,22 +157,21 @@
     }
   }
 
-  /** Takes in a whole table. */
   public void handleTablePush(PeerMessage.TablePush push) {
     replaceTable(push.latestEdits());
   }
 
-  /** Answers a peer that lacks edits. */
+  /** Sends a peer the edits that it lacks, or the whole table if they are no longer kept. */
   public void handleEditsFetch(HostId from, PeerMessage.EditsFetch fetch) {
     if (fetch.haveRevision() >= table.revision()) {
       return;
     }
-    PeerMessage answer =
+    PeerMessage response =
         table
             .editsAfter(fetch.haveRevision())
             .<PeerMessage>map(PeerMessage.EditsPush::new)
             .orElseGet(() -> new PeerMessage.TablePush(table.revision(), table.latestEdits()));
-    send(from, answer);
+    send(from, response);
   }
 
   private void send(HostId peer, PeerMessage message) {
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/TableEditCodec.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/TableEditCodec.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import org.gatereel.core.table.TableEdit;
 
-/** Writes edits as JSON for the platform's table, the same text for the same edit. */
+/** Encodes edits as JSON for the platform's table; equal edits have equal texts. */
 public final class TableEditCodec {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
@@ -18,12 +18,12 @@
     try {
       return MAPPER.writeValueAsString(edit);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an edit consists of strings and numbers only", e);
+      throw new IllegalStateException("failed to encode an edit", e);
     }
   }
 
   /**
-   * Reads the JSON of an edit.
+   * Decodes the JSON of an edit.
    *
    * @throws MalformedEditException if the text is not the JSON of an edit
    */
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/TableHistory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/TableHistory.java
@@ -5,9 +5,9 @@
 import java.util.SortedMap;
 import org.gatereel.core.table.TableEdit;
 
-/** The history of the policy table as the platform's table keeps it. */
+/** The history of the policy table in the platform's table. */
 public final class TableHistory {
-  /** The prefix of the history's rows. */
+  /** The prefix of the keys of the history's rows. */
   public static final String PREFIX = TableKeys.HISTORY;
 
   private TableHistory() {}
@@ -17,14 +17,14 @@
     return TableKeys.history(revision);
   }
 
-  /** Returns the edits in rows, in the order of their keys, up to the first that is damaged. */
+  /** Returns the edits in the order of their keys, up to the first that cannot be decoded. */
   public static List<TableEdit> decode(SortedMap<String, String> rows) {
     List<TableEdit> edits = new ArrayList<>();
     for (String text : rows.values()) {
       try {
         edits.add(TableEditCodec.decode(text));
       } catch (MalformedEditException e) {
-        // Nothing after a row that cannot be read may come into force, or hosts would differ.
+        // Applying later edits without this one would make the tables of hosts differ.
         return edits;
       }
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/TableKeys.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/TableKeys.java
@@ -2,15 +2,15 @@
 
 import org.gatereel.core.table.RowKey;
 
-/** Where the policy table stands in the platform's table. */
+/** The keys of the policy table in the platform's table. */
 final class TableKeys {
-  /** The number of the latest accepted edit. */
+  /** The key of the latest accepted revision. */
   static final String REVISION = "policy/revision";
 
-  /** One row for each accepted edit, in the order of revisions. */
+  /** The prefix of the rows with all accepted edits, in the order of revisions. */
   static final String HISTORY = "policy/history/";
 
-  /** The latest edit of each row. */
+  /** The prefix of the rows with the latest edit of each policy row. */
   static final String ROW = "policy/row/";
 
   private static final String EDIT = "policy/edit/";
@@ -25,7 +25,7 @@
     return ROW + key;
   }
 
-  /** Returns the row that says at which revision an edit id was accepted. */
+  /** Returns the key of the row with the revision at which an edit id was accepted. */
   static String edit(String editId) {
     return EDIT + editId;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/model/AccountId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/AccountId.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Names one client account. */
+/** The id of a client account. */
 public record AccountId(String value) {
   public AccountId {
     Objects.requireNonNull(value, "value");
--- a/gatereel-core/src/main/java/org/gatereel/core/model/Address.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/Address.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.model;
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 public record Address(String ip, int port) {
   @Override
   public String toString() {
--- a/gatereel-core/src/main/java/org/gatereel/core/model/DataCentre.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/DataCentre.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Names one data centre. */
+/** The name of a data centre. */
 public record DataCentre(String value) {
   public DataCentre {
     Objects.requireNonNull(value, "value");
--- a/gatereel-core/src/main/java/org/gatereel/core/model/GenerationSpec.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/GenerationSpec.java
@@ -1,10 +1,10 @@
 package org.gatereel.core.model;
 
 /**
- * What a caller asked to have generated; the same for every attempt.
+ * A caller's request for a generation; the same for every attempt.
  *
- * @param maximumTokens the number of tokens after which the engine stops
- * @param priority 0 (first) to 9 (last), passed on to the engine
+ * @param maximumTokens the maximum number of tokens to generate
+ * @param priority 0 (served first) to 9 (served last), sent to the engine
  */
 public record GenerationSpec(
     RequestId request,
--- a/gatereel-core/src/main/java/org/gatereel/core/model/HostDescription.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/HostDescription.java
@@ -1,10 +1,10 @@
 package org.gatereel.core.model;
 
 /**
- * One entry host as the platform's list or the settings describe it.
+ * An entry host as described by the platform's list or the settings.
  *
- * @param peerAddress where other entry hosts reach it
- * @param httpAddress where callers and operators reach it
+ * @param peerAddress the address for other entry hosts
+ * @param httpAddress the address for callers and operators
  */
 public record HostDescription(
     HostId id, DataCentre dataCentre, Address peerAddress, Address httpAddress, LifeState state) {}
--- a/gatereel-core/src/main/java/org/gatereel/core/model/HostId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/HostId.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Names one entry host; unique among live hosts. */
+/** The id of an entry host; unique among live hosts. */
 public record HostId(String value) {
   public HostId {
     Objects.requireNonNull(value, "value");
--- a/gatereel-core/src/main/java/org/gatereel/core/model/HostList.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/HostList.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The platform's list of live and leaving hosts; it lags behind the truth. */
+/** The platform's list of entry hosts and targets, which may be out of date. */
 public record HostList(long version, List<HostDescription> hosts, List<TargetDescription> targets) {
   public HostList {
     hosts = List.copyOf(hosts);
--- a/gatereel-core/src/main/java/org/gatereel/core/model/LifeState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/LifeState.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.model;
 
-/** What the platform's lagging list says of a host or target. */
+/** The state of a host or target in the platform's list. */
 public enum LifeState {
   LIVE,
   LEAVING
--- a/gatereel-core/src/main/java/org/gatereel/core/model/Outcome.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/Outcome.java
@@ -1,11 +1,11 @@
 package org.gatereel.core.model;
 
-/** What a refusal or failure says about whether the request ran. */
+/** Whether a failed request was executed. */
 public enum Outcome {
-  /** No byte of the request was given to any target, or the target itself proved it. */
+  /** No byte was sent to any target, or the target reported that it did not execute the request. */
   NOT_RUN,
-  /** A target worked on the request. */
+  /** A target executed the request, at least in part. */
   RAN,
-  /** A target may have worked on the request. */
+  /** A target may have executed the request. */
   UNKNOWN
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/model/Problem.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/Problem.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One failure as a caller is told of it.
+ * A failure that is reported to a caller or an operator.
  *
- * @param detail what is special about this occurrence and what to do
- * @param retryAfterMillis when to come back, in milliseconds; 0 if coming back does not help
+ * @param detail describes this occurrence
+ * @param retryAfterMillis the delay before a retry, in milliseconds; 0 if a retry does not help
  */
 public record Problem(ProblemType type, Outcome outcome, String detail, long retryAfterMillis) {
   public Problem {
@@ -14,12 +14,12 @@
     Objects.requireNonNull(outcome, "outcome");
   }
 
-  /** Returns a problem of a request that reached no target and need not be sent again as it is. */
+  /** Returns a problem of a request that was not executed and for which a retry does not help. */
   public static Problem notRun(ProblemType type, String detail) {
     return new Problem(type, Outcome.NOT_RUN, detail, 0);
   }
 
-  /** Returns a problem of a request that reached no target and may be sent again after a while. */
+  /** Returns a problem of a request that was not executed and may be retried after a delay. */
   public static Problem notRun(ProblemType type, String detail, long retryAfterMillis) {
     return new Problem(type, Outcome.NOT_RUN, detail, retryAfterMillis);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/model/ProblemType.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/ProblemType.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.model;
 
-/** Every failure that a caller or an operator can be told of, with its HTTP status. */
+/** The types of failure that are reported to callers and operators, with their HTTP status. */
 public enum ProblemType {
   MALFORMED_BODY(400, "The body is not what this path takes"),
   BODY_TOO_LARGE(413, "The body is larger than this host takes"),
@@ -38,12 +38,12 @@
     this.title = title;
   }
 
-  /** Returns the HTTP status that goes with this type. */
+  /** Returns the HTTP status of responses with this type. */
   public int status() {
     return status;
   }
 
-  /** Returns one sentence that is the same for every occurrence. */
+  /** Returns one sentence, the same for every occurrence. */
   public String title() {
     return title;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/model/RequestId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/RequestId.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Names one generation; drawn at random by the entry host that accepted it. */
+/** The id of a generation, chosen at random by the entry host that accepted it. */
 public record RequestId(String value) {
   public RequestId {
     Objects.requireNonNull(value, "value");
--- a/gatereel-core/src/main/java/org/gatereel/core/model/ServiceName.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/ServiceName.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Names one service, which a set of targets provides. */
+/** The name of a service, which is provided by a set of targets. */
 public record ServiceName(String value) {
   public ServiceName {
     Objects.requireNonNull(value, "value");
--- a/gatereel-core/src/main/java/org/gatereel/core/model/TargetDescription.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/TargetDescription.java
@@ -1,10 +1,10 @@
 package org.gatereel.core.model;
 
 /**
- * One target as the platform's list describes it.
+ * A target as described by the platform's list.
  *
- * @param slots how many requests the target works on at the same time
- * @param version the version of its software; {@link #UNVERSIONED} where targets do not tell
+ * @param slots the number of requests that the target executes concurrently
+ * @param version the version of its software; {@link #UNVERSIONED} if unknown
  */
 public record TargetDescription(
     TargetId id,
@@ -15,10 +15,10 @@
     int slots,
     LifeState state,
     String version) {
-  /** The version of a target that does not tell one. */
+  /** The version of a target that does not report one. */
   public static final String UNVERSIONED = "";
 
-  /** Describes a target that tells no version. */
+  /** Makes the description of a target without a version. */
   public TargetDescription(
       TargetId id,
       TargetKind kind,
--- a/gatereel-core/src/main/java/org/gatereel/core/model/TargetId.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/model/TargetId.java
@@ -3,31 +3,29 @@
 import java.util.Objects;
 
 /**
- * Names one run of a target: of a model engine or a plain service instance, from its start to its
- * end.
+ * The id of one incarnation of a target: one process of a model engine or a plain service.
  *
- * <p>A target may start again under the name that it had, and then holds nothing of before. What
- * hosts know of a run (failures, load, copies of memory, prompts read, its leaving) therefore hangs
- * on name and start together.
+ * <p>A target that restarts under the same name has lost the state of its earlier incarnation.
+ * Failures, load, cached prompts and draining are therefore recorded per name and start time.
  *
- * @param value the name, unique among targets that live
- * @param born when the run began, in milliseconds since 1970 by the target's own clock; {@link
- *     #UNKNOWN_START} where targets do not tell
+ * @param value the name, unique among live targets
+ * @param born the start of the incarnation, in milliseconds since 1970 by the target's own clock;
+ *     {@link #UNKNOWN_START} if the target does not report it
  */
 public record TargetId(String value, long born) {
-  /** The start of a target that does not tell when it began. */
+  /** The start of a target that does not report it. */
   public static final long UNKNOWN_START = 0;
 
   public TargetId {
     Objects.requireNonNull(value, "value");
   }
 
-  /** Names a target that takes a new name with each start. */
+  /** Makes the id of a target that has a new name after each start. */
   public TargetId(String value) {
     this(value, UNKNOWN_START);
   }
 
-  /** Returns whether this is an earlier run under the same name. */
+  /** Returns whether this is an earlier incarnation with the same name. */
   public boolean isEarlierIncarnationOf(TargetId other) {
     return value.equals(other.value) && born < other.born;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
@@ -3,29 +3,49 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The typed columns of the table, each with the kind of row that has it and its default. */
+/** The typed columns of the table, each with its kind of row, its default value and its range. */
 public enum Column {
   KEY_SHA256(RowKind.ACCOUNT, ColumnType.KEY_HASH, "", 0, 0, "hash of the bearer key"),
   ACCOUNT_WEIGHT(
-      RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "10", 1, 1000, "share of targets when short"),
+      RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "10", 1, 1000, "share of targets under contention"),
   CONCURRENT_LIMIT(
       RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "64", 1, 100_000, "open requests at one host"),
-  PRIORITY(RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "5", 0, 9, "0 goes first at engines"),
+  PRIORITY(RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "5", 0, 9, "0 is served first at engines"),
   KIND(RowKind.SERVICE, ColumnType.SERVICE_KIND, "generation", 0, 0, "generation or call"),
   REPEATABLE(
       RowKind.SERVICE, ColumnType.TRUTH, "false", 0, 0, "whether a call may run more than once"),
   PLACEMENT(RowKind.SERVICE, ColumnType.PLACEMENT, "two-choices", 0, 0, "how a target is chosen"),
   SECOND_PLACEMENT(
-      RowKind.SERVICE, ColumnType.PLACEMENT, "two-choices", 0, 0, "placement of the second arm"),
+      RowKind.SERVICE,
+      ColumnType.PLACEMENT,
+      "two-choices",
+      0,
+      0,
+      "placement of the second variant"),
   SECOND_SHARE(
-      RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "0", 0, 100, "requests in 100 on the second arm"),
+      RowKind.SERVICE,
+      ColumnType.WHOLE_NUMBER,
+      "0",
+      0,
+      100,
+      "percentage of requests on the second variant"),
   SUSPICION(
-      RowKind.SERVICE, ColumnType.SUSPICION, "balanced", 0, 0, "how soon silence means death"),
+      RowKind.SERVICE,
+      ColumnType.SUSPICION,
+      "balanced",
+      0,
+      0,
+      "how soon a silent engine is suspected"),
   COPYING(RowKind.SERVICE, ColumnType.COPYING, "other-hall", 0, 0, "where copies are held"),
   PATIENCE_MILLIS(
       RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "5000", 50, 600_000, "longest wait for a target"),
   CALL_TIMEOUT_MILLIS(
-      RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "5000", 50, 600_000, "longest run of a call"),
+      RowKind.SERVICE,
+      ColumnType.WHOLE_NUMBER,
+      "5000",
+      50,
+      600_000,
+      "timeout of a call at a target"),
   RETRY_PERCENT(
       RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "10", 0, 100, "retries for each 100 requests"),
   MAXIMUM_TOKENS(
@@ -49,7 +69,7 @@
     this.description = meaning;
   }
 
-  /** Returns the name of the column in files and on the command line. */
+  /** Returns the column's name in files and on the command line. */
   public String externalName() {
     return name().toLowerCase(Locale.ROOT);
   }
@@ -58,7 +78,7 @@
     return rowKind;
   }
 
-  /** Returns the value of a cell that was never set. */
+  /** Returns the value of a cell that is not set. */
   public String defaultValue() {
     return defaultValue;
   }
@@ -67,13 +87,13 @@
     return description;
   }
 
-  /** Returns the rule that {@code text} would break in this column, if it breaks one. */
+  /** Returns the rule of this column that {@code text} violates, if any. */
   public Optional<String> findViolation(String text) {
     return type.findViolation(text, minimum, maximum);
   }
 
   /**
-   * Returns the column of a kind of row with a name.
+   * Returns the column with an external name for a kind of row.
    *
    * @throws InvalidEditException if rows of this kind have no such column
    */
--- a/gatereel-core/src/main/java/org/gatereel/core/table/InvalidEditException.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/InvalidEditException.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.GatereelException;
 
-/** An edit that breaks a rule of the table; it names the row and the column. */
+/** An edit that violates a rule of the table. */
 public final class InvalidEditException extends GatereelException {
   private static final long serialVersionUID = 1L;
   private final String row;
--- a/gatereel-core/src/main/java/org/gatereel/core/table/PolicyTable.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/PolicyTable.java
@@ -13,10 +13,10 @@
 import org.gatereel.core.model.ServiceName;
 
 /**
- * The policy in force: the rows of the table at one revision.
+ * The rows of the policy table at one revision.
  *
- * <p>The revision only goes up, one edit at a time or by a whole table of a higher revision, so
- * that no stale read and no late message can bring an earlier policy back.
+ * <p>The revision only increases, by the next edit or by a whole table of a higher revision, so
+ * that a stale read or a late message never restores an earlier policy.
  */
 public final class PolicyTable {
   private static final int MAX_RECENT_EDITS = 512;
@@ -44,7 +44,7 @@
     return true;
   }
 
-  /** Takes over a whole table if its revision is higher; returns whether it did. */
+  /** Replaces the whole table if the new revision is higher; returns whether it did. */
   public boolean replace(long newRevision, Collection<TableEdit> latestEdits) {
     if (newRevision <= revision) {
       return false;
@@ -57,13 +57,14 @@
     return true;
   }
 
-  /** Returns the edits after a revision, or empty if this host no longer has all of them. */
-  public Optional<List<TableEdit>> editsAfter(long have) {
-    List<TableEdit> edits = recentEdits.stream().filter(edit -> edit.revision() > have).toList();
-    return edits.size() == revision - have ? Optional.of(edits) : Optional.empty();
+  /** Returns the edits after a revision, or empty if not all of them are still kept. */
+  public Optional<List<TableEdit>> editsAfter(long knownRevision) {
+    List<TableEdit> edits =
+        recentEdits.stream().filter(edit -> edit.revision() > knownRevision).toList();
+    return edits.size() == revision - knownRevision ? Optional.of(edits) : Optional.empty();
   }
 
-  /** Returns the latest edit of each row, deleted rows too, in the order of their revisions. */
+  /** Returns the latest edit of each row, including deleted rows, in the order of revisions. */
   public List<TableEdit> latestEdits() {
     return latestByKey.values().stream().sorted(Comparator.comparing(TableEdit::revision)).toList();
   }
@@ -90,7 +91,7 @@
     return Optional.ofNullable(accountsByCredential.get(credential));
   }
 
-  /** Returns the weight of a data centre; one without a row has the standard weight. */
+  /** Returns the weight of a data centre; one without a row has the default weight. */
   public int weight(DataCentre dataCentre) {
     return row(new RowKey(RowKind.DATA_CENTRE, dataCentre.value()))
         .map(row -> row.intValue(Column.DATA_CENTRE_WEIGHT))
@@ -98,9 +99,9 @@
   }
 
   /**
-   * Returns the row that a change would make.
+   * Returns the row after a change, without applying it.
    *
-   * @throws InvalidEditException if the change breaks a rule, or the row's name is not allowed
+   * @throws InvalidEditException if the change violates a rule, or the row's name is not allowed
    */
   public Row preview(RowChange change) throws InvalidEditException {
     RowNames.check(change.key());
@@ -123,12 +124,12 @@
   }
 
   private void put(TableEdit edit) {
-    TableEdit before = latestByKey.put(edit.row().key(), edit);
+    TableEdit previousEdit = latestByKey.put(edit.row().key(), edit);
     if (edit.row().key().kind() != RowKind.ACCOUNT) {
       return;
     }
-    if (before != null) {
-      accountsByCredential.remove(before.row().text(Column.KEY_SHA256));
+    if (previousEdit != null) {
+      accountsByCredential.remove(previousEdit.row().text(Column.KEY_SHA256));
     }
     String credential = edit.row().text(Column.KEY_SHA256);
     if (!edit.row().deleted() && !credential.isEmpty()) {
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Row.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Row.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * One row of the table, checked.
+ * One row of the table, with valid cells.
  *
  * @param revision the table revision at which this row was last changed
  */
@@ -15,7 +15,7 @@
     cells = Collections.unmodifiableSortedMap(new TreeMap<>(cells));
   }
 
-  /** Returns the text of a cell, or the column's standard value. */
+  /** Returns the text of a cell, or the column's default value. */
   public String text(Column column) {
     return cells.getOrDefault(column.externalName(), column.defaultValue());
   }
@@ -28,16 +28,16 @@
     return Boolean.parseBoolean(text(column));
   }
 
-  /** Returns the constant that a cell names. */
+  /** Returns the enum constant that a cell names. */
   public <E extends Enum<E>> E enumValue(Column column, Class<E> type) {
     String name = text(column).toUpperCase(Locale.ROOT).replace('-', '_');
     return Enum.valueOf(type, name);
   }
 
   /**
-   * Returns the row after a change, with all rules checked.
+   * Returns the row after a change.
    *
-   * @throws InvalidEditException if a cell breaks a rule
+   * @throws InvalidEditException if a cell violates a rule
    */
   Row withChange(RowChange change, long newRevision) throws InvalidEditException {
     SortedMap<String, String> changed = new TreeMap<>();
@@ -45,9 +45,9 @@
       changed.putAll(cells);
       for (var cell : change.cells().entrySet()) {
         Column column = Column.of(key, cell.getKey());
-        var broken = column.findViolation(cell.getValue());
-        if (broken.isPresent()) {
-          throw new InvalidEditException(key.toString(), cell.getKey(), broken.get());
+        var violation = column.findViolation(cell.getValue());
+        if (violation.isPresent()) {
+          throw new InvalidEditException(key.toString(), cell.getKey(), violation.get());
         }
         changed.put(cell.getKey(), cell.getValue());
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowChange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowChange.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 
 /**
- * What an operator wants changed.
+ * A change of one row, requested by an operator.
  *
- * @param basedOn the revision of the row that the operator saw; 0 if there was no row
- * @param deleted whether the row is to go
- * @param cells the cells to set, by column name; the other cells stay as they are
+ * @param basedOn the revision of the row that the change is based on; 0 if the row does not exist
+ * @param deleted whether the change deletes the row
+ * @param cells the cells to set, by column name; the other cells keep their values
  */
 public record RowChange(
     RowKey key, long basedOn, boolean deleted, SortedMap<String, String> cells) {
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowKey.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowKey.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.table;
 
-/** Names one row of the table. */
+/** Identifies one row of the table. */
 public record RowKey(RowKind kind, String name) implements Comparable<RowKey> {
   @Override
   public int compareTo(RowKey other) {
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowNames.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowNames.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** The rule for the names of rows: they appear in paths and keys. */
+/** Checks the names of rows, which are used in paths and keys. */
 final class RowNames {
   private static final Pattern ALLOWED = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
@@ -11,7 +11,9 @@
   static void check(RowKey key) throws InvalidEditException {
     if (!ALLOWED.matcher(key.name()).matches()) {
       throw new InvalidEditException(
-          key.toString(), "name", "must be 1 to 63 of a-z, 0-9 and -, and not start with -");
+          key.toString(),
+          "name",
+          "must have 1 to 63 characters from a-z, 0-9 and -, and must not start with -");
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/ServiceKind.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/ServiceKind.java
@@ -1,9 +1,9 @@
 package org.gatereel.core.table;
 
-/** What callers ask of a service. */
+/** The kinds of service. */
 public enum ServiceKind {
-  /** Streams from model engines. */
+  /** Generations streamed from model engines. */
   GENERATION,
-  /** Calls to plain services. */
+  /** Calls of plain services. */
   CALL
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/TableEdit.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/TableEdit.java
@@ -1,13 +1,13 @@
 package org.gatereel.core.table;
 
 /**
- * One accepted edit: the row as it is from this revision on, and who did it.
+ * One accepted edit, with the row that it results in.
  *
- * @param editId drawn by the operator's tool, so that an edit sent twice counts once
- * @param wallClockMillis when the edit was accepted, for the history only
+ * @param editId chosen by the operator's tool; an edit that is sent twice takes effect once
+ * @param wallClockMillis when the edit was accepted, in milliseconds since 1970; informational
  */
 public record TableEdit(Row row, String editId, String operator, long wallClockMillis) {
-  /** Returns the table revision that this edit made. */
+  /** Returns the table revision that this edit created. */
   public long revision() {
     return row.revision();
   }
