--- a/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
@@ -42,7 +42,7 @@
     return Stream.of(EventCode.values())
         .filter(code -> code.name().equals(name))
         .findFirst()
-        .map(EventCode::meaning)
+        .map(EventCode::description)
         .orElse("an event that this version does not know");
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/event/EventCode.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/EventCode.java
@@ -102,11 +102,11 @@
   LOADS_UNDELIVERED(612, "A host does not take what this one tells it; it is tried again later.");
 
   private final int number;
-  private final String meaning;
+  private final String description;
 
   EventCode(int number, String meaning) {
     this.number = number;
-    this.meaning = meaning;
+    this.description = meaning;
   }
 
   /** Returns the number, which never changes its meaning between versions. */
@@ -115,7 +115,7 @@
   }
 
   /** Returns one sentence for the catalogue. */
-  public String meaning() {
-    return meaning;
+  public String description() {
+    return description;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Measurement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/Measurement.java
@@ -10,13 +10,13 @@
   RESENT_TOKENS("accepted tokens given to a further attempt"),
   SECOND_ATTEMPTS("attempts started on suspicion, beside a live one");
 
-  private final String meaning;
+  private final String description;
 
   Measurement(String meaning) {
-    this.meaning = meaning;
+    this.description = meaning;
   }
 
-  public String meaning() {
-    return meaning;
+  public String description() {
+    return description;
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/event/EventCatalogueTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/event/EventCatalogueTest.java
@@ -24,7 +24,7 @@
   void theCatalogueHasEveryEventWithItsNumberAndMeaning() throws IOException {
     List<String> wanted =
         Arrays.stream(EventCode.values())
-            .map(code -> "| " + code.number() + " | " + code + " | " + code.meaning() + " |")
+            .map(code -> "| " + code.number() + " | " + code + " | " + code.description() + " |")
             .toList();
     List<String> found =
         rows("EVENTS.md").stream().filter(row -> Character.isDigit(row.charAt(2))).toList();
