--- a/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/action/Action.java
@@ -15,41 +15,41 @@
 import org.gatereel.core.platform.TableWrite;
 import org.gatereel.core.table.TableEdit;
 
-/** Something that the core wants done; each is answered by events, or by none. */
+/** An output of the core, which its driver executes. Some actions result in an {@code Event}. */
 public sealed interface Action {
-  /** Opens the stream of a generation and tells the caller its id. */
+  /** Opens the stream of a generation and sends the caller its event id. */
   record OpenStream(long caller, EventId id) implements Action {}
 
-  /** Gives the caller one token. */
+  /** Sends the caller one token. */
   record SendToken(long caller, EventId id, String token) implements Action {}
 
-  /** Tells the caller that the answer is whole, and ends the exchange. */
+  /** Sends the caller the end of its stream, and ends the exchange. */
   record EndStream(long caller, EventId id) implements Action {}
 
-  /** Tells the caller what went wrong, in the stream if it is open, and ends the exchange. */
+  /** Sends the caller a problem, in the stream if it is open, and ends the exchange. */
   record SendProblem(long caller, Problem problem) implements Action {}
 
-  /** Ends an exchange that another one replaced, or asks the caller to connect elsewhere. */
+  /** Ends an exchange that a later one replaced, or whose generation has another owner. */
   record Disconnect(long caller) implements Action {}
 
-  /** Gives the caller the answer of a plain call. */
+  /** Sends the caller the response of a plain call. */
   record SendResponse(long caller, int status, String body) implements Action {}
 
-  /** Tells an operator that the edit is accepted. */
+  /** Reports to an operator that the edit was accepted. */
   record ConfirmEdit(long caller, TableEdit edit) implements Action {}
 
-  /** Tells an operator that the row has changed meanwhile; {@code present} is the latest edit. */
+  /** Reports a conflict to an operator; {@code present} is the latest edit of the row. */
   record ReportLostRace(long caller, TableEdit present) implements Action {}
 
-  /** Gives an engine the prompt and the accepted tokens. */
+  /** Sends an engine the prompt and the accepted tokens. */
   record StartAttempt(
       GenerationSpec spec, int attempt, TargetDescription target, List<String> tokens)
       implements Action {}
 
-  /** Tells an engine to stop an attempt, and takes no more tokens of it. */
+  /** Cancels an attempt at its engine and ignores its further tokens. */
   record CancelAttempt(RequestId request, int attempt) implements Action {}
 
-  /** Sends a plain call; nothing is sent again on its own account. */
+  /** Sends a plain call once, without retries. */
   record SendCall(
       long ticket,
       TargetDescription target,
@@ -65,19 +65,19 @@
   /** Closes the connection to a peer, so that the next message goes over a new one. */
   record CloseConnection(HostId peer) implements Action {}
 
-  /** Asks the platform for a transaction. */
+  /** Starts a transaction at the platform. */
   record Transact(long ticket, List<TableWrite> writes) implements Action {}
 
-  /** Asks the platform for single rows. */
+  /** Reads single rows from the platform. */
   record ReadRows(long ticket, List<String> keys) implements Action {}
 
-  /** Asks the platform for the rows with a prefix, after a key; in the order of their keys. */
+  /** Reads the rows whose keys have a prefix and follow {@code after}, in the order of keys. */
   record ScanRows(long ticket, String prefix, String after) implements Action {}
 
-  /** Puts an entry on the time line and into the log. */
+  /** Writes an entry to the timeline and the log. */
   record LogEvent(EventCode code, String subject, String detail) implements Action {}
 
-  /** Adds a value to the statistics of a service and arm. */
+  /** Records a value in the statistics of a service and policy variant. */
   record RecordMeasurement(
       Measurement measurement, ServiceName service, PolicyVariant arm, long value)
       implements Action {}
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
@@ -13,21 +13,21 @@
 import org.gatereel.core.table.RowChange;
 
 /**
- * Something that happened outside the core.
+ * An input of the core.
  *
- * <p>{@code caller} is a number that the caller side gives to each open exchange; {@code ticket} is
- * the number of the action that the event answers.
+ * <p>{@code caller} is the number of an open exchange with a caller; {@code ticket} is the number
+ * of the action to which the event belongs.
  */
 public sealed interface Event {
-  /** A caller asks for a generation. */
+  /** A caller requested a generation. */
   record GenerationRequested(
       long caller, String credential, ServiceName service, String prompt, int maximumTokens)
       implements Event {}
 
-  /** A caller asks to go on with a generation after an event. */
+  /** A caller requested to resume a generation after an event. */
   record ResumeRequested(long caller, String credential, EventId after) implements Event {}
 
-  /** A caller asks for a plain call. */
+  /** A caller requested a plain call. */
   record CallRequested(
       long caller,
       String credential,
@@ -36,26 +36,26 @@
       String body)
       implements Event {}
 
-  /** The caller's exchange ended. */
+  /** The exchange with a caller ended. */
   record CallerDisconnected(long caller) implements Event {}
 
-  /** An engine brought a token. */
+  /** An engine sent a token; {@code load} is the number of its open requests. */
   record TokenArrived(RequestId request, int attempt, int offset, String token, int load)
       implements Event {}
 
-  /** An engine says that the generation is whole. */
+  /** An engine finished the generation at {@code length} tokens. */
   record AttemptFinished(RequestId request, int attempt, int length) implements Event {}
 
   /** An attempt ended without finishing. */
   record AttemptFailed(RequestId request, int attempt, TargetFailure failure) implements Event {}
 
-  /** A plain service answered. */
+  /** A plain service responded to a call. */
   record CallResponseReceived(long ticket, int status, String body, int load) implements Event {}
 
-  /** A plain call ended without an answer. */
+  /** A plain call ended without a response. */
   record CallFailed(long ticket, TargetFailure failure) implements Event {}
 
-  /** The platform's list was read. */
+  /** The platform's list of hosts and targets was read. */
   record HostListReceived(HostList list) implements Event {}
 
   /** A transaction ended. */
@@ -70,19 +70,19 @@
   /**
    * A message to a peer could not be delivered, or its connection broke.
    *
-   * @param processGone whether the peer's host refused the connection, so that the process that was
-   *     there has ended with all it kept in memory
+   * @param processGone whether the connection was refused, so that the peer's process has ended and
+   *     its memory is lost
    */
   record PeerUnreachable(HostId peer, boolean processGone) implements Event {}
 
-  /** An operator asks for an edit of the table. */
+  /** An operator requested an edit of the table. */
   record EditRequested(
       long caller, String operator, String editId, RowChange change, long wallClockMillis)
       implements Event {}
 
-  /** The host is to stop once it has finished what it has. */
+  /** The host must stop after it has finished its open requests. */
   record DrainRequested() implements Event {}
 
-  /** A target was seen to answer a health check. */
+  /** A target responded to a health check. */
   record HealthCheckAnswered(TargetId target, int load, boolean leaving) implements Event {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Measurement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/Measurement.java
@@ -1,19 +1,19 @@
 package org.gatereel.core.event;
 
-/** The measured quantities that policies are compared by. */
+/** The measured quantities by which policies are compared. */
 public enum Measurement {
-  FIRST_TOKEN_MILLIS("from the request to its first token at the caller side"),
+  FIRST_TOKEN_MILLIS("from the request to its first token at the caller"),
   TOKEN_GAP_MILLIS("between two tokens of one generation as they reach this host"),
   RESUME_MILLIS("from the loss of an engine, or its last token, to the next token"),
-  CALL_MILLIS("from a plain call to its answer"),
+  CALL_MILLIS("from a plain call to its response"),
   QUEUE_MILLIS("waiting for a free target"),
-  RESENT_TOKENS("accepted tokens given to a further attempt"),
+  RESENT_TOKENS("accepted tokens sent to a further attempt"),
   SECOND_ATTEMPTS("attempts started on suspicion, beside a live one");
 
   private final String description;
 
-  Measurement(String meaning) {
-    this.description = meaning;
+  Measurement(String description) {
+    this.description = description;
   }
 
   public String description() {
--- a/gatereel-core/src/main/java/org/gatereel/core/event/PolicyVariant.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/PolicyVariant.java
@@ -1,6 +1,6 @@
 package org.gatereel.core.event;
 
-/** Which of a service's two policies a request is served under. */
+/** The two placement policies of a service that are compared with each other. */
 public enum PolicyVariant {
   FIRST,
   SECOND
--- a/gatereel-core/src/main/java/org/gatereel/core/event/TargetFailure.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/TargetFailure.java
@@ -1,22 +1,22 @@
 package org.gatereel.core.event;
 
-/** How an attempt or call at a target came to an end without an answer. */
+/** The reason why an attempt or call at a target ended without a response. */
 public enum TargetFailure {
-  /** No connection came about, so that no byte of the request left this host. */
+  /** No connection was established, so that no byte of the request was sent. */
   NOT_CONNECTED(true, true),
-  /** The target was not to be sent the request any more when the connection stood. */
+  /** The request was withdrawn before it was sent over an established connection. */
   WITHDRAWN(true, false),
-  /** The target answered that it is leaving and did not start the request. */
+  /** The target responded that it is draining and did not start the request. */
   GOODBYE(true, false),
-  /** The target answered that it has no room and did not start the request. */
+  /** The target responded that it has no free slot and did not start the request. */
   FULL(true, false),
-  /** The target answered that it wants nothing for a while, and did not start the request. */
+  /** The target responded that it is in backoff and did not start the request. */
   RESTING(true, false),
   /** The connection broke after the request had been sent. */
   RESET(false, true),
-  /** The target answered with an error. */
+  /** The target responded with an error. */
   ERROR(false, false),
-  /** The time for the call ran out. */
+  /** The timeout of the call expired. */
   TIMEOUT(false, true);
 
   private final boolean provesNotRun;
@@ -27,22 +27,22 @@
     this.isFault = isFault;
   }
 
-  /** Returns whether the target certainly did not run the request. */
+  /** Returns whether the target certainly did not execute the request. */
   public boolean provesNotRun() {
     return provesNotRun;
   }
 
-  /** Returns whether the target may be out of order, so that it is passed over for a while. */
+  /** Returns whether the target may be faulty, so that it is avoided for a while. */
   public boolean isFault() {
     return isFault;
   }
 
-  /** Returns whether the target takes no new requests any more. */
+  /** Returns whether the target announced that it accepts no new requests. */
   public boolean announcesDraining() {
     return this == GOODBYE;
   }
 
-  /** Returns whether the request was kept back, so that the target has not got it. */
+  /** Returns whether no byte of the request was sent to the target. */
   public boolean isUnsent() {
     return this == NOT_CONNECTED || this == WITHDRAWN;
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/event/EventCatalogueTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/event/EventCatalogueTest.java
@@ -21,29 +21,29 @@
   }
 
   @Test
-  void theCatalogueHasEveryEventWithItsNumberAndMeaning() throws IOException {
-    List<String> wanted =
+  void catalogueContainsEveryEvent() throws IOException {
+    List<String> expected =
         Arrays.stream(EventCode.values())
             .map(code -> "| " + code.number() + " | " + code + " | " + code.description() + " |")
             .toList();
-    List<String> found =
+    List<String> actual =
         rows("EVENTS.md").stream().filter(row -> Character.isDigit(row.charAt(2))).toList();
-    assertEquals(wanted, found);
+    assertEquals(expected, actual);
   }
 
   @Test
-  void theApiPageHasEveryProblemTypeWithItsStatusAndTitle() throws IOException {
-    List<String> wanted =
+  void apiPageContainsEveryProblemType() throws IOException {
+    List<String> expected =
         Arrays.stream(ProblemType.values())
             .map(type -> "| " + type.uri() + " | " + type.status() + " | " + type.title() + " |")
             .toList();
-    List<String> found =
+    List<String> actual =
         rows("API.md").stream().filter(row -> row.startsWith("| /problems/")).toList();
-    assertEquals(wanted, found);
+    assertEquals(expected, actual);
   }
 
   @Test
-  void noTwoEventsShareANumber() {
+  void eventNumbersAreUnique() {
     long numbers = Arrays.stream(EventCode.values()).mapToInt(EventCode::number).distinct().count();
     assertEquals(EventCode.values().length, numbers);
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionDetectorTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/internal/SuspensionDetectorTest.java
@@ -21,14 +21,14 @@
   }
 
   @Test
-  void clocksThatGoTogetherLoseNothing() {
+  void equalClocksReportNoSuspension() {
     for (long time = 0; time < 10_000; time += 100) {
       assertEquals(0, at(time, time));
     }
   }
 
   @Test
-  void whatOnlyTheTimeOfDayCountsIsLost() {
+  void reportsTimeThatOnlyTheTimeOfDayCounts() {
     at(0, 0);
 
     assertEquals(6_000, at(10, 6_010));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aStepForwardCountsOnceAndItsReturnNotAtAll() {
+  void reportsAForwardStepOnceAndItsReversalNotAtAll() {
     at(0, 0);
 
     assertEquals(2_000, at(100, 2_100));
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aSuspensionAfterAStepBackIsFound() {
+  void reportsASuspensionAfterABackwardStep() {
     at(0, 0);
     at(100, -1_900);
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void shortSuspensionsAddUp() {
+  void accumulatesShortSuspensions() {
     at(0, 0);
     for (long index = 1; index <= 10; index++) {
       at(index, index * 151);
--- a/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
@@ -44,13 +44,13 @@
   }
 
   @Test
-  void theNumberOfNeighboursDoesNotGrowWithTheNumberOfHosts() {
+  void neighbourCountIsBounded() {
     assertEquals(8, membership("host-0", 370, context("host-0")).neighbours().size());
     assertEquals(2, membership("host-0", 3, context("host-0")).neighbours().size());
   }
 
   @Test
-  void neighboursAreMutualSoThatEachHearsTheOther() {
+  void neighboursAreMutual() {
     HostId first = new HostId("host-0");
     for (HostId neighbour : membership("host-0", 50, context("host-0")).neighbours()) {
       Membership other = membership(neighbour.value(), 50, context(neighbour.value()));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aSilentNeighbourIsLostAndComesBackWhenHeard() {
+  void silentNeighbourIsLostUntilItsNextMessage() {
     CoreContext context = context("host-0");
     Membership members = membership("host-0", 3, context);
     HostId peer = new HostId("host-1");
--- a/gatereel-core/src/test/java/org/gatereel/core/table/PolicyTableTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/table/PolicyTableTest.java
@@ -27,7 +27,7 @@
   }
 
   @Property(tries = 100, seed = "2")
-  void theRevisionNeverGoesBackInWhateverOrderEditsCome(@ForAll long seed) {
+  void revisionNeverDecreasesForAnyOrderOfEdits(@ForAll long seed) {
     List<TableEdit> edits = new ArrayList<>();
     for (int revision = 1; revision <= 20; revision++) {
       edits.add(edit(SERVICE, revision, Map.of("retry_percent", "" + revision)));
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void anOlderWholeTableChangesNothing() {
+  void ignoresAnOlderWholeTable() {
     PolicyTable table = new PolicyTable();
     table.replace(5, List.of(edit(SERVICE, 5, Map.of("retry_percent", "5"))));
     assertFalse(table.replace(4, List.of(edit(SERVICE, 4, Map.of("retry_percent", "4")))));
@@ -63,7 +63,7 @@
     "no_such_column, 1",
     "account_weight, 5",
   })
-  void aCellThatBreaksARuleIsRefusedByRowAndColumn(String column, String text) {
+  void rejectsAnInvalidCellWithItsRowAndColumn(String column, String text) {
     RowChange change = new RowChange(SERVICE, 0, false, Map.of(column, text));
     InvalidEditException failure =
         assertThrows(InvalidEditException.class, () -> new PolicyTable().preview(change));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void twoAccountsCannotShareAKey() throws InvalidEditException {
+  void rejectsAKeyOfAnotherAccount() throws InvalidEditException {
     PolicyTable table = new PolicyTable();
     RowKey first = new RowKey(RowKind.ACCOUNT, "first");
     table.apply(edit(first, 1, Map.of("key_sha256", HASH)));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void everyColumnHasAStandardValueThatItsOwnRuleAllows() {
+  void everyDefaultValueIsValid() {
     for (Column column : Column.values()) {
       boolean allowed =
           column == Column.KEY_SHA256 || column.findViolation(column.defaultValue()).isEmpty();
