--- a/gatereel-core/src/main/java/org/gatereel/core/event/EventCode.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/EventCode.java
@@ -48,7 +48,7 @@
       318, "Another host requested retries from the data centre's part of the retry budget."),
   ANSWER_ENDED(
       319,
-      "A target's stream, or a response without a length, ended; the detail has the verdict on it."),
+      "A target's stream, or a response without a length, ended; the detail contains the verdict."),
   CLAIM_GRANTED(320, "The Idempotency-Key was claimed for this host."),
   CLAIM_TAKEN(321, "The Idempotency-Key was claimed before."),
   CLAIM_FAILED(322, "The platform did not confirm the claim; the call was not sent."),
