--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -120,8 +120,8 @@
     advanceTo(now);
     if (event instanceof Event.TokenArrived token) {
       owner.handleToken(token);
-    } else if (event instanceof Event.PeerMessageReceived said) {
-      handlePeerMessage(said.from(), said.message());
+    } else if (event instanceof Event.PeerMessageReceived received) {
+      handlePeerMessage(received.from(), received.message());
     } else if (!handleCaller(event) && !handleTarget(event)) {
       handleEnvironment(event);
     }
@@ -130,13 +130,14 @@
   }
 
   private void advanceTo(long now) {
-    OptionalLong due = context.timers().nextDeadline();
-    long lastRun = context.now();
+    OptionalLong nextDeadline = context.timers().nextDeadline();
+    long previousTime = context.now();
     context.advanceTo(now);
-    long late = due.isPresent() ? now - Math.max(due.getAsLong(), lastRun) : 0;
-    if (late > PAUSE_THRESHOLD_MILLIS) {
+    long lateMillis =
+        nextDeadline.isPresent() ? now - Math.max(nextDeadline.getAsLong(), previousTime) : 0;
+    if (lateMillis > PAUSE_THRESHOLD_MILLIS) {
       context.recordPause();
-      context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), late + " ms");
+      context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), lateMillis + " ms");
     }
   }
 
@@ -155,8 +156,8 @@
       if (hasTable(request.caller(), Outcome.RAN)) {
         takeovers.handleResume(request);
       }
-    } else if (event instanceof Event.CallerDisconnected gone) {
-      handleCallerDisconnected(gone.caller());
+    } else if (event instanceof Event.CallerDisconnected disconnected) {
+      handleCallerDisconnected(disconnected.caller());
     } else if (event instanceof Event.EditRequested request) {
       edits.handleRequest(request);
     } else {
@@ -226,8 +227,8 @@
   }
 
   private void handleEnvironment(Event event) {
-    if (event instanceof Event.HostListReceived seen) {
-      applyList(seen.list());
+    if (event instanceof Event.HostListReceived received) {
+      applyList(received.list());
     } else if (event instanceof Event.TransactionEnded ended) {
       platform.complete(ended);
     } else if (event instanceof Event.ReadEnded ended) {
@@ -308,8 +309,8 @@
   }
 
   private boolean handleTakeOverMessage(HostId from, PeerMessage message) {
-    if (message instanceof PeerMessage.TakeOver ask) {
-      takeovers.handleTakeOver(from, ask);
+    if (message instanceof PeerMessage.TakeOver takeOver) {
+      takeovers.handleTakeOver(from, takeOver);
     } else if (message instanceof PeerMessage.TakeOverGranted granted) {
       takeovers.handleGranted(from, granted);
     } else if (message instanceof PeerMessage.TakeOverRefused refused) {
@@ -356,9 +357,9 @@
 
   /** Returns a consistent snapshot of the host's status. */
   public HostStatus status() {
-    List<HostStatus.TargetStatus> shown = new ArrayList<>();
+    List<HostStatus.TargetStatus> targetStatuses = new ArrayList<>();
     for (TargetState target : targets.all()) {
-      shown.add(
+      targetStatuses.add(
           new HostStatus.TargetStatus(
               target.description(),
               target.isLeaving(),
@@ -380,7 +381,7 @@
         admission.waiting(),
         calls.openCount(),
         peers,
-        shown);
+        targetStatuses);
   }
 
   /** Returns the table in force, which must only be used by the thread that drives this host. */
--- a/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
@@ -258,12 +258,12 @@
   }
 
   private static Problem bodyChanged(CallRequest request) {
-    // The request with the other body may have run under this key.
+    // The request with the other body may have been executed under this key.
     String detail = "key " + request.call().executionId();
     return new Problem(ProblemType.REQUEST_CHANGED, Outcome.UNKNOWN, detail, 0);
   }
 
-  /** The retry delay lets the caller ask again, as the host with the claim may become reachable. */
+  /** A retry is safe, and may return the response once the host with the claim is reachable. */
   private static Problem hostUnresponsive(CallRequest request, HostId host) {
     String detail =
         request.call().executionId() + " is claimed by " + host + ", which does not respond";
@@ -280,28 +280,28 @@
   }
 
   void handlePeerMessage(HostId from, PeerMessage message) {
-    if (message instanceof PeerMessage.ClaimAsk ask) {
-      claims.handleClaimAsk(from, ask);
+    if (message instanceof PeerMessage.ClaimAsk query) {
+      claims.handleClaimAsk(from, query);
     } else if (message instanceof PeerMessage.ClaimResult result) {
       claims.handleClaimResult(result);
-    } else if (message instanceof PeerMessage.OutcomeAsk ask) {
-      handleOutcomeAsk(from, ask);
-    } else if (message instanceof PeerMessage.OutcomeAnswer answer) {
-      handleOutcomeAnswer(answer);
+    } else if (message instanceof PeerMessage.OutcomeAsk query) {
+      handleOutcomeAsk(from, query);
+    } else if (message instanceof PeerMessage.OutcomeAnswer outcome) {
+      handleOutcomeAnswer(outcome);
     }
   }
 
-  private void handleOutcomeAsk(HostId from, PeerMessage.OutcomeAsk ask) {
-    CallRecord record = records.get(ask.key());
-    if (record != null && record.hasAbandoned(ask.claimValue())) {
-      sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.NOT_SENT));
-    } else if (record == null || !record.claimValue().equals(ask.claimValue())) {
+  private void handleOutcomeAsk(HostId from, PeerMessage.OutcomeAsk query) {
+    CallRecord record = records.get(query.key());
+    if (record != null && record.hasAbandoned(query.claimValue())) {
+      sendOutcome(from, query.ticket(), CallRecord.ofState(query.key(), CallState.NOT_SENT));
+    } else if (record == null || !record.claimValue().equals(query.claimValue())) {
       // An earlier process of this host wrote the claim, and may have executed the call.
-      sendOutcome(from, ask.ticket(), CallRecord.ofState(ask.key(), CallState.FORGOTTEN));
+      sendOutcome(from, query.ticket(), CallRecord.ofState(query.key(), CallState.FORGOTTEN));
     } else if (record.state() == CallState.RUNNING) {
-      record.addListener(endedRecord -> sendOutcome(from, ask.ticket(), endedRecord));
+      record.addListener(endedRecord -> sendOutcome(from, query.ticket(), endedRecord));
     } else {
-      sendOutcome(from, ask.ticket(), record);
+      sendOutcome(from, query.ticket(), record);
     }
   }
 
@@ -309,21 +309,21 @@
     context.emit(new Action.SendPeer(to, record.toOutcomeAnswer(ticket)));
   }
 
-  private void handleOutcomeAnswer(PeerMessage.OutcomeAnswer answer) {
-    OutcomeQuery query = queries.remove(answer.ticket());
+  private void handleOutcomeAnswer(PeerMessage.OutcomeAnswer outcome) {
+    OutcomeQuery query = queries.remove(outcome.ticket());
     if (query == null) {
       return;
     }
     query.timer().cancel();
     CallRequest request = query.request();
     CallRecord record = records.get(request.key());
-    if (answer.state() == CallState.NOT_SENT && record != null) {
+    if (outcome.state() == CallState.NOT_SENT && record != null) {
       claim(request, record, Optional.of(query.currentValue()), record.claimReplacements() + 1);
-    } else if (answer.state() == CallState.ANSWERED) {
+    } else if (outcome.state() == CallState.ANSWERED) {
       records.remove(request.key());
-      request.listener().onResponse(answer.status(), answer.body());
+      request.listener().onResponse(outcome.status(), outcome.body());
       if (record != null) {
-        record.complete(answer.status(), answer.body());
+        record.complete(outcome.status(), outcome.body());
       }
     } else {
       failClaimedElsewhere(
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
@@ -97,12 +97,12 @@
     }
   }
 
-  void handleClaimAsk(HostId from, PeerMessage.ClaimAsk ask) {
+  void handleClaimAsk(HostId from, PeerMessage.ClaimAsk request) {
     writer.claim(
-        TableWrite.insert(ask.key(), ask.value()),
+        TableWrite.insert(request.key(), request.value()),
         present ->
             context.emit(
-                new Action.SendPeer(from, new PeerMessage.ClaimResult(ask.ticket(), present))));
+                new Action.SendPeer(from, new PeerMessage.ClaimResult(request.ticket(), present))));
   }
 
   void handleClaimResult(PeerMessage.ClaimResult result) {
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
@@ -95,8 +95,8 @@
 
   /** Accumulates unused transactions up to the burst limit, so that a lone claim is not delayed. */
   private void refillAllowance() {
-    double earned = (double) (context.now() - refilledAt) / intervalMillis.getAsInt();
-    allowance = Math.min(MAX_BURST_TRANSACTIONS, allowance + earned);
+    double accrued = (double) (context.now() - refilledAt) / intervalMillis.getAsInt();
+    allowance = Math.min(MAX_BURST_TRANSACTIONS, allowance + accrued);
     refilledAt = context.now();
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -94,13 +94,14 @@
 
     private List<TableWrite> writes(TableEdit edit) {
       String encodedEdit = TableEditCodec.encode(edit);
-      String next = Long.toString(edit.revision());
-      long before = edit.revision() - 1;
+      String nextRevision = Long.toString(edit.revision());
+      long previousRevision = edit.revision() - 1;
       return List.of(
-          before == 0
-              ? TableWrite.insert(TableKeys.REVISION, next)
-              : TableWrite.replace(TableKeys.REVISION, Long.toString(before), next),
-          TableWrite.insert(TableKeys.edit(request.editId()), next),
+          previousRevision == 0
+              ? TableWrite.insert(TableKeys.REVISION, nextRevision)
+              : TableWrite.replace(
+                  TableKeys.REVISION, Long.toString(previousRevision), nextRevision),
+          TableWrite.insert(TableKeys.edit(request.editId()), nextRevision),
           TableWrite.insert(TableKeys.history(edit.revision()), encodedEdit),
           table
               .latestEdit(change().key())
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -253,16 +253,16 @@
     Set<TargetId> excluded = new HashSet<>();
     generation.attempts.values().forEach(live -> excluded.add(live.target().description().id()));
     RetryBudget budget = budgets.forService(generation.spec.service());
-    Optional<TargetState> other = chooseForResume(generation, Optional.empty(), excluded);
-    boolean possible = generation.attempts.size() < MAX_LIVE_ATTEMPTS && other.isPresent();
-    if (possible && budget.spend()) {
+    Optional<TargetState> alternative = chooseForResume(generation, Optional.empty(), excluded);
+    boolean canStart = generation.attempts.size() < MAX_LIVE_ATTEMPTS && alternative.isPresent();
+    if (canStart && budget.spend()) {
       long silence = context.now() - attempt.lastActivityAt();
       String detail = attempt.target().description().id() + " silent for " + silence + " ms";
       logEvent(EventCode.ATTEMPT_SUSPECTED, generation, detail);
       generation.resumingSince = attempt.lastActivityAt();
       measure(generation, Measurement.SECOND_ATTEMPTS, 1);
       measure(generation, Measurement.RESENT_TOKENS, generation.length());
-      startAt(generation, other.get());
+      startAt(generation, alternative.get());
     }
     context.schedule(
         attempt.silenceLimitMillis(suspicionPolicy(generation)),
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
@@ -102,9 +102,10 @@
   }
 
   private void retryHolder(Generation generation) {
-    boolean wanted = copyPolicy(generation) != CopyPolicy.NONE && !generation.endDelivered;
-    boolean due = context.now() - generation.copy.holderChosenAt >= HOLDER_RETRY_INTERVAL_MILLIS;
-    if (wanted && due && !members.reachablePeers().isEmpty()) {
+    boolean copyRequired = copyPolicy(generation) != CopyPolicy.NONE && !generation.endDelivered;
+    boolean retryDue =
+        context.now() - generation.copy.holderChosenAt >= HOLDER_RETRY_INTERVAL_MILLIS;
+    if (copyRequired && retryDue && !members.reachablePeers().isEmpty()) {
       openCopy(generation);
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopyStore.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopyStore.java
@@ -138,8 +138,9 @@
     if (!copy.spec.account().equals(account)) {
       return Optional.of(TakeoverRefusal.WRONG_ACCOUNT);
     }
-    boolean same = offset <= copy.tokens.size() && PrefixDigest.of(copy.tokens, offset) == digest;
-    return same ? Optional.empty() : Optional.of(TakeoverRefusal.OTHER_PREFIX);
+    boolean samePrefix =
+        offset <= copy.tokens.size() && PrefixDigest.of(copy.tokens, offset) == digest;
+    return samePrefix ? Optional.empty() : Optional.of(TakeoverRefusal.OTHER_PREFIX);
   }
 
   /**
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -136,10 +136,10 @@
   /** Resumes a generation that this host owns after a caller reconnected to it. */
   void reattach(EventId after, long caller) {
     Generation generation = generations.get(after.request());
-    long former = generation.caller;
-    if (former != Generation.NO_CALLER) {
-      byCaller.remove(former);
-      context.emit(new Action.Disconnect(former));
+    long formerCaller = generation.caller;
+    if (formerCaller != Generation.NO_CALLER) {
+      byCaller.remove(formerCaller);
+      context.emit(new Action.Disconnect(formerCaller));
     }
     generation.seekTo(after.offset(), after.digest());
     generation.endDelivered = false;
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/CoreContext.java
@@ -111,9 +111,9 @@
 
   /** Returns and removes the actions emitted since the last call. */
   public List<Action> takeActions() {
-    List<Action> taken = actions;
+    List<Action> takenActions = actions;
     actions = new ArrayList<>();
-    return taken;
+    return takenActions;
   }
 
   /** Records a value in the statistics by which policies are compared. */
--- a/gatereel-core/src/main/java/org/gatereel/core/internal/SuspensionDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/internal/SuspensionDetector.java
@@ -11,7 +11,7 @@
   /** Above the usual adjustments of the time of day. Shorter suspensions accumulate. */
   static final long MIN_SUSPENSION_MILLIS = 200;
 
-  private long usualOffsetMillis;
+  private long baselineOffsetMillis;
   private boolean started;
 
   /**
@@ -21,16 +21,16 @@
    */
   public long observe(long steadyMillis, long timeOfDayMillis) {
     long offsetMillis = timeOfDayMillis - steadyMillis;
-    long lostMillis = started ? offsetMillis - usualOffsetMillis : 0;
+    long lostMillis = started ? offsetMillis - baselineOffsetMillis : 0;
     if (!started || lostMillis < 0) {
       started = true;
-      usualOffsetMillis = offsetMillis;
+      baselineOffsetMillis = offsetMillis;
       return 0;
     }
     if (lostMillis < MIN_SUSPENSION_MILLIS) {
       return 0;
     }
-    usualOffsetMillis = offsetMillis;
+    baselineOffsetMillis = offsetMillis;
     return lostMillis;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
@@ -60,13 +60,19 @@
   private final long maximum;
   private final String description;
 
-  Column(RowKind rowKind, ColumnType type, String standard, long least, long most, String meaning) {
+  Column(
+      RowKind rowKind,
+      ColumnType type,
+      String defaultValue,
+      long minimum,
+      long maximum,
+      String description) {
     this.rowKind = rowKind;
     this.type = type;
-    this.defaultValue = standard;
-    this.minimum = least;
-    this.maximum = most;
-    this.description = meaning;
+    this.defaultValue = defaultValue;
+    this.minimum = minimum;
+    this.maximum = maximum;
+    this.description = description;
   }
 
   /** Returns the column's name in files and on the command line. */
@@ -97,13 +103,15 @@
    *
    * @throws InvalidEditException if rows of this kind have no such column
    */
-  public static Column of(RowKey row, String word) throws InvalidEditException {
+  public static Column of(RowKey row, String externalName) throws InvalidEditException {
     for (Column column : values()) {
-      if (column.rowKind == row.kind() && column.externalName().equals(word)) {
+      if (column.rowKind == row.kind() && column.externalName().equals(externalName)) {
         return column;
       }
     }
     throw new InvalidEditException(
-        row.toString(), word, "no such column for rows of kind " + row.kind().externalName());
+        row.toString(),
+        externalName,
+        "no such column for rows of kind " + row.kind().externalName());
   }
 }
