--- a/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/admission/Admission.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.event.Measurement;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.internal.TimerQueue;
 import org.gatereel.core.model.AccountId;
@@ -106,13 +106,13 @@
   public Permit submit(PendingRequest request, Row account, Row service) {
     ServiceQueue queue = queues.computeIfAbsent(request.service(), name -> new ServiceQueue());
     Permit permit = new Permit(request, queue);
-    int weight = account.number(Column.ACCOUNT_WEIGHT);
+    int weight = account.intValue(Column.ACCOUNT_WEIGHT);
     int open = accounts.opened(request.account(), weight, context.now());
-    if (open > account.number(Column.CONCURRENT_LIMIT)) {
+    if (open > account.intValue(Column.CONCURRENT_LIMIT)) {
       permit.reject(
           Problem.notRun(
               ProblemType.ACCOUNT_LIMIT,
-              "the limit is " + account.number(Column.CONCURRENT_LIMIT) + " open requests",
+              "the limit is " + account.intValue(Column.CONCURRENT_LIMIT) + " open requests",
               Math.max(MIN_RETRY_AFTER_MILLIS, (long) queue.startIntervalMillis)));
     } else if (queue.waiting.size() > 0 || !start(permit)) {
       enqueue(permit, account, service);
@@ -128,13 +128,13 @@
     context.measure(
         Measurement.QUEUE_MILLIS,
         permit.request.service(),
-        Arm.FIRST,
+        PolicyVariant.FIRST,
         context.now() - permit.submittedAt);
     return true;
   }
 
   private void enqueue(Permit permit, Row account, Row service) {
-    long timeoutMillis = service.number(Column.PATIENCE_MILLIS);
+    long timeoutMillis = service.intValue(Column.PATIENCE_MILLIS);
     long expectedMillis = permit.queue.expectedWaitMillis();
     if (expectedMillis > timeoutMillis) {
       String detail = "the wait would be about " + expectedMillis + " ms";
@@ -143,14 +143,14 @@
               ProblemType.OVERLOADED, Outcome.NOT_RUN, detail, expectedMillis - timeoutMillis));
       return;
     }
-    permit.timeout = context.after(timeoutMillis, () -> permit.timedOut(timeoutMillis));
+    permit.timeout = context.schedule(timeoutMillis, () -> permit.timedOut(timeoutMillis));
     permit.entry =
         permit.queue.waiting.add(
             permit.request.account(),
-            account.number(Column.ACCOUNT_WEIGHT),
+            account.intValue(Column.ACCOUNT_WEIGHT),
             permit.request.cost(),
             permit);
-    context.note(
+    context.logEvent(
         EventCode.REQUEST_QUEUED,
         permit.request.account().value(),
         permit.request.service() + ", waiting: " + permit.queue.waiting.size());
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRecord.java
@@ -8,15 +8,15 @@
 import org.gatereel.core.peer.CallState;
 import org.gatereel.core.peer.PeerMessage;
 
-/** What this host knows of a call that it claimed, or is about to claim. */
+/** The state of a call that this host has claimed or is claiming. */
 final class CallRecord {
   private final String key;
   private final String bodyDigest;
-  private final List<Consumer<CallRecord>> waiters = new ArrayList<>();
+  private final List<Consumer<CallRecord>> listeners = new ArrayList<>();
   private CallState state = CallState.RUNNING;
   private final Set<String> abandoned = new HashSet<>();
   private String claimValue = "";
-  private int swaps;
+  private int claimReplacements;
   private int status;
   private String body = "";
 
@@ -25,8 +25,7 @@
     this.bodyDigest = bodyDigest;
   }
 
-  /** Returns a record of a call that ended before. */
-  static CallRecord ended(String key, CallState state) {
+  static CallRecord ofState(String key, CallState state) {
     CallRecord record = new CallRecord(key, "");
     record.state = state;
     return record;
@@ -52,22 +51,22 @@
     return body;
   }
 
-  /** Returns the value that this host last tried to write for the claim. */
+  /** Returns the value of the latest claim that this host tried to write. */
   String claimValue() {
     return claimValue;
   }
 
-  /** Returns how often this host tried to replace an abandoned claim. */
-  int swaps() {
-    return swaps;
+  /** Returns how often this host has tried to replace an abandoned claim. */
+  int claimReplacements() {
+    return claimReplacements;
   }
 
-  void swaps(int count) {
-    swaps = count;
+  void claimReplacements(int count) {
+    claimReplacements = count;
   }
 
-  /** Remembers that this host will never act on the value it last tried to write. */
-  void abandon() {
+  /** Records that this host will never execute the call under its latest claim value. */
+  void abandonClaim() {
     abandoned.add(claimValue);
   }
 
@@ -75,30 +74,30 @@
     return abandoned.contains(value);
   }
 
-  void claimingWith(String value) {
+  void startClaim(String value) {
     claimValue = value;
     state = CallState.RUNNING;
   }
 
-  /** Has {@code waiter} called when the call has ended. */
-  void whenEnded(Consumer<CallRecord> waiter) {
-    waiters.add(waiter);
+  /** Registers a listener that is called once, when the call ends. */
+  void addListener(Consumer<CallRecord> listener) {
+    listeners.add(listener);
   }
 
-  void answered(int answerStatus, String answerBody) {
-    status = answerStatus;
-    body = answerBody;
-    end(CallState.ANSWERED);
+  void complete(int responseStatus, String responseBody) {
+    status = responseStatus;
+    body = responseBody;
+    finish(CallState.ANSWERED);
   }
 
-  void end(CallState ended) {
-    state = ended;
-    List<Consumer<CallRecord>> told = List.copyOf(waiters);
-    waiters.clear();
-    told.forEach(waiter -> waiter.accept(this));
+  void finish(CallState endState) {
+    state = endState;
+    List<Consumer<CallRecord>> notified = List.copyOf(listeners);
+    listeners.clear();
+    notified.forEach(listener -> listener.accept(this));
   }
 
-  PeerMessage.OutcomeAnswer toAnswer(long ticket) {
+  PeerMessage.OutcomeAnswer toOutcomeAnswer(long ticket) {
     return new PeerMessage.OutcomeAnswer(ticket, state, status, body);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimRouter.java
@@ -16,29 +16,30 @@
 import org.gatereel.core.platform.TableWrite;
 
 /**
- * Brings claims together at a few hosts of the data centre, which write them in groups.
+ * Delegates claims to a few hosts of the data centre, which write them in groups.
  *
- * <p>Which host writes a claim is a matter of cost only: the table decides who has it. So a host
- * that sees other members than its peers, or gets no answer, may write on its own.
+ * <p>The delegation only reduces the number of transactions; the table decides which host gets a
+ * claim. A host that gets no response, or that sees other members than its peers, may therefore
+ * write a claim itself.
  */
 final class ClaimRouter {
-  private static final int WRITERS_IN_DATA_CENTRE = 2;
-  private static final int MILLIS_A_SECOND = 1_000;
+  private static final int WRITERS_PER_DATA_CENTRE = 2;
+  private static final int MILLIS_PER_SECOND = 1_000;
 
-  /** Claims take this share of the store's writing calls; the rest is left to edits and repeats. */
-  private static final double SHARE_OF_WRITES = 0.7;
+  /** The part of the store's write rate that claims use; the rest is for edits and retries. */
+  private static final double CLAIM_WRITES_RATIO = 0.7;
 
-  private static final long PEER_MILLIS = 400;
-  private static final String WRITERS = "claim-writers";
+  private static final long PEER_TIMEOUT_MILLIS = 400;
+  private static final String WRITER_RANKING_KEY = "claim-writers";
 
   private final CoreContext context;
   private final Membership members;
   private final PlatformPort platform;
   private final ClaimWriter writer;
-  private final Map<Long, Asked> asked = new HashMap<>();
+  private final Map<Long, DelegatedClaim> delegated = new HashMap<>();
 
-  /** A claim that a peer is to write. */
-  private record Asked(
+  /** A claim that a peer was asked to write. */
+  private record DelegatedClaim(
       HostId peer, TableWrite write, Consumer<Optional<String>> done, TimerQueue.Timer timer) {}
 
   ClaimRouter(CoreContext context, Membership members, PlatformPort platform) {
@@ -48,65 +49,64 @@
     this.writer = new ClaimWriter(context, platform, this::intervalMillis);
   }
 
-  /** Returns how long a writer waits between two transactions, so that all keep within the rate. */
+  /** Returns the interval between transactions that keeps all writers together within the rate. */
   private int intervalMillis() {
-    int writers = WRITERS_IN_DATA_CENTRE * members.dataCentres();
-    double perSecond = SHARE_OF_WRITES * platform.limits().writesPerSecond();
-    return Math.max(1, (int) Math.ceil(MILLIS_A_SECOND * writers / perSecond));
+    int writers = WRITERS_PER_DATA_CENTRE * members.dataCentreCount();
+    double perSecond = CLAIM_WRITES_RATIO * platform.limits().writesPerSecond();
+    return Math.max(1, (int) Math.ceil(MILLIS_PER_SECOND * writers / perSecond));
   }
 
-  /** Claims a row; {@code done} gets the value in force, or empty if nothing is known. */
+  /** Claims a row; {@code done} receives the row's value, or empty if it is unknown. */
   void claim(TableWrite write, Consumer<Optional<String>> done) {
-    HostId home = home(write.key());
-    if (home.equals(context.self()) || write.expected().isPresent()) {
+    HostId assignedWriter = writerFor(write.key());
+    if (assignedWriter.equals(context.self()) || write.expected().isPresent()) {
       writer.claim(write, done);
       return;
     }
     long ticket = context.nextTicket();
-    TimerQueue.Timer timer = context.after(PEER_MILLIS, () -> writeHere(ticket));
-    asked.put(ticket, new Asked(home, write, done, timer));
+    TimerQueue.Timer timer = context.schedule(PEER_TIMEOUT_MILLIS, () -> writeLocally(ticket));
+    delegated.put(ticket, new DelegatedClaim(assignedWriter, write, done, timer));
     context.emit(
-        new Action.SendPeer(home, new PeerMessage.ClaimAsk(ticket, write.key(), write.value())));
+        new Action.SendPeer(
+            assignedWriter, new PeerMessage.ClaimAsk(ticket, write.key(), write.value())));
   }
 
-  private HostId home(String key) {
-    List<HostId> here = members.answeringIn(context.dataCentre());
+  private HostId writerFor(String key) {
+    List<HostId> localHosts = members.respondingHosts(context.dataCentre());
     List<HostId> writers =
-        Rendezvous.rank(WRITERS, here, HostId::value).stream()
-            .limit(WRITERS_IN_DATA_CENTRE)
+        Rendezvous.rank(WRITER_RANKING_KEY, localHosts, HostId::value).stream()
+            .limit(WRITERS_PER_DATA_CENTRE)
             .toList();
     return Rendezvous.rank(key, writers, HostId::value).get(0);
   }
 
-  private void writeHere(long ticket) {
-    Asked claim = asked.remove(ticket);
+  private void writeLocally(long ticket) {
+    DelegatedClaim claim = delegated.remove(ticket);
     if (claim != null) {
       claim.timer().cancel();
       writer.claim(claim.write(), claim.done());
     }
   }
 
-  /** Writes the claims on this host that a lost peer was to write. */
-  void peerUnreachable(HostId peer) {
-    for (Map.Entry<Long, Asked> entry : List.copyOf(asked.entrySet())) {
+  /** Writes the claims that were delegated to an unreachable peer on this host. */
+  void handlePeerUnreachable(HostId peer) {
+    for (Map.Entry<Long, DelegatedClaim> entry : List.copyOf(delegated.entrySet())) {
       if (entry.getValue().peer().equals(peer)) {
-        writeHere(entry.getKey());
+        writeLocally(entry.getKey());
       }
     }
   }
 
-  /** Writes a claim for a peer. */
-  void asked(HostId from, PeerMessage.ClaimAsk ask) {
+  void handleClaimAsk(HostId from, PeerMessage.ClaimAsk request) {
     writer.claim(
-        TableWrite.insert(ask.key(), ask.value()),
+        TableWrite.insert(request.key(), request.value()),
         present ->
             context.emit(
-                new Action.SendPeer(from, new PeerMessage.ClaimResult(ask.ticket(), present))));
+                new Action.SendPeer(from, new PeerMessage.ClaimResult(request.ticket(), present))));
   }
 
-  /** Takes in what a peer says of a claim. */
-  void answered(PeerMessage.ClaimResult result) {
-    Asked claim = asked.remove(result.ticket());
+  void handleClaimResult(PeerMessage.ClaimResult result) {
+    DelegatedClaim claim = delegated.remove(result.ticket());
     if (claim != null) {
       claim.timer().cancel();
       claim.done().accept(result.present());
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Arm.java
+++ /dev/null
@@ -1,7 +0,0 @@
-package org.gatereel.core.event;
-
-/** Which of a service's two policies a request is served under. */
-public enum Arm {
-  FIRST,
-  SECOND
-}
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -39,7 +39,7 @@
 
   private void apply(OverloadDecision verdict) {
     if (verdict instanceof OverloadDecision.Wait wait) {
-      timer = forwarder.context().after(wait.retryMillis(), this::recheck);
+      timer = forwarder.context().schedule(wait.retryMillis(), this::recheck);
       return;
     }
     end();
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AnnouncementReceiver.java
@@ -93,7 +93,7 @@
   private void logContradiction(TargetId target) {
     if (context.now() - contradictionLoggedAt >= LOG_INTERVAL_MILLIS) {
       contradictionLoggedAt = context.now();
-      context.note(EventCode.LEAVING_CONTRADICTED, target.toString(), "");
+      context.logEvent(EventCode.LEAVING_CONTRADICTED, target.toString(), "");
     }
   }
 
@@ -101,7 +101,7 @@
     boolean loggedRecently = context.now() - unreadableLoggedAt < LOG_INTERVAL_MILLIS;
     if (announcement.unreadable().isPresent() && !loggedRecently) {
       unreadableLoggedAt = context.now();
-      context.note(
+      context.logEvent(
           EventCode.STATEMENT_UNREADABLE,
           target.toString(),
           "kind=" + kind + " text=" + announcement.unreadable().get());
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
@@ -55,7 +55,7 @@
 
   /** Returns the time since the last confirmation, in milliseconds. */
   public long ageMillis() {
-    return context.knowledgeTime() - confirmedAt;
+    return context.nowIncludingSuspensions() - confirmedAt;
   }
 
   /**
@@ -64,7 +64,7 @@
    */
   public void update(Configuration configuration, long queriedAt) {
     if (configuration.version() < version()) {
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_IGNORED,
           Long.toString(configuration.version()),
           "known=" + version());
@@ -72,10 +72,10 @@
     }
     if (configuration.version() > version()) {
       current = Optional.of(configuration);
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_IN_FORCE,
           Long.toString(configuration.version()),
-          "ageMillis=" + (context.knowledgeTime() - queriedAt));
+          "ageMillis=" + (context.nowIncludingSuspensions() - queriedAt));
     }
     confirm(configuration.version(), queriedAt);
   }
@@ -91,7 +91,7 @@
     confirmedAt = Math.max(confirmedAt, queriedAt);
     if (staleReported && acceptsKeys()) {
       staleReported = false;
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_PROVED, Long.toString(version), "ageMillis=" + ageMillis());
     }
   }
@@ -144,7 +144,7 @@
   private void reportStale() {
     if (!staleReported) {
       staleReported = true;
-      context.note(
+      context.logEvent(
           EventCode.CONFIGURATION_STALE, Long.toString(version()), "ageMillis=" + ageMillis());
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -111,7 +111,7 @@
     private void avoidReader() {
       Address avoided = reader.orElseThrow();
       directory.avoid(avoided, context.now() + READER_AVOIDANCE_MILLIS);
-      context.note(
+      context.logEvent(
           EventCode.READER_LOST,
           avoided.toString(),
           readerResponded ? "documents are outdated" : "no response");
@@ -199,7 +199,7 @@
         completion.complete(Optional.of(problem));
         return;
       }
-      long secondQueriedAt = context.knowledgeTime();
+      long secondQueriedAt = context.nowIncludingSuspensions();
       sources.queryPeer(
           otherHost.get(),
           cache,
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ExchangeLog.java
@@ -22,7 +22,7 @@
   /** Logs an event; {@code inputs} are {@code key=value} pairs separated by spaces, or empty. */
   void log(EventCode code, String inputs) {
     String separator = inputs.isEmpty() ? "" : " ";
-    forwarder.context().note(code, request.id(), inputs + separator + exchange.progress());
+    forwarder.context().logEvent(code, request.id(), inputs + separator + exchange.progress());
   }
 
   static String progress(int attempts, OptionalLong lastEvent, long millis, long leftMillis) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -135,7 +135,7 @@
   /** Rejects a request for which no exchange was created. */
   private void reject(ForwardRequest request, CallerPort caller, Rejection rejection) {
     caller.reject(rejection, policy.retryAfterMillis());
-    context.note(
+    context.logEvent(
         EventCode.REQUEST_REFUSED,
         request.id(),
         "reason="
@@ -193,7 +193,7 @@
 
   /** Moves every stream from the target that has received no data since the probe was sent. */
   private void onTargetUnreachable(TargetState target, long probedAt) {
-    context.note(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
+    context.logEvent(EventCode.TARGET_UNREACHABLE, target.description().id().toString(), "");
     targets.recordFailure(target, TargetFailure.TIMEOUT);
     loads.scheduleReports();
     for (Exchange exchange : List.copyOf(exchanges)) {
@@ -227,7 +227,8 @@
 
   private int issueRetries(ServiceName service, int count) {
     int granted = budgets.issue(service, count);
-    context.note(EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + granted);
+    context.logEvent(
+        EventCode.REPEATS_LENT, service.value(), "asked=" + count + " lent=" + granted);
     return granted;
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/HostDirectory.java
@@ -139,7 +139,8 @@
   private void logChange(int previousCount, List<Entry> ranked) {
     String first = firstOf(ranked);
     if (liveEntries.size() != previousCount || !first.equals(firstOf(localReaders))) {
-      context.note(EventCode.HOSTS_KNOWN, self, "hosts=" + liveEntries.size() + " reader=" + first);
+      context.logEvent(
+          EventCode.HOSTS_KNOWN, self, "hosts=" + liveEntries.size() + " reader=" + first);
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -152,7 +152,7 @@
     OptionalLong millisToAny = search.millisToFirstBackoffEnd(true);
     if (millisToUsable.isPresent()
         && forwarder.context().now() + millisToUsable.getAsLong() <= waitUntil) {
-      forwarder.context().after(millisToUsable.getAsLong(), this::chooseUnlessFinished);
+      forwarder.context().schedule(millisToUsable.getAsLong(), this::chooseUnlessFinished);
     } else if (millisToAny.isPresent()) {
       long retryAfterMillis =
           forwarder.overload().drawRetryAfterRestMillis(millisToAny.getAsLong());
@@ -173,7 +173,7 @@
         Math.min(
             remainingMillis,
             Math.min(TOKEN_RETRY_DELAY_MILLIS, Math.max(1, maxWaitMillis() / MIN_TOKEN_RETRIES)));
-    forwarder.context().after(delayMillis, this::chooseUnlessFinished);
+    forwarder.context().schedule(delayMillis, this::chooseUnlessFinished);
   }
 
   private void reject(long retryAfterMillis, String inputs) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -72,9 +72,9 @@
     long queriedAt = context.now();
     queryCount++;
     long number = queryCount;
-    context.after(
+    context.schedule(
         QUERY_TIMEOUT_MILLIS, () -> complete(number, queriedAt, Optional.of("no response")));
-    query.send(context.knowledgeTime(), problem -> complete(number, queriedAt, problem));
+    query.send(context.nowIncludingSuspensions(), problem -> complete(number, queriedAt, problem));
   }
 
   private void complete(long number, long queriedAt, Optional<String> problem) {
@@ -89,18 +89,18 @@
     retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
     if (unavailable) {
       unavailable = false;
-      context.note(EventCode.PLATFORM_REACHED, dependency, "");
+      context.logEvent(EventCode.PLATFORM_REACHED, dependency, "");
     }
-    context.after(
+    context.schedule(
         Math.max(0, queriedAt + intervalMillis.getAsLong() - context.now()), this::sendQuery);
   }
 
   private void onFailure(String problem) {
     if (!unavailable) {
       unavailable = true;
-      context.note(EventCode.PLATFORM_LOST, dependency, problem);
+      context.logEvent(EventCode.PLATFORM_LOST, dependency, problem);
     }
-    context.after(retryDelayMillis, this::sendQuery);
+    context.schedule(retryDelayMillis, this::sendQuery);
     retryDelayMillis = Math.min(intervalMillis.getAsLong(), retryDelayMillis * 2);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ResponseEndCheck.java
@@ -106,7 +106,7 @@
       return;
     }
     long delayMillis = Math.max(0, nextAt - forwarder.context().now());
-    forwarder.context().after(delayMillis, () -> probe(from, number + 1));
+    forwarder.context().schedule(delayMillis, () -> probe(from, number + 1));
   }
 
   private void apply(Attempt from, ResponseEndVerdict verdict) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StallDetector.java
@@ -45,7 +45,7 @@
   }
 
   private void schedule(Attempt attempt, long millis) {
-    timer = forwarder.context().after(millis, () -> check(attempt));
+    timer = forwarder.context().schedule(millis, () -> check(attempt));
   }
 
   private void check(Attempt attempt) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/StreamRelay.java
@@ -107,7 +107,7 @@
   }
 
   private void logMisplaced(Attempt from, StreamEvent event) {
-    context.note(
+    context.logEvent(
         EventCode.EVENT_MISPLACED,
         request.id(),
         "target="
@@ -150,7 +150,7 @@
     if (route.gapObjectiveMillis() <= 0 || pauseMillis <= route.gapObjectiveMillis()) {
       return;
     }
-    context.note(
+    context.logEvent(
         EventCode.STREAM_PAUSED,
         request.id(),
         "pauseMillis="
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetExitDetector.java
@@ -58,7 +58,7 @@
     private void onProbeResult(int number, long nextAt, ProbeResult result) {
       boolean unknown = result == ProbeResult.UNKNOWN || result == ProbeResult.ANSWERED;
       if (unknown && number < MAX_PROBE_RETRIES) {
-        context.after(Math.max(0, nextAt - context.now()), () -> probe(number + 1));
+        context.schedule(Math.max(0, nextAt - context.now()), () -> probe(number + 1));
       } else {
         pendingChecks.remove(id());
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Attempt.java
@@ -2,19 +2,19 @@
 
 import org.gatereel.core.target.TargetState;
 
-/** One engine's try at a generation, from the tokens that were accepted when it began. */
+/** One attempt of an engine to continue a generation from the tokens accepted at its start. */
 final class Attempt {
   private final int number;
   private final TargetState target;
   private final long startedAt;
-  private long lastSign;
-  private boolean brought;
+  private long lastActivityAt;
+  private boolean tokenReceived;
 
   Attempt(int number, TargetState target, long startedAt) {
     this.number = number;
     this.target = target;
     this.startedAt = startedAt;
-    this.lastSign = startedAt;
+    this.lastActivityAt = startedAt;
   }
 
   int number() {
@@ -29,29 +29,28 @@
     return startedAt;
   }
 
-  long lastSign() {
-    return lastSign;
+  long lastActivityAt() {
+    return lastActivityAt;
   }
 
-  boolean hasBroughtToken() {
-    return brought;
+  boolean hasReceivedToken() {
+    return tokenReceived;
   }
 
-  /** Notes a token; returns the gap since the one before, or -1 for the first. */
-  long tokenAt(long now) {
-    long gap = brought ? now - lastSign : -1;
-    lastSign = now;
-    brought = true;
+  /** Returns the milliseconds since the previous token, or -1 for the first. */
+  long recordToken(long now) {
+    long gap = tokenReceived ? now - lastActivityAt : -1;
+    lastActivityAt = now;
+    tokenReceived = true;
     return gap;
   }
 
-  /** Takes the silence up to now as not proved, because this host itself was paused. */
-  void forgiveSilence(long now) {
-    lastSign = now;
+  /** Restarts the measured silence, because a pause of this host may have caused it. */
+  void resetSilence(long now) {
+    lastActivityAt = now;
   }
 
-  /** Returns how long the target may be silent at this stage. */
-  long patience(SuspicionPolicy policy) {
-    return brought ? policy.silenceMillis(target.tokenGaps()) : policy.firstTokenMillis();
+  long silenceLimitMillis(SuspicionPolicy policy) {
+    return tokenReceived ? policy.silenceMillis(target.tokenGaps()) : policy.firstTokenMillis();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/Generation.java
@@ -6,63 +6,66 @@
 import java.util.Map;
 import java.util.Optional;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.event.Arm;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.TimerQueue;
 import org.gatereel.core.model.GenerationSpec;
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetId;
 
 /**
- * A generation as its owner has it.
+ * The state of a generation at its owner.
  *
- * <p>Invariants: released ≤ held ≤ accepted, unless there is no copy; only live attempts may add
- * the next token; the first attempt to do so is the only one left.
+ * <p>Invariants: released ≤ held ≤ accepted, unless there is no copy. Only live attempts append
+ * tokens. The first attempt that appends the next token is the only one that stays live.
  */
 final class Generation {
   static final long NO_CALLER = 0;
 
   final GenerationSpec spec;
-  final Arm arm;
+  final PolicyVariant variant;
   final Map<Integer, Attempt> attempts = new LinkedHashMap<>();
   final Copy copy = new Copy();
   int epoch;
   long caller;
-  boolean opened;
+  boolean streamOpened;
   long resumingSince;
-  long interruptedAt;
+  long noTargetSince;
   final long requestedAt;
-  TimerQueue.Timer retry;
-  TimerQueue.Timer end;
+  TimerQueue.Timer retryTimer;
+  TimerQueue.Timer expiryTimer;
   Admission.Permit permit;
-  boolean delivered;
+  boolean endDelivered;
 
   private final List<String> tokens;
   private int lastAttempt;
   private TargetId lastTarget;
   private boolean finished;
-  private int released;
+  private int releasedLength;
   private long releasedDigest;
 
-  /** What the owner knows of the copy at the holder. */
+  /** The state of the copy as the owner knows it. */
   static final class Copy {
     Optional<HostId> holder = Optional.empty();
-    boolean settled;
-    int held;
+
+    /** Whether the holder acknowledged the copy, or the generation continues without a holder. */
+    boolean ready;
+
+    int heldLength;
     boolean heldFinished;
-    int tries;
-    boolean outstanding;
-    int sentUpTo;
+    int unacknowledgedSends;
+    boolean awaitingAcknowledgement;
+    int sentLength;
     boolean sentFinished;
-    long lastTriedAt;
+    long holderChosenAt;
     TimerQueue.Timer timer;
 
-    void clear() {
+    void reset() {
       holder = Optional.empty();
-      settled = false;
-      held = 0;
+      ready = false;
+      heldLength = 0;
       heldFinished = false;
-      outstanding = false;
-      tries = 0;
+      awaitingAcknowledgement = false;
+      unacknowledgedSends = 0;
       stopTimer();
     }
 
@@ -75,15 +78,20 @@
   }
 
   Generation(
-      GenerationSpec spec, Arm arm, int epoch, List<String> tokens, boolean finished, long now) {
+      GenerationSpec spec,
+      PolicyVariant variant,
+      int epoch,
+      List<String> tokens,
+      boolean finished,
+      long now) {
     this.spec = spec;
-    this.arm = arm;
+    this.variant = variant;
     this.epoch = epoch;
     this.tokens = new ArrayList<>(tokens);
     this.finished = finished;
     this.requestedAt = now;
     this.releasedDigest = PrefixDigest.EMPTY;
-    // An owner after the first numbers its attempts apart from those of the owners before it.
+    // Attempt numbers of successive owners must not overlap.
     this.lastAttempt = epoch * ATTEMPTS_PER_EPOCH;
   }
 
@@ -114,7 +122,7 @@
     return ++lastAttempt;
   }
 
-  void workedAt(TargetId target) {
+  void setLastTarget(TargetId target) {
     lastTarget = target;
   }
 
@@ -122,47 +130,47 @@
     return Optional.ofNullable(lastTarget);
   }
 
-  int released() {
-    return released;
+  int releasedLength() {
+    return releasedLength;
   }
 
   /** Releases the next token and returns it. */
   String releaseNext() {
-    String token = tokens.get(released);
-    released++;
+    String token = tokens.get(releasedLength);
+    releasedLength++;
     releasedDigest = PrefixDigest.extend(releasedDigest, token);
     return token;
   }
 
-  /** Goes back or on to an offset that a caller named; returns whether the prefix is the same. */
-  boolean rewindTo(int offset, long digest) {
-    if (!matches(offset, digest)) {
+  /** Sets the released length to {@code offset} if the digest matches; returns whether it did. */
+  boolean seekTo(int offset, long digest) {
+    if (!hasPrefix(offset, digest)) {
       return false;
     }
-    released = offset;
+    releasedLength = offset;
     releasedDigest = digest;
     return true;
   }
 
-  boolean matches(int offset, long digest) {
+  boolean hasPrefix(int offset, long digest) {
     return offset <= tokens.size() && PrefixDigest.of(tokens, offset) == digest;
   }
 
-  /** Returns how many tokens may be given to the caller. */
+  /** Returns the number of tokens that may be sent to the caller. */
   int releasable() {
-    if (!copy.settled) {
-      return released;
+    if (!copy.ready) {
+      return releasedLength;
     }
-    return copy.holder.isPresent() ? copy.held : tokens.size();
+    return copy.holder.isPresent() ? copy.heldLength : tokens.size();
   }
 
-  /** Returns whether the end may be told: it must be held as the tokens are. */
+  /** Returns whether the end may be sent to the caller: all tokens and the end are held. */
   boolean isEndReleasable() {
     boolean held = copy.holder.isEmpty() || copy.heldFinished;
-    return finished && copy.settled && held && released == tokens.size();
+    return finished && copy.ready && held && releasedLength == tokens.size();
   }
 
-  /** Returns the id of the event that brings the caller to the present offset. */
+  /** Returns the id of the event at the released length. */
   EventId eventId(HostId owner) {
     return new EventId(
         spec.request(),
@@ -171,7 +179,7 @@
         lastTarget().orElse(new TargetId("none")),
         lastAttempt,
         epoch,
-        released,
+        releasedLength,
         releasedDigest);
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.member.Membership;
 import org.gatereel.core.model.AccountId;
@@ -20,97 +20,97 @@
 import org.gatereel.core.model.ProblemType;
 import org.gatereel.core.model.RequestId;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.table.Row;
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
 /**
- * The generations that this host owns: it accepts tokens from engines, has them copied, and
- * releases them to the caller.
+ * The generations that this host owns. Accepts tokens from engines, copies them to a holder, and
+ * releases them to the caller once they are held.
  */
 public final class GenerationOwner {
-  private static final long LINGER_MILLIS = 30_000;
-  private static final long WITHOUT_CALLER_MILLIS = 30_000;
-  private static final long KEEP_WITHOUT_CALLER_MILLIS = 150_000;
-  private static final long INTERRUPTED_RETRY_MILLIS = 2_000;
+  private static final long DELIVERED_EXPIRY_TIMEOUT_MILLIS = 30_000;
+  private static final long CALLER_RETURN_TIMEOUT_MILLIS = 30_000;
+  private static final long SUSPENDED_EXPIRY_TIMEOUT_MILLIS = 150_000;
+  private static final long INTERRUPTED_RETRY_DELAY_MILLIS = 2_000;
 
   private final CoreContext context;
   private final Map<RequestId, Generation> generations = new HashMap<>();
   private final Map<Long, Generation> byCaller = new HashMap<>();
   private final AttemptRunner attempts;
-  private final CopyLink copies;
-  private final Runnable targetFreed;
+  private final CopySender copies;
+  private final Runnable onTargetFreed;
 
   public GenerationOwner(
       CoreContext context,
       PolicyTable table,
       TargetRegistry targets,
       Membership members,
-      ServiceBudgets budgets,
+      RetryBudgets budgets,
       Runnable targetFreed) {
     this.context = context;
-    this.targetFreed = targetFreed;
-    this.copies = new CopyLink(context, table, members, this::release);
+    this.onTargetFreed = targetFreed;
+    this.copies = new CopySender(context, table, members, this::release);
     this.attempts =
         new AttemptRunner(
-            context, table, targets, budgets, this::progressed, this::interrupt, targetFreed);
-    targets.onLeaving(this::moveOff);
-    members.onLost(this::peerLost);
+            context, table, targets, budgets, this::handleProgress, this::interrupt, targetFreed);
+    targets.onLeaving(this::moveAwayFrom);
+    members.onLost(this::handlePeerLost);
   }
 
-  /** Starts a generation at a target that was chosen for it. */
+  /** Starts a new generation at {@code target}. */
   void start(
       GenerationSpec spec,
-      Arm arm,
+      PolicyVariant variant,
       long caller,
-      long askedAt,
+      long requestedAt,
       Admission.Permit permit,
       TargetState target) {
-    Generation generation = new Generation(spec, arm, 1, List.of(), false, askedAt);
+    Generation generation = new Generation(spec, variant, 1, List.of(), false, requestedAt);
     generation.permit = permit;
     generations.put(spec.request(), generation);
     attach(generation, caller);
-    context.note(EventCode.GENERATION_ACCEPTED, spec.request().value(), spec.account().value());
-    copies.open(generation);
+    context.logEvent(EventCode.GENERATION_ACCEPTED, spec.request().value(), spec.account().value());
+    copies.openCopy(generation);
     attempts.startAt(generation, target);
   }
 
-  /** Becomes the owner of a generation that another host had. */
+  /** Becomes the owner of a generation that another host owned. */
   void adopt(
-      CopyKeeper.Handover handover,
+      CopyStore.Handover handover,
       Optional<HostId> holder,
       Row service,
       long caller,
       EventId after) {
     Generation stale = generations.get(handover.spec().request());
     if (stale != null) {
-      letGo(stale);
+      fence(stale);
     }
     Generation generation =
         new Generation(
             handover.spec(),
-            Placements.arm(service, handover.spec().request()),
+            RequestPlacement.variant(service, handover.spec().request()),
             handover.epoch(),
             handover.tokens(),
             handover.finished(),
             context.now());
-    generation.rewindTo(after.offset(), after.digest());
-    generation.opened = true;
+    generation.seekTo(after.offset(), after.digest());
+    generation.streamOpened = true;
     generation.resumingSince = context.now();
     generations.put(handover.spec().request(), generation);
     attach(generation, caller);
-    context.note(
+    context.logEvent(
         EventCode.TAKEOVER_DONE,
         handover.spec().request().value(),
         "epoch " + handover.epoch() + ", " + generation.length() + " tokens");
-    generation.workedAt(after.target());
-    openAgain(generation);
+    generation.setLastTarget(after.target());
+    openStream(generation);
     if (holder.isPresent()) {
       copies.adopt(generation, holder.get());
     } else {
-      copies.open(generation);
+      copies.openCopy(generation);
     }
     if (!generation.isFinished()) {
       attempts.resume(generation, Optional.of(after.target()), Set.of());
@@ -118,54 +118,55 @@
     release(generation);
   }
 
-  /** Returns why a generation cannot be handed over from here; empty if it can. */
-  Optional<TakeOverRefusal> refusal(RequestId request, AccountId account, int offset, long digest) {
+  /** Returns why this host cannot hand over a generation; empty if it can. */
+  Optional<TakeoverRefusal> takeoverRefusal(
+      RequestId request, AccountId account, int offset, long digest) {
     Generation generation = generations.get(request);
     if (generation == null) {
-      return Optional.of(TakeOverRefusal.MISSING);
+      return Optional.of(TakeoverRefusal.MISSING);
     }
     if (!generation.spec.account().equals(account)) {
-      return Optional.of(TakeOverRefusal.WRONG_ACCOUNT);
+      return Optional.of(TakeoverRefusal.WRONG_ACCOUNT);
     }
-    return generation.matches(offset, digest)
+    return generation.hasPrefix(offset, digest)
         ? Optional.empty()
-        : Optional.of(TakeOverRefusal.OTHER_PREFIX);
+        : Optional.of(TakeoverRefusal.OTHER_PREFIX);
   }
 
-  /** Goes on with a generation of this host for a caller who came back to it. */
+  /** Resumes a generation that this host owns after a caller reconnected to it. */
   void reattach(EventId after, long caller) {
     Generation generation = generations.get(after.request());
-    long former = generation.caller;
-    if (former != Generation.NO_CALLER) {
-      byCaller.remove(former);
-      context.emit(new Action.Disconnect(former));
+    long formerCaller = generation.caller;
+    if (formerCaller != Generation.NO_CALLER) {
+      byCaller.remove(formerCaller);
+      context.emit(new Action.Disconnect(formerCaller));
     }
-    generation.rewindTo(after.offset(), after.digest());
-    generation.delivered = false;
-    generation.opened = true;
-    stopEnding(generation);
+    generation.seekTo(after.offset(), after.digest());
+    generation.endDelivered = false;
+    generation.streamOpened = true;
+    cancelExpiry(generation);
     attach(generation, caller);
-    context.note(EventCode.CALLER_RESUMED, after.request().value(), "after " + after.offset());
-    openAgain(generation);
+    context.logEvent(EventCode.CALLER_RESUMED, after.request().value(), "after " + after.offset());
+    openStream(generation);
     boolean idle = generation.attempts.isEmpty() && !generation.isFinished();
     if (idle) {
-      generation.interruptedAt = 0;
+      generation.noTargetSince = 0;
       attempts.resume(generation, generation.lastTarget(), Set.of());
     }
     release(generation);
   }
 
-  private void openAgain(Generation generation) {
+  private void openStream(Generation generation) {
     context.emit(new Action.OpenStream(generation.caller, generation.eventId(context.self())));
   }
 
-  /** Lets go of a generation for another host; what is returned is the only copy left. */
-  CopyKeeper.Handover giveUp(RequestId request) {
+  /** Gives up ownership and returns the state, which is then held nowhere else on this host. */
+  CopyStore.Handover relinquish(RequestId request) {
     Generation generation = generations.get(request);
-    CopyKeeper.Handover handover =
-        new CopyKeeper.Handover(
+    CopyStore.Handover handover =
+        new CopyStore.Handover(
             generation.spec, generation.epoch, generation.tokensFrom(0), generation.isFinished());
-    letGo(generation);
+    fence(generation);
     return handover;
   }
 
@@ -174,59 +175,58 @@
     byCaller.put(caller, generation);
   }
 
-  /** Takes in a token from an engine. */
-  public void token(Event.TokenArrived event) {
-    find(event.request()).ifPresent(generation -> attempts.token(generation, event));
+  public void handleToken(Event.TokenArrived event) {
+    find(event.request()).ifPresent(generation -> attempts.handleToken(generation, event));
   }
 
-  /** Takes in the end of an attempt. */
-  public void finished(Event.AttemptFinished event) {
-    find(event.request()).ifPresent(generation -> attempts.finished(generation, event));
+  public void handleAttemptFinished(Event.AttemptFinished event) {
+    find(event.request()).ifPresent(generation -> attempts.handleFinished(generation, event));
   }
 
-  /** Takes in the failure of an attempt. */
-  public void failed(Event.AttemptFailed event) {
+  public void handleAttemptFailed(Event.AttemptFailed event) {
     find(event.request())
-        .ifPresent(generation -> attempts.failed(generation, event.attempt(), event.failure()));
+        .ifPresent(
+            generation -> attempts.handleFailed(generation, event.attempt(), event.failure()));
   }
 
   private Optional<Generation> find(RequestId request) {
     return Optional.ofNullable(generations.get(request));
   }
 
-  private void progressed(Generation generation) {
-    copies.push(generation);
+  private void handleProgress(Generation generation) {
+    copies.sendPending(generation);
     release(generation);
   }
 
-  /** Gives the caller what may be released. */
+  /** Sends the caller the tokens, and the end, that may be released. */
   private void release(Generation generation) {
-    if (generation.caller == Generation.NO_CALLER || !generation.copy.settled) {
+    if (generation.caller == Generation.NO_CALLER || !generation.copy.ready) {
       return;
     }
-    if (!generation.opened) {
-      generation.opened = true;
-      openAgain(generation);
+    if (!generation.streamOpened) {
+      generation.streamOpened = true;
+      openStream(generation);
     }
-    while (generation.released() < generation.releasable()) {
+    while (generation.releasedLength() < generation.releasable()) {
       String token = generation.releaseNext();
       EventId id = generation.eventId(context.self());
       context.emit(new Action.SendToken(generation.caller, id, token));
     }
-    if (generation.isEndReleasable() && !generation.delivered) {
+    if (generation.isEndReleasable() && !generation.endDelivered) {
       deliverEnd(generation);
     }
   }
 
   private void deliverEnd(Generation generation) {
-    generation.delivered = true;
+    generation.endDelivered = true;
     context.emit(new Action.EndStream(generation.caller, generation.eventId(context.self())));
-    context.note(
+    context.logEvent(
         EventCode.GENERATION_DELIVERED,
         generation.spec.request().value(),
         generation.length() + " tokens");
     detach(generation);
-    generation.end = context.after(LINGER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(DELIVERED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
   private void detach(Generation generation) {
@@ -239,51 +239,54 @@
     if (generation.permit != null) {
       generation.permit.close();
       generation.permit = null;
-      targetFreed.run();
+      onTargetFreed.run();
     }
   }
 
   private void interrupt(Generation generation) {
-    context.note(
+    context.logEvent(
         EventCode.GENERATION_INTERRUPTED,
         generation.spec.request().value(),
         generation.length() + " tokens so far");
     if (generation.caller != Generation.NO_CALLER) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               generation.caller,
               new Problem(
                   ProblemType.NO_TARGET,
                   Outcome.RAN,
-                  "no engine could go on; resume with the last event id",
-                  INTERRUPTED_RETRY_MILLIS)));
+                  "no engine could continue the generation; resume with the last event id",
+                  INTERRUPTED_RETRY_DELAY_MILLIS)));
       detach(generation);
     }
-    generation.end = context.after(KEEP_WITHOUT_CALLER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(SUSPENDED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
-  /** Notes that a caller's connection ended; returns whether it was one of a generation here. */
-  public boolean callerGone(long caller) {
+  /** Detaches a disconnected caller; returns whether it received a generation of this host. */
+  public boolean handleCallerDisconnected(long caller) {
     Generation generation = byCaller.get(caller);
     if (generation == null) {
       return false;
     }
-    context.note(
+    context.logEvent(
         EventCode.CALLER_GONE,
         generation.spec.request().value(),
-        "after " + generation.released() + " tokens");
+        "after " + generation.releasedLength() + " tokens");
     detach(generation);
-    generation.end = context.after(WITHOUT_CALLER_MILLIS, () -> rest(generation));
+    generation.expiryTimer =
+        context.schedule(CALLER_RETURN_TIMEOUT_MILLIS, () -> suspend(generation));
     return true;
   }
 
-  /** Stops working for a caller who stays away, but keeps what there is. */
-  private void rest(Generation generation) {
+  /** Cancels the attempts of a generation without a caller but keeps its tokens. */
+  private void suspend(Generation generation) {
     attempts.cancelAll(generation);
-    generation.end = context.after(KEEP_WITHOUT_CALLER_MILLIS, () -> forget(generation));
+    generation.expiryTimer =
+        context.schedule(SUSPENDED_EXPIRY_TIMEOUT_MILLIS, () -> expire(generation));
   }
 
-  private void forget(Generation generation) {
+  private void expire(Generation generation) {
     copies.drop(generation);
     remove(generation);
   }
@@ -291,21 +294,21 @@
   private void remove(Generation generation) {
     attempts.cancelAll(generation);
     generation.copy.stopTimer();
-    stopEnding(generation);
+    cancelExpiry(generation);
     detach(generation);
     generations.remove(generation.spec.request(), generation);
   }
 
-  private static void stopEnding(Generation generation) {
-    if (generation.end != null) {
-      generation.end.cancel();
-      generation.end = null;
+  private static void cancelExpiry(Generation generation) {
+    if (generation.expiryTimer != null) {
+      generation.expiryTimer.cancel();
+      generation.expiryTimer = null;
     }
   }
 
-  /** Lets go of a generation that has another owner now. */
-  private void letGo(Generation generation) {
-    context.note(
+  /** Removes a generation that has another owner. */
+  private void fence(Generation generation) {
+    context.logEvent(
         EventCode.OWNER_FENCED, generation.spec.request().value(), "was epoch " + generation.epoch);
     if (generation.caller != Generation.NO_CALLER) {
       context.emit(new Action.Disconnect(generation.caller));
@@ -313,43 +316,42 @@
     remove(generation);
   }
 
-  /** Takes in that a generation has another owner, if that owner's epoch is higher. */
-  public void fenced(PeerMessage.CopyFenced message) {
+  /** Gives up a generation if the message has a higher epoch. */
+  public void handleFenced(PeerMessage.CopyFenced message) {
     find(message.request())
         .filter(generation -> message.epoch() > generation.epoch)
-        .ifPresent(this::letGo);
+        .ifPresent(this::fence);
   }
 
-  /** Takes in what a holder holds. */
-  public void held(HostId from, PeerMessage.CopyHeld message) {
-    find(message.request()).ifPresent(generation -> copies.held(from, generation, message));
+  public void handleHeld(HostId from, PeerMessage.CopyHeld message) {
+    find(message.request()).ifPresent(generation -> copies.handleHeld(from, generation, message));
   }
 
-  /** Takes in that a holder has no copy. */
-  public void missing(HostId from, PeerMessage.CopyMissing message) {
+  public void handleMissing(HostId from, PeerMessage.CopyMissing message) {
     find(message.request())
         .filter(generation -> generation.epoch == message.epoch())
-        .ifPresent(generation -> copies.missing(from, generation));
+        .ifPresent(generation -> copies.handleMissing(from, generation));
   }
 
-  private void peerLost(HostId peer) {
+  private void handlePeerLost(HostId peer) {
     for (Generation generation : List.copyOf(generations.values())) {
       if (generation.copy.holder.equals(Optional.of(peer))) {
-        copies.holderLost(generation);
+        copies.replaceHolder(generation);
       }
     }
   }
 
-  private void moveOff(TargetState target) {
-    List.copyOf(generations.values()).forEach(generation -> attempts.moveOff(generation, target));
+  private void moveAwayFrom(TargetState target) {
+    List.copyOf(generations.values())
+        .forEach(generation -> attempts.moveAwayFrom(generation, target));
   }
 
-  /** Returns how many generations have a caller who waits for more. */
-  public int open() {
+  /** Returns the number of generations with a connected caller. */
+  public int openCount() {
     return byCaller.size();
   }
 
-  /** Returns how many generations this host owns, delivered ones that linger included. */
+  /** Returns the number of generations, including delivered ones that have not expired. */
   public int size() {
     return generations.size();
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -7,9 +7,9 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.admission.Admission;
 import org.gatereel.core.admission.PendingRequest;
-import org.gatereel.core.event.Arm;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
+import org.gatereel.core.event.PolicyVariant;
 import org.gatereel.core.internal.CoreContext;
 import org.gatereel.core.model.AccountId;
 import org.gatereel.core.model.GenerationSpec;
@@ -25,18 +25,18 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** Takes in new generations from callers: checks them and has them admitted. */
+/** Checks callers' requests for new generations and passes them to admission control. */
 public final class GenerationService {
-  private static final int LAST_PRIORITY = 9;
-  private static final int OVER_SHARE_BEHIND = 3;
+  private static final int LOWEST_PRIORITY = 9;
+  private static final int OVER_SHARE_PRIORITY_PENALTY = 3;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final TargetRegistry targets;
   private final Admission admission;
   private final GenerationOwner owner;
-  private final ServiceBudgets budgets;
-  private final Map<Long, Application> waiting = new HashMap<>();
+  private final RetryBudgets budgets;
+  private final Map<Long, PendingGeneration> pendingByCaller = new HashMap<>();
 
   public GenerationService(
       CoreContext context,
@@ -44,7 +44,7 @@
       TargetRegistry targets,
       Admission admission,
       GenerationOwner owner,
-      ServiceBudgets budgets) {
+      RetryBudgets budgets) {
     this.context = context;
     this.table = table;
     this.targets = targets;
@@ -53,16 +53,16 @@
     this.budgets = budgets;
   }
 
-  /** A generation that was asked for and has no target yet. */
-  private final class Application implements PendingRequest {
+  /** A requested generation that has no target yet. */
+  private final class PendingGeneration implements PendingRequest {
     private final GenerationSpec spec;
     private final long caller;
-    private final long askedAt = context.now();
+    private final long requestedAt = context.now();
     private Admission.Permit permit;
-    private Optional<TargetState> started = Optional.empty();
-    private Arm arm;
+    private Optional<TargetState> chosenTarget = Optional.empty();
+    private PolicyVariant variant;
 
-    private Application(GenerationSpec spec, long caller) {
+    private PendingGeneration(GenerationSpec spec, long caller) {
       this.spec = spec;
       this.caller = caller;
     }
@@ -88,63 +88,69 @@
       if (service.isEmpty()) {
         return false;
       }
-      arm = Placements.arm(service.get(), spec.request());
+      variant = RequestPlacement.variant(service.get(), spec.request());
       PlacementQuery query =
           new PlacementQuery(
-              Placements.affinityKey(spec.prompt()), Optional.empty(), overShare, context.now());
-      started =
-          targets.choose(spec.service(), Placements.policy(service.get(), arm), query, Set.of());
+              RequestPlacement.affinityKey(spec.prompt()),
+              Optional.empty(),
+              overShare,
+              context.now());
+      chosenTarget =
+          targets.choose(
+              spec.service(),
+              RequestPlacement.placementPolicy(service.get(), variant),
+              query,
+              Set.of());
       if (permit != null) {
-        begin();
+        startIfChosen();
       }
-      return started.isPresent();
+      return chosenTarget.isPresent();
     }
 
-    private void begin() {
-      if (started.isPresent()) {
-        waiting.remove(caller);
-        owner.start(spec, arm, caller, askedAt, permit, started.get());
+    private void startIfChosen() {
+      if (chosenTarget.isPresent()) {
+        pendingByCaller.remove(caller);
+        owner.start(spec, variant, caller, requestedAt, permit, chosenTarget.get());
       }
     }
 
     @Override
     public void reject(Problem problem) {
-      waiting.remove(caller);
-      context.emit(new Action.Refuse(caller, problem));
-      context.note(
+      pendingByCaller.remove(caller);
+      context.emit(new Action.SendProblem(caller, problem));
+      context.logEvent(
           EventCode.REQUEST_REFUSED,
           spec.request().value(),
           problem.type() + " for " + spec.account());
     }
   }
 
-  /** Takes in a request for a generation. */
-  public void requested(Event.GenerationRequested event) {
+  public void handleRequest(Event.GenerationRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     Optional<Row> service =
         table
             .service(event.service())
-            .filter(row -> row.choice(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
+            .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
     if (account.isEmpty()) {
-      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key");
+      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key");
     } else if (service.isEmpty()) {
       refuse(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
-    } else if (event.maximumTokens() > service.get().number(Column.MAXIMUM_TOKENS)) {
-      String most = service.get().text(Column.MAXIMUM_TOKENS);
-      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + most + " at most");
+    } else if (event.maximumTokens() > service.get().intValue(Column.MAXIMUM_TOKENS)) {
+      String maximum = service.get().text(Column.MAXIMUM_TOKENS);
+      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens is greater than " + maximum);
     } else {
-      apply(event, account.get(), service.get());
+      admit(event, account.get(), service.get());
     }
   }
 
   private void refuse(Event.GenerationRequested event, ProblemType type, String detail) {
-    context.emit(new Action.Refuse(event.caller(), Problem.notRun(type, detail)));
-    context.note(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
+    context.emit(new Action.SendProblem(event.caller(), Problem.notRun(type, detail)));
+    context.logEvent(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
   }
 
-  private void apply(Event.GenerationRequested event, Row account, Row service) {
+  private void admit(Event.GenerationRequested event, Row account, Row service) {
     AccountId accountId = new AccountId(account.key().name());
-    int behind = admission.isOverShare(accountId) ? OVER_SHARE_BEHIND : 0;
+    int priorityPenalty = admission.isOverShare(accountId) ? OVER_SHARE_PRIORITY_PENALTY : 0;
     GenerationSpec spec =
         new GenerationSpec(
             new RequestId(Long.toHexString(context.random().nextLong())),
@@ -152,21 +158,21 @@
             event.service(),
             event.prompt(),
             event.maximumTokens(),
-            Math.min(LAST_PRIORITY, account.number(Column.PRIORITY) + behind));
-    Application application = new Application(spec, event.caller());
-    budgets.of(event.service()).recordRequest(service.number(Column.RETRY_PERCENT));
-    waiting.put(event.caller(), application);
-    application.permit = admission.submit(application, account, service);
-    application.begin();
+            Math.min(LOWEST_PRIORITY, account.intValue(Column.PRIORITY) + priorityPenalty));
+    PendingGeneration pending = new PendingGeneration(spec, event.caller());
+    budgets.forService(event.service()).recordRequest(service.intValue(Column.RETRY_PERCENT));
+    pendingByCaller.put(event.caller(), pending);
+    pending.permit = admission.submit(pending, account, service);
+    pending.startIfChosen();
   }
 
-  /** Notes that a caller's connection ended; returns whether its request was waiting here. */
-  public boolean callerGone(long caller) {
-    Application application = waiting.remove(caller);
-    if (application == null) {
+  /** Removes the request of a disconnected caller; returns whether it was pending. */
+  public boolean handleCallerDisconnected(long caller) {
+    PendingGeneration pending = pendingByCaller.remove(caller);
+    if (pending == null) {
       return false;
     }
-    application.permit.close();
+    pending.permit.close();
     return true;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/ServiceBudgets.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/RetryBudgets.java
@@ -5,11 +5,11 @@
 import org.gatereel.core.admission.RetryBudget;
 import org.gatereel.core.model.ServiceName;
 
-/** The retry budget of each service. */
-public final class ServiceBudgets {
+/** The retry budgets, one for each service. */
+public final class RetryBudgets {
   private final Map<ServiceName, RetryBudget> budgets = new HashMap<>();
 
-  public RetryBudget of(ServiceName service) {
+  public RetryBudget forService(ServiceName service) {
     return budgets.computeIfAbsent(service, name -> new RetryBudget());
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -21,27 +21,27 @@
 import org.gatereel.core.model.Problem;
 import org.gatereel.core.model.ProblemType;
 import org.gatereel.core.peer.PeerMessage;
-import org.gatereel.core.peer.TakeOverRefusal;
+import org.gatereel.core.peer.TakeoverRefusal;
 import org.gatereel.core.table.PolicyTable;
 import org.gatereel.core.table.Row;
 
 /**
- * Serves callers who come back, to whichever host.
+ * Resumes generations for callers that reconnect to any host.
  *
- * <p>The event id names the owner and the copy holder. This host looks at what it has itself, then
- * asks the holder, then the owner, then every peer that answers; whoever has the same tokens up to
- * the caller's offset hands the generation over.
+ * <p>The event id names the owner and the copy holder. This host looks for the generation in its
+ * own state, then asks the holder, then the owner, then every responding peer. A host that has the
+ * same tokens up to the caller's offset hands the generation over.
  */
 public final class TakeoverService {
-  private static final long STAGE_MILLIS = 300;
-  private static final long LATE_ANSWER_MILLIS = 1_200;
-  private static final long ASK_AGAIN_MILLIS = 2_000;
+  private static final long STAGE_TIMEOUT_MILLIS = 300;
+  private static final long LATE_RESPONSE_TIMEOUT_MILLIS = 1_200;
+  private static final long RETRY_DELAY_MILLIS = 2_000;
 
   private final CoreContext context;
   private final PolicyTable table;
   private final Membership members;
   private final GenerationOwner owner;
-  private final CopyKeeper copies;
+  private final CopyStore copies;
   private final Map<Long, Search> searches = new HashMap<>();
 
   public TakeoverService(
@@ -49,7 +49,7 @@
       PolicyTable table,
       Membership members,
       GenerationOwner owner,
-      CopyKeeper copies) {
+      CopyStore copies) {
     this.context = context;
     this.table = table;
     this.members = members;
@@ -58,90 +58,95 @@
   }
 
   /**
-   * One caller's search for its generation.
+   * A search for the generation of one caller.
    *
-   * <p>An answer counts whenever it comes while the search goes on: a holder that was slow has
-   * raised the epoch all the same, so that to pass its grant over would lose the generation.
+   * <p>A grant is accepted from any contacted host while the search runs, also after its stage has
+   * timed out: that host has already raised the epoch, and ignoring its grant would lose the
+   * generation.
    */
   private final class Search {
     private final long caller;
     private final AccountId account;
-    private final EventId after;
+    private final EventId lastEventId;
     private final long ticket = context.nextTicket();
     private final Deque<Set<HostId>> stages = new ArrayDeque<>();
-    private final Set<HostId> asked = new HashSet<>();
+    private final Set<HostId> contacted = new HashSet<>();
     private final Set<HostId> pending = new HashSet<>();
-    private final Set<HostId> silent = new HashSet<>();
-    private boolean askedEveryone;
+    private final Set<HostId> unresponsive = new HashSet<>();
+    private boolean allPeersContacted;
     private TimerQueue.Timer timer;
 
-    private Search(long caller, AccountId account, EventId after) {
+    private Search(long caller, AccountId account, EventId lastEventId) {
       this.caller = caller;
       this.account = account;
-      this.after = after;
-      after.holder().ifPresent(holder -> stages.add(Set.of(holder)));
-      stages.add(Set.of(after.owner()));
-      asked.add(context.self());
+      this.lastEventId = lastEventId;
+      lastEventId.holder().ifPresent(holder -> stages.add(Set.of(holder)));
+      stages.add(Set.of(lastEventId.owner()));
+      contacted.add(context.self());
       searches.put(ticket, this);
     }
 
-    private void next() {
-      silent.addAll(pending);
+    private void contactNextStage() {
+      unresponsive.addAll(pending);
       pending.clear();
-      while (pending.isEmpty() && !askedEveryone) {
-        stage().stream().filter(asked::add).forEach(this::ask);
+      while (pending.isEmpty() && !allPeersContacted) {
+        nextStage().stream().filter(contacted::add).forEach(this::sendRequest);
       }
       if (!pending.isEmpty()) {
-        timer = context.after(STAGE_MILLIS, this::next);
-      } else if (silent.isEmpty()) {
+        timer = context.schedule(STAGE_TIMEOUT_MILLIS, this::contactNextStage);
+      } else if (unresponsive.isEmpty()) {
         fail();
       } else {
-        timer = context.after(LATE_ANSWER_MILLIS, this::fail);
+        timer = context.schedule(LATE_RESPONSE_TIMEOUT_MILLIS, this::fail);
       }
     }
 
-    private Set<HostId> stage() {
+    private Set<HostId> nextStage() {
       if (!stages.isEmpty()) {
         return stages.poll();
       }
-      askedEveryone = true;
-      Set<HostId> everyone = new LinkedHashSet<>();
-      members.known().stream()
+      allPeersContacted = true;
+      Set<HostId> peers = new LinkedHashSet<>();
+      members.knownPeers().stream()
           .map(peer -> peer.id())
-          .filter(members::isAnswering)
-          .forEach(everyone::add);
-      return everyone;
+          .filter(members::isResponding)
+          .forEach(peers::add);
+      return peers;
     }
 
-    private void ask(HostId host) {
+    private void sendRequest(HostId host) {
       pending.add(host);
       context.emit(
           new Action.SendPeer(
               host,
               new PeerMessage.TakeOver(
-                  ticket, after.request(), account, after.offset(), after.digest())));
+                  ticket,
+                  lastEventId.request(),
+                  account,
+                  lastEventId.offset(),
+                  lastEventId.digest())));
     }
 
-    private void refusedBy(HostId host, TakeOverRefusal reason) {
-      silent.remove(host);
-      if (reason == TakeOverRefusal.WRONG_ACCOUNT) {
+    private void handleRefused(HostId host, TakeoverRefusal reason) {
+      unresponsive.remove(host);
+      if (reason == TakeoverRefusal.WRONG_ACCOUNT) {
         stop();
-        refuseAccount(caller, after);
+        refuseWrongAccount(caller, lastEventId);
       } else if (pending.remove(host) && pending.isEmpty()) {
         timer.cancel();
-        next();
+        contactNextStage();
       }
     }
 
-    private void unreachable(HostId host, boolean processGone) {
+    private void handleUnreachable(HostId host, boolean processGone) {
       if (pending.remove(host)) {
-        // A process that has ended took its memory along: there is nothing to wait for.
+        // A process that has ended has lost its copies, so no late response can follow.
         if (!processGone) {
-          silent.add(host);
+          unresponsive.add(host);
         }
         if (pending.isEmpty()) {
           timer.cancel();
-          next();
+          contactNextStage();
         }
       }
     }
@@ -155,122 +160,131 @@
 
     private void fail() {
       stop();
-      context.note(
-          EventCode.TAKEOVER_FAILED, after.request().value(), "not answering: " + silent.size());
-      long retry = silent.isEmpty() ? 0 : ASK_AGAIN_MILLIS;
+      context.logEvent(
+          EventCode.TAKEOVER_FAILED,
+          lastEventId.request().value(),
+          "unresponsive hosts: " + unresponsive.size());
+      long retry = unresponsive.isEmpty() ? 0 : RETRY_DELAY_MILLIS;
       String detail =
-          "after offset " + after.offset() + "; hosts that did not answer: " + silent.size();
+          "after offset " + lastEventId.offset() + "; unresponsive hosts: " + unresponsive.size();
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               caller, new Problem(ProblemType.GENERATION_LOST, Outcome.RAN, detail, retry)));
     }
   }
 
-  /** Takes in a caller who comes back. */
-  public void resumeRequested(Event.ResumeRequested event) {
+  /** Resumes a generation of this host, or searches for it at other hosts. */
+  public void handleResume(Event.ResumeRequested event) {
     Optional<Row> account = table.accountWithCredential(event.credential());
     if (account.isEmpty()) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               event.caller(),
-              Problem.notRun(ProblemType.UNKNOWN_ACCOUNT, "no account has this key")));
+              Problem.notRun(
+                  ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key")));
       return;
     }
     AccountId accountId = new AccountId(account.get().key().name());
-    EventId after = event.after();
-    Optional<TakeOverRefusal> ownRefusal =
-        owner.refusal(after.request(), accountId, after.offset(), after.digest());
-    Optional<TakeOverRefusal> copyRefusal =
-        copies.refusal(after.request(), accountId, after.offset(), after.digest());
-    boolean otherAccount =
-        ownRefusal.equals(Optional.of(TakeOverRefusal.WRONG_ACCOUNT))
-            || copyRefusal.equals(Optional.of(TakeOverRefusal.WRONG_ACCOUNT));
-    if (otherAccount) {
-      refuseAccount(event.caller(), after);
+    EventId lastEventId = event.after();
+    Optional<TakeoverRefusal> ownRefusal =
+        owner.takeoverRefusal(
+            lastEventId.request(), accountId, lastEventId.offset(), lastEventId.digest());
+    Optional<TakeoverRefusal> copyRefusal =
+        copies.takeoverRefusal(
+            lastEventId.request(), accountId, lastEventId.offset(), lastEventId.digest());
+    boolean wrongAccount =
+        ownRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT))
+            || copyRefusal.equals(Optional.of(TakeoverRefusal.WRONG_ACCOUNT));
+    if (wrongAccount) {
+      refuseWrongAccount(event.caller(), lastEventId);
     } else if (ownRefusal.isEmpty()) {
-      owner.reattach(after, event.caller());
+      owner.reattach(lastEventId, event.caller());
     } else if (copyRefusal.isEmpty()) {
-      CopyKeeper.Handover handover = copies.handOver(after.request(), context.self());
-      adopt(handover, Optional.empty(), event.caller(), after);
+      CopyStore.Handover handover = copies.handOver(lastEventId.request(), context.self());
+      adopt(handover, Optional.empty(), event.caller(), lastEventId);
     } else {
-      context.note(EventCode.TAKEOVER_ASKED, after.request().value(), "after " + after.offset());
-      new Search(event.caller(), accountId, after).next();
+      context.logEvent(
+          EventCode.TAKEOVER_ASKED, lastEventId.request().value(), "after " + lastEventId.offset());
+      new Search(event.caller(), accountId, lastEventId).contactNextStage();
     }
   }
 
-  private void refuseAccount(long caller, EventId after) {
+  private void refuseWrongAccount(long caller, EventId lastEventId) {
     context.emit(
-        new Action.Refuse(
+        new Action.SendProblem(
             caller,
-            new Problem(ProblemType.WRONG_ACCOUNT, Outcome.RAN, "request " + after.request(), 0)));
+            new Problem(
+                ProblemType.WRONG_ACCOUNT, Outcome.RAN, "request " + lastEventId.request(), 0)));
   }
 
   private void adopt(
-      CopyKeeper.Handover handover, Optional<HostId> holder, long caller, EventId after) {
+      CopyStore.Handover handover, Optional<HostId> holder, long caller, EventId lastEventId) {
     Optional<Row> service = table.service(handover.spec().service());
     if (service.isEmpty()) {
       context.emit(
-          new Action.Refuse(
+          new Action.SendProblem(
               caller,
               new Problem(
-                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row is gone", 0)));
+                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row was deleted", 0)));
       return;
     }
-    owner.adopt(handover, holder, service.get(), caller, after);
+    owner.adopt(handover, holder, service.get(), caller, lastEventId);
   }
 
-  /** Answers a peer that asks for a generation. */
-  public void asked(HostId from, PeerMessage.TakeOver ask) {
-    Optional<TakeOverRefusal> copyRefusal =
-        copies.refusal(ask.request(), ask.account(), ask.offset(), ask.digest());
-    Optional<TakeOverRefusal> ownRefusal =
-        owner.refusal(ask.request(), ask.account(), ask.offset(), ask.digest());
-    PeerMessage answer;
+  /** Hands a generation over to a peer, or refuses. */
+  public void handleTakeOver(HostId from, PeerMessage.TakeOver takeOver) {
+    Optional<TakeoverRefusal> copyRefusal =
+        copies.takeoverRefusal(
+            takeOver.request(), takeOver.account(), takeOver.offset(), takeOver.digest());
+    Optional<TakeoverRefusal> ownRefusal =
+        owner.takeoverRefusal(
+            takeOver.request(), takeOver.account(), takeOver.offset(), takeOver.digest());
+    PeerMessage response;
     if (copyRefusal.isEmpty()) {
-      answer = granted(ask.ticket(), copies.handOver(ask.request(), from));
+      response = grantMessage(takeOver.ticket(), copies.handOver(takeOver.request(), from));
     } else if (ownRefusal.isEmpty()) {
-      copies.keep(owner.giveUp(ask.request()));
-      answer = granted(ask.ticket(), copies.handOver(ask.request(), from));
+      copies.add(owner.relinquish(takeOver.request()));
+      response = grantMessage(takeOver.ticket(), copies.handOver(takeOver.request(), from));
     } else {
-      TakeOverRefusal reason =
-          copyRefusal.get() == TakeOverRefusal.MISSING ? ownRefusal.get() : copyRefusal.get();
-      answer = new PeerMessage.TakeOverRefused(ask.ticket(), reason);
+      TakeoverRefusal reason =
+          copyRefusal.get() == TakeoverRefusal.MISSING ? ownRefusal.get() : copyRefusal.get();
+      response = new PeerMessage.TakeOverRefused(takeOver.ticket(), reason);
     }
-    context.emit(new Action.SendPeer(from, answer));
+    context.emit(new Action.SendPeer(from, response));
   }
 
-  private static PeerMessage granted(long ticket, CopyKeeper.Handover handover) {
+  private static PeerMessage grantMessage(long ticket, CopyStore.Handover handover) {
     return new PeerMessage.TakeOverGranted(
         ticket, handover.spec(), handover.epoch(), handover.tokens(), handover.finished());
   }
 
-  /** Takes over a generation that a peer hands over; that peer keeps the copy. */
-  public void granted(HostId from, PeerMessage.TakeOverGranted grant) {
+  /** Adopts a generation that a peer hands over; the peer becomes its copy holder. */
+  public void handleGranted(HostId from, PeerMessage.TakeOverGranted grant) {
     Search search = searches.get(grant.ticket());
     if (search == null) {
       return;
     }
     search.stop();
-    CopyKeeper.Handover handover =
-        new CopyKeeper.Handover(grant.spec(), grant.epoch(), grant.tokens(), grant.finished());
-    adopt(handover, Optional.of(from), search.caller, search.after);
+    CopyStore.Handover handover =
+        new CopyStore.Handover(grant.spec(), grant.epoch(), grant.tokens(), grant.finished());
+    adopt(handover, Optional.of(from), search.caller, search.lastEventId);
   }
 
-  /** Goes on searching when a peer has nothing to hand over. */
-  public void refused(HostId from, PeerMessage.TakeOverRefused refusal) {
+  /** Continues a search after a peer refused to hand over the generation. */
+  public void handleRefused(HostId from, PeerMessage.TakeOverRefused refusal) {
     Search search = searches.get(refusal.ticket());
     if (search != null) {
-      search.refusedBy(from, refusal.reason());
+      search.handleRefused(from, refusal.reason());
     }
   }
 
-  /** Goes on searching when a peer turns out not to answer. */
-  public void peerUnreachable(HostId peer, boolean processGone) {
-    List.copyOf(searches.values()).forEach(search -> search.unreachable(peer, processGone));
+  /** Continues the searches that wait for an unreachable peer. */
+  public void handlePeerUnreachable(HostId peer, boolean processGone) {
+    List.copyOf(searches.values()).forEach(search -> search.handleUnreachable(peer, processGone));
   }
 
-  /** Notes that a caller's connection ended; returns whether it was searching here. */
-  public boolean callerGone(long caller) {
+  /** Stops the search of a disconnected caller; returns whether there was one. */
+  public boolean handleCallerDisconnected(long caller) {
     Optional<Search> search =
         searches.values().stream().filter(candidate -> candidate.caller == caller).findFirst();
     search.ifPresent(Search::stop);
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/AnnouncedLimits.java
@@ -97,6 +97,6 @@
 
   /** Merges a limit that another host reported. */
   void merge(LimitFact fact) {
-    facts.learn(List.of(fact));
+    facts.merge(List.of(fact));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/IssuerRanking.java
@@ -80,7 +80,7 @@
 
   /** Skips a host for a while because it did not respond to a token request. */
   void markUnresponsive(Address host, TargetId target) {
-    context.note(EventCode.LIMIT_LENDER_SILENT, target.toString(), "host=" + host);
+    context.logEvent(EventCode.LIMIT_LENDER_SILENT, target.toString(), "host=" + host);
     unresponsiveUntil.values().removeIf(until -> until <= context.now());
     unresponsiveUntil.put(host, context.now() + UNRESPONSIVE_MILLIS);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenClient.java
@@ -150,7 +150,7 @@
       if (context.now() - loggedAt < MIN_LOG_INTERVAL_MILLIS) {
         return;
       }
-      context.note(
+      context.logEvent(
           EventCode.LIMIT_REACHED,
           target.toString(),
           "perSecond="
--- a/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/load/LoadExchange.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.model.TargetId;
@@ -87,12 +87,12 @@
   }
 
   /** Sets the facts about poison requests that reports carry. */
-  public void setPoisonFacts(SharedFacts<PoisonFact> poisonFacts) {
+  public void setPoisonFacts(GossipFacts<PoisonFact> poisonFacts) {
     facts = new FactSources(poisonFacts, facts.targets());
   }
 
   /** Sets the facts announced by targets that reports carry. */
-  public void setTargetFacts(SharedFacts<TargetFact> targetFacts) {
+  public void setTargetFacts(GossipFacts<TargetFact> targetFacts) {
     facts = new FactSources(facts.poison(), targetFacts);
   }
 
@@ -104,7 +104,7 @@
   private void heartbeat() {
     table.expire();
     flush();
-    context.after(HEARTBEAT_MILLIS, this::heartbeat);
+    context.schedule(HEARTBEAT_MILLIS, this::heartbeat);
   }
 
   /** Schedules reports after a change of this host's load. */
@@ -231,7 +231,7 @@
     boolean wasFailing = link.isFailing(context.now());
     link.onReceipt(receipt, context.now());
     if (receipt == LoadPort.Receipt.LOST && !wasFailing) {
-      context.note(
+      context.logEvent(
           EventCode.LOADS_UNDELIVERED,
           link.receiver().address().toString(),
           "scope=" + report.scope() + " targets=" + report.loads().size());
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/ArrivalRate.java
@@ -16,6 +16,6 @@
   }
 
   double perSecond(long now) {
-    return arrivals.at(now) / COUNT_AT_ONE_PER_SECOND;
+    return arrivals.valueAt(now) / COUNT_AT_ONE_PER_SECOND;
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonControl.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 import org.gatereel.core.event.EventCode;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 
 /**
  * Quarantines requests under which targets crash repeatedly.
@@ -15,7 +15,7 @@
  * <p>Hosts share their observations, and each decides on its own. Fingerprints are computed only
  * while there are observations of any request.
  */
-public final class PoisonControl implements SharedFacts<PoisonFact> {
+public final class PoisonControl implements GossipFacts<PoisonFact> {
   private static final long EXPIRE_INTERVAL_MILLIS = 60_000;
 
   /** One end less than is needed for quarantine. */
@@ -97,7 +97,7 @@
   }
 
   @Override
-  public void learn(List<PoisonFact> facts) {
+  public void merge(List<PoisonFact> facts) {
     learn(facts, Source.OTHER_HOST);
   }
 
@@ -146,9 +146,9 @@
             + " ageMillis="
             + (context.now() - fact.at());
     if (fact.isClearing()) {
-      context.note(EventCode.POISON_CLEARED, fact.request().toString(), inputs);
+      context.logEvent(EventCode.POISON_CLEARED, fact.request().toString(), inputs);
     } else {
-      context.note(
+      context.logEvent(
           EventCode.POISON_SUSPECTED,
           fact.request().toString(),
           "target=" + fact.ended().orElseThrow() + " " + inputs);
@@ -156,7 +156,7 @@
   }
 
   private void announceQuarantine(Fingerprint request) {
-    context.note(
+    context.logEvent(
         EventCode.POISON_HELD,
         request.toString(),
         "ends=" + ledger.endCount(request) + " held=" + quarantinedCount());
@@ -166,7 +166,7 @@
   private void scheduleExpiry() {
     if (!expiryScheduled) {
       expiryScheduled = true;
-      context.after(EXPIRE_INTERVAL_MILLIS, this::expire);
+      context.schedule(EXPIRE_INTERVAL_MILLIS, this::expire);
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonLedger.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 
 /**
@@ -174,10 +174,10 @@
   }
 
   /** Returns the facts after a number, in the order in which they were added. */
-  List<SharedFacts.Numbered<PoisonFact>> after(long number, int maxCount) {
+  List<GossipFacts.Numbered<PoisonFact>> after(long number, int maxCount) {
     return facts.tailMap(number, false).entrySet().stream()
         .limit(maxCount)
-        .map(entry -> new SharedFacts.Numbered<>(entry.getKey(), entry.getValue()))
+        .map(entry -> new GossipFacts.Numbered<>(entry.getKey(), entry.getValue()))
         .toList();
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/poison/PoisonRecords.java
@@ -75,7 +75,7 @@
   private void onNewFact(PoisonFact fact, PoisonControl.Source source) {
     boolean enoughEnds = control.endCount(fact.request()) >= MIN_WRITTEN_ENDS;
     if (enoughEnds && source != PoisonControl.Source.STORE) {
-      newFactAt = context.knowledgeTime();
+      newFactAt = context.nowIncludingSuspensions();
     }
     if (source != PoisonControl.Source.HERE) {
       return;
@@ -114,7 +114,7 @@
       write();
     } else {
       retryAt = context.now() + backoffMillis;
-      context.after(backoffMillis, this::write);
+      context.schedule(backoffMillis, this::write);
       backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
     }
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rest/TargetBackoffs.java
@@ -61,7 +61,8 @@
   public void observe(TargetId target, long millis) {
     facts.observe(new BackoffFact(target, context.now(), context.now() + millis));
     Backoff backoff = backoffs.computeIfAbsent(target, any -> new Backoff());
-    long until = context.knowledgeTime() + millis + context.random().nextLong(MAX_JITTER_MILLIS);
+    long until =
+        context.nowIncludingSuspensions() + millis + context.random().nextLong(MAX_JITTER_MILLIS);
     backoff.until = Math.max(backoff.until, until);
     backoff.slowStart = new SlowStart();
   }
@@ -69,7 +70,7 @@
   /** Returns whether the backoff of a target has not ended. */
   public boolean isBackingOff(TargetId target) {
     Backoff backoff = backoffs.get(target);
-    return backoff != null && context.knowledgeTime() < backoff.until;
+    return backoff != null && context.nowIncludingSuspensions() < backoff.until;
   }
 
   /** Returns whether a target has requested a backoff from any host that has not ended. */
@@ -85,7 +86,7 @@
   public void recordSent(TargetId target) {
     Backoff backoff = backoffs.get(target);
     if (backoff != null) {
-      backoff.slowStart.recordSent(context.knowledgeTime());
+      backoff.slowStart.recordSent(context.nowIncludingSuspensions());
     }
   }
 
@@ -94,7 +95,7 @@
     if (backoffs.isEmpty()) {
       return Set.of();
     }
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     backoffs.values().removeIf(backoff -> backoff.isExpired(now));
     Set<TargetId> blocked = new HashSet<>();
     backoffs.forEach(
@@ -109,7 +110,7 @@
   /** Returns the time in milliseconds until a target may be sent a request; 0 if it may now. */
   public long millisUntilAllowed(TargetId target) {
     Backoff backoff = backoffs.get(target);
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     if (backoff == null || backoff.admits(now)) {
       return 0;
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/rollout/RolloutControl.java
@@ -97,7 +97,7 @@
 
   /** Updates the listed versions; must be called before the registry receives the list. */
   public void updateTargets(HostList list) {
-    approvedVersions.update(list, context.knowledgeTime());
+    approvedVersions.update(list, context.nowIncludingSuspensions());
   }
 
   /**
@@ -125,10 +125,11 @@
       return;
     }
     abandonReplaced(known, order);
-    long notBefore = Math.max(ordersProvenAt, context.knowledgeTime() - order.durationMillis());
+    long notBefore =
+        Math.max(ordersProvenAt, context.nowIncludingSuspensions() - order.durationMillis());
     rollouts.put(order.service(), new Rollout(bounds, context.random(), order, notBefore));
     localEvidence.retainOrder(order.service(), order.revision());
-    context.note(
+    context.logEvent(
         EventCode.ROLLOUT_ORDERED,
         order.service().value(),
         "version=" + order.version() + " durationMillis=" + order.durationMillis());
@@ -169,7 +170,7 @@
     rollout.updateRecord(row, reading.get().offset(), reading.get().provenAt());
     Optional<RolloutState> after = rollout.record().map(RolloutRecord::state);
     if (!before.equals(after)) {
-      context.note(
+      context.logEvent(
           EventCode.ROLLOUT_STATE,
           service.value(),
           "version=" + row.version() + " state=" + after.orElseThrow() + " " + inputs(rollout));
@@ -182,7 +183,7 @@
     Rollout rollout = rollouts.get(service);
     if (rollout != null && rollout.isRunning()) {
       RouteTraffic traffic = RouteTraffic.of(route, evidence(rollout));
-      double ratio = rollout.newVersionRatio(context.knowledgeTime(), traffic);
+      double ratio = rollout.newVersionRatio(context.nowIncludingSuspensions(), traffic);
       if (ratio > 0 && ratio < 1 && rollout.sample(route, ratio)) {
         return VersionRule.only(rollout.order().version());
       }
@@ -199,7 +200,7 @@
       return VersionRule.except(unapproved);
     }
     boolean onlyVersion = approvedVersions.isOnlyListed(service, rollout.order().version());
-    return rollout.rule(context.knowledgeTime(), unapproved, onlyVersion);
+    return rollout.rule(context.nowIncludingSuspensions(), unapproved, onlyVersion);
   }
 
   /**
@@ -212,7 +213,9 @@
     Rollout rollout = rollouts.get(service);
     String version = target.description().version();
     boolean triedOut =
-        firstAttempt && rollout != null && rollout.isTryingOut(version, context.knowledgeTime());
+        firstAttempt
+            && rollout != null
+            && rollout.isTryingOut(version, context.nowIncludingSuspensions());
     return triedOut || rule(service).admits(target);
   }
 
@@ -277,7 +280,7 @@
   private void scheduleTick() {
     if (!ticking) {
       ticking = true;
-      context.after(TICK_INTERVAL_MILLIS, this::tick);
+      context.schedule(TICK_INTERVAL_MILLIS, this::tick);
     }
   }
 
@@ -294,10 +297,10 @@
   private void tick(Rollout rollout) {
     VersionVerdict.Kind before = rollout.verdict().kind();
     if (rollout.isRunning()) {
-      rollout.evaluate(evidence(rollout), context.knowledgeTime());
+      rollout.evaluate(evidence(rollout), context.nowIncludingSuspensions());
     }
     if (rollout.verdict().kind() != before) {
-      context.note(
+      context.logEvent(
           EventCode.ROLLOUT_JUDGED,
           rollout.order().service().value(),
           "verdict=" + rollout.verdict().kind() + " " + inputs(rollout));
@@ -308,7 +311,8 @@
   private Optional<RolloutRecord> recordToWrite(Rollout rollout) {
     if (rollout.record().isPresent()) {
       boolean hasOpenBefore = openBefore.test(rollout);
-      return rollout.nextRecord(context.knowledgeTime(), isReader.getAsBoolean(), hasOpenBefore);
+      return rollout.nextRecord(
+          context.nowIncludingSuspensions(), isReader.getAsBoolean(), hasOpenBefore);
     }
     if (reading.isEmpty() || !isReader.getAsBoolean()) {
       return Optional.empty();
@@ -322,7 +326,7 @@
   /** Writes at once as a reader, else after a random delay unless a row was read by then. */
   private void write(Rollout rollout, RolloutRecord record) {
     ServiceName service = rollout.order().service();
-    long now = context.knowledgeTime();
+    long now = context.nowIncludingSuspensions();
     long delayMillis =
         isReader.getAsBoolean() ? 0 : context.random().nextLong(MAX_WRITE_DELAY_MILLIS);
     long writeTime = nextWriteAt.computeIfAbsent(service, any -> now + delayMillis);
@@ -330,7 +334,7 @@
       return;
     }
     nextWriteAt.put(service, now + WRITE_RETRY_INTERVAL_MILLIS);
-    context.note(
+    context.logEvent(
         EventCode.ROLLOUT_DECIDED,
         service.value(),
         "version=" + record.version() + " state=" + record.state() + " " + inputs(rollout));
@@ -354,7 +358,8 @@
   private String describe(Rollout rollout) {
     RolloutOrder order = rollout.order();
     String state = rollout.record().map(row -> row.state().name()).orElse("NOT_BEGUN");
-    String stage = rollout.isRunning() ? " stage=" + rollout.stage(context.knowledgeTime()) : "";
+    String stage =
+        rollout.isRunning() ? " stage=" + rollout.stage(context.nowIncludingSuspensions()) : "";
     return order.service()
         + " version="
         + order.version()
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/TargetFacts.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 
 /**
@@ -21,7 +21,7 @@
  * includes suspensions of this host. Otherwise a fact from before a suspension would seem newer
  * than facts that other hosts received meanwhile.
  */
-public final class TargetFacts implements SharedFacts<TargetFact> {
+public final class TargetFacts implements GossipFacts<TargetFact> {
   private static final long CLEANUP_INTERVAL_MILLIS = 60_000;
 
   /** Bounds the log lines for a target that changes its announcement with each response. */
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void learn(List<TargetFact> reported) {
+  public void merge(List<TargetFact> reported) {
     for (TargetFact fact : reported) {
       Entry known = entries.get(fact.kind()).get(fact.target());
       TargetFact localFact = toSuspendAwareClock(fact);
@@ -97,11 +97,11 @@
   }
 
   private TargetFact toSuspendAwareClock(TargetFact fact) {
-    return fact.shiftedBy(context.knowledgeTime() - context.now());
+    return fact.shiftedBy(context.nowIncludingSuspensions() - context.now());
   }
 
   private TargetFact toSteadyClock(TargetFact fact) {
-    return fact.shiftedBy(context.now() - context.knowledgeTime());
+    return fact.shiftedBy(context.now() - context.nowIncludingSuspensions());
   }
 
   private void store(TargetFact fact, Source source) {
@@ -126,7 +126,7 @@
     }
     entry.loggedAt = context.now();
     TargetFact fact = entry.fact;
-    context.note(
+    context.logEvent(
         fact.kind().code(),
         fact.target().toString(),
         fact.kind().logKey()
@@ -137,7 +137,7 @@
             + " source="
             + source
             + " ageMillis="
-            + (context.knowledgeTime() - fact.announcedAt())
+            + (context.nowIncludingSuspensions() - fact.announcedAt())
             + " known="
             + entries.get(fact.kind()).size());
   }
@@ -153,7 +153,7 @@
   private void scheduleCleanup() {
     if (!cleanupScheduled) {
       cleanupScheduled = true;
-      context.after(CLEANUP_INTERVAL_MILLIS, this::cleanUp);
+      context.schedule(CLEANUP_INTERVAL_MILLIS, this::cleanUp);
     }
   }
 
@@ -171,7 +171,7 @@
    */
   private boolean removeIfExpired(Entry entry) {
     TargetFact fact = entry.fact;
-    long expiredBefore = context.knowledgeTime() - fact.kind().retentionMillis();
+    long expiredBefore = context.nowIncludingSuspensions() - fact.kind().retentionMillis();
     boolean expired = !isListed.test(fact.target()) && fact.announcedAt() < expiredBefore;
     if (expired) {
       numbered.remove(entry.number);
--- a/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/statement/UnknownHeaders.java
@@ -33,7 +33,7 @@
 
   private void log(Header header, TargetId target, String value) {
     if (logged.size() < MAX_LOGGED_HEADERS && logged.add(header)) {
-      context.note(
+      context.logEvent(
           EventCode.TARGET_HEADER_UNKNOWN,
           target.toString(),
           "service="
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetListChanges.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetListChanges.java
@@ -32,7 +32,7 @@
     if (added.isEmpty() && leaving.isEmpty() && removed.isEmpty()) {
       return;
     }
-    context.note(
+    context.logEvent(
         EventCode.TARGETS_CHANGED,
         Long.toString(version),
         "known="
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -87,7 +87,7 @@
     TargetState known = targets.get(description.id());
     if (known == null) {
       Optional<TargetId> laterIncarnation =
-          targets.keySet().stream().filter(description.id()::isBefore).findFirst();
+          targets.keySet().stream().filter(description.id()::isEarlierIncarnationOf).findFirst();
       if (laterIncarnation.isPresent()) {
         return laterIncarnation.get();
       }
@@ -113,7 +113,7 @@
     }
     for (TargetState known : List.copyOf(targets.values())) {
       TargetId id = known.description().id();
-      if (id.isBefore(successor.id())
+      if (id.isEarlierIncarnationOf(successor.id())
           || known.description().address().equals(successor.address())) {
         addLeaving(id, changes);
       }
@@ -128,7 +128,7 @@
         changes.removed(id);
       }
     }
-    long expiredBefore = context.knowledgeTime() - LEAVING_RETENTION_MILLIS;
+    long expiredBefore = context.nowIncludingSuspensions() - LEAVING_RETENTION_MILLIS;
     leavingRecordedAt
         .entrySet()
         .removeIf(
@@ -147,13 +147,14 @@
     boolean changed = markLeaving(id);
     if (changed) {
       int open = targets.get(id).localOpenRequests();
-      context.note(EventCode.TARGET_LEAVING, id.toString(), "open requests of this host: " + open);
+      context.logEvent(
+          EventCode.TARGET_LEAVING, id.toString(), "open requests of this host: " + open);
     }
     return changed;
   }
 
   private boolean markLeaving(TargetId id) {
-    leavingRecordedAt.put(id, context.knowledgeTime());
+    leavingRecordedAt.put(id, context.nowIncludingSuspensions());
     return stopNewRequests(id);
   }
 
@@ -276,7 +277,7 @@
   /** Records a response, which ends the backoff of a failing target. */
   public void recordResponse(TargetState target) {
     if (target.recordResponse()) {
-      context.note(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
+      context.logEvent(EventCode.TARGET_RECOVERED, target.description().id().toString(), "");
     }
   }
 
@@ -288,7 +289,7 @@
   /** Records a failure; marks the target as leaving if the failure announces that. */
   public void recordFailure(TargetState target, TargetFailure failure) {
     TargetId id = target.description().id();
-    if (failure.saysLeaving()) {
+    if (failure.announcesDraining()) {
       target.recordGone(context.now());
       recordLeaving(id);
       return;
@@ -297,7 +298,7 @@
       target.recordError(context.now());
     }
     if (target.recordFailure(failure, context.now())) {
-      context.note(EventCode.TARGET_FAILING, id.toString(), failure.name());
+      context.logEvent(EventCode.TARGET_FAILING, id.toString(), failure.name());
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
@@ -121,7 +121,7 @@
    * Returns the exponentially decaying number of errors that this host received from the target.
    */
   public double localErrors(long now) {
-    return errors.at(now);
+    return errors.valueAt(now);
   }
 
   void recordLoad(int load, long now) {
--- a/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/choice/CostTermTest.java
@@ -76,7 +76,7 @@
 
   @BeforeEach
   void listEngines() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     targets.applyList(
         new HostList(
             1,
@@ -167,9 +167,9 @@
   void avoidsEngineThatFailedElsewhereUntilReportExpires() {
     reportLoadsOfOtherHosts(
         Map.of("n1", new TargetLoad(0, 0, 0, 0, context.now()), "n2", open(2), "s1", open(2)));
-    context.moveTo(context.now() + 201);
+    context.advanceTo(context.now() + 201);
     assertEquals("n2", chosen());
-    context.moveTo(context.now() + 1_400);
+    context.advanceTo(context.now() + 1_400);
 
     assertEquals("n1", chosen());
   }
@@ -207,7 +207,7 @@
     reportLoadsOfOtherHosts(Map.of("n2", open(1), "s1", open(3)));
     assertEquals("s1", chosenWithout("n1"));
 
-    context.moveTo(context.now() + 201);
+    context.advanceTo(context.now() + 201);
 
     assertEquals("n2", chosenWithout("n1"));
   }
@@ -292,7 +292,7 @@
     reportLoadsOfOtherHosts(Map.of("n2", open(2), "s1", open(2)));
     assertEquals("n2", chosen());
 
-    context.moveTo(context.now() + 6_000);
+    context.advanceTo(context.now() + 6_000);
     reportLoadsOfOtherHosts(Map.of("n2", open(2), "s1", open(2)));
 
     assertEquals("n1", chosen());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -221,7 +221,7 @@
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
     keeper = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
-    context.moveTo(START);
+    context.advanceTo(START);
     TargetPort port =
         new TargetPort() {
           @Override
@@ -385,7 +385,7 @@
   void pass(long millis) {
     long end = context.now() + millis;
     while (context.now() < end) {
-      context.moveTo(context.now() + 1);
+      context.advanceTo(context.now() + 1);
       context.timers().runDue(context.now());
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/limit/AnnouncedLimitsTest.java
@@ -31,11 +31,11 @@
   private final AnnouncedLimits limits = new AnnouncedLimits(context, facts);
 
   AnnouncedLimitsTest() {
-    context.moveTo(100_000);
+    context.advanceTo(100_000);
   }
 
   private void advance(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -48,13 +48,13 @@
   }
 
   private void reported(double perSecond, long ago) {
-    facts.learn(List.of(new LimitFact(TARGET, new AnnouncedLimit(perSecond, context.now() - ago))));
+    facts.merge(List.of(new LimitFact(TARGET, new AnnouncedLimit(perSecond, context.now() - ago))));
   }
 
-  private List<Action.Note> notes() {
+  private List<Action.LogEvent> notes() {
     return context.takeActions().stream()
-        .filter(action -> action instanceof Action.Note)
-        .map(action -> (Action.Note) action)
+        .filter(action -> action instanceof Action.LogEvent)
+        .map(action -> (Action.LogEvent) action)
         .toList();
   }
 
@@ -152,7 +152,7 @@
   void ageOfALimitIncludesTheSuspensionOfTheHost() {
     observe(8, 0);
     advance(100);
-    context.noteLost(5_000);
+    context.recordSuspension(5_000);
 
     long announcedAt = facts.after(0, 1).get(0).fact().announcedAt();
     assertEquals(5_100, context.now() - announcedAt);
--- a/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/member/MembershipTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 
 class MembershipTest {
-  private static final DataCentre HALL = new DataCentre("vic");
+  private static final DataCentre DATA_CENTRE = new DataCentre("vic");
 
   private static List<HostDescription> hosts(int count) {
     List<HostDescription> hosts = new ArrayList<>();
     Address address = new Address("127.0.0.1", 1);
-    for (int number = 0; number < count; number++) {
+    for (int index = 0; index < count; index++) {
       hosts.add(
           new HostDescription(
-              new HostId("host-" + number), HALL, address, address, LifeState.LIVE));
+              new HostId("host-" + index), DATA_CENTRE, address, address, LifeState.LIVE));
     }
     return hosts;
   }
@@ -40,17 +40,17 @@
   }
 
   private static CoreContext context(String self) {
-    return new CoreContext(new HostId(self), HALL, new SplittableRandom(3));
+    return new CoreContext(new HostId(self), DATA_CENTRE, new SplittableRandom(3));
   }
 
   @Test
-  void theNumberOfNeighboursDoesNotGrowWithTheNumberOfHosts() {
+  void neighbourCountIsBounded() {
     assertEquals(8, membership("host-0", 370, context("host-0")).neighbours().size());
     assertEquals(2, membership("host-0", 3, context("host-0")).neighbours().size());
   }
 
   @Test
-  void neighboursAreMutualSoThatEachHearsTheOther() {
+  void neighboursAreMutual() {
     HostId first = new HostId("host-0");
     for (HostId neighbour : membership("host-0", 50, context("host-0")).neighbours()) {
       Membership other = membership(neighbour.value(), 50, context(neighbour.value()));
@@ -59,22 +59,22 @@
   }
 
   @Test
-  void aSilentNeighbourIsLostAndComesBackWhenHeard() {
+  void silentNeighbourIsLostUntilItsNextMessage() {
     CoreContext context = context("host-0");
     Membership members = membership("host-0", 3, context);
     HostId peer = new HostId("host-1");
     List<HostId> lost = new ArrayList<>();
     members.onLost(lost::add);
     for (long now = 0; now <= 3_000; now += 500) {
-      context.moveTo(now);
+      context.advanceTo(now);
       context.timers().runDue(now);
-      members.heard(new HostId("host-2"));
+      members.recordMessage(new HostId("host-2"));
     }
     assertEquals(List.of(peer), lost);
-    // A half-open connection would swallow every later message.
-    assertTrue(context.takeActions().contains(new Action.DropLink(peer)));
-    assertFalse(members.isAnswering(peer));
-    members.heard(peer);
-    assertTrue(members.isAnswering(peer));
+    // Messages sent over a half-open connection would be lost.
+    assertTrue(context.takeActions().contains(new Action.CloseConnection(peer)));
+    assertFalse(members.isResponding(peer));
+    members.recordMessage(peer);
+    assertTrue(members.isResponding(peer));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/overload/OverloadControlTest.java
@@ -74,7 +74,7 @@
 
   @BeforeEach
   void listTargets() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     List<TargetDescription> listed = new ArrayList<>();
     for (int index = 0; index < TARGETS; index++) {
       listed.add(target("e" + index, TargetKind.ENGINE, ENGINES, index));
@@ -171,7 +171,7 @@
 
     for (int index = 0; index < 50; index++) {
       assertInstanceOf(OverloadDecision.Send.class, overload.decide(stream(HOT)));
-      context.moveTo(context.now() + 1_000);
+      context.advanceTo(context.now() + 1_000);
       receiveReport(1, demand(ENGINES, 9, 0.5));
     }
   }
@@ -246,7 +246,7 @@
     receiveReport(4, demand(ENGINES, 90, 2));
     ArrivingRequest waiting = stream(HOT);
     overload.decide(waiting);
-    context.moveTo(context.now() + 16_000);
+    context.advanceTo(context.now() + 16_000);
     receiveReport(4, demand(ENGINES, 90, 2));
 
     assertInstanceOf(OverloadDecision.Reject.class, overload.decideWaiting(waiting));
@@ -265,7 +265,7 @@
     assertInstanceOf(OverloadDecision.Reject.class, rejected);
     assertTrue(((OverloadDecision.Reject) rejected).retryAfterMillis() <= 500);
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(SMALL)));
-    context.moveTo(context.now() + 1_001);
+    context.advanceTo(context.now() + 1_001);
     receiveReport(0, demand(COUNTERS, 3_000, 10));
     assertInstanceOf(OverloadDecision.Send.class, overload.decide(call(HOT)));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonLedgerTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.gatereel.core.internal.SharedFacts;
+import org.gatereel.core.internal.GossipFacts;
 import org.gatereel.core.model.TargetId;
 import org.junit.jupiter.api.Test;
 
@@ -177,12 +177,12 @@
   @Test
   void factsAreReturnedOnceInTheirOrder() {
     quarantinedAfterEnds(POISON, "a", "b", "c");
-    List<SharedFacts.Numbered<PoisonFact>> first = ledger.after(0, 2);
+    List<GossipFacts.Numbered<PoisonFact>> first = ledger.after(0, 2);
 
     assertEquals(2, first.size());
     assertEquals(
         List.of(end(POISON, "c")),
-        ledger.after(first.get(1).number(), 10).stream().map(SharedFacts.Numbered::fact).toList());
+        ledger.after(first.get(1).number(), 10).stream().map(GossipFacts.Numbered::fact).toList());
   }
 
   /** Hosts receive facts in different orders and must come to the same result. */
--- a/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/poison/PoisonRecordsTest.java
@@ -42,7 +42,7 @@
   }
 
   private void pass(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -55,7 +55,7 @@
 
   @Test
   void theSecondEndIsWrittenTogetherWithTheFirstOfAnyHost() {
-    control.learn(List.of(end("a")));
+    control.merge(List.of(end("a")));
     recordEnd("b");
 
     assertEquals(2, written.get(0).size());
@@ -63,7 +63,7 @@
 
   @Test
   void factsObservedByOtherHostsAreNotWritten() {
-    control.learn(List.of(end("a"), end("b")));
+    control.merge(List.of(end("a"), end("b")));
 
     assertEquals(List.of(), written);
   }
@@ -92,7 +92,7 @@
     pass(1_000);
     recordEnd("a");
     assertFalse(records.needsReading());
-    control.learn(List.of(end("b")));
+    control.merge(List.of(end("b")));
     assertTrue(records.needsReading());
     long askedBefore = context.now() - 10;
     records.onRowsRead(List.of(), askedBefore);
--- a/gatereel-core/src/test/java/org/gatereel/core/rest/TargetBackoffsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/rest/TargetBackoffsTest.java
@@ -26,11 +26,11 @@
   private final TargetBackoffs backoffs = new TargetBackoffs(context, facts);
 
   TargetBackoffsTest() {
-    context.moveTo(100_000);
+    context.advanceTo(100_000);
   }
 
   private void advance(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -94,7 +94,7 @@
   void countsTheTimeOfAHostSuspension() {
     backoffs.observe(TARGET, 3_000);
 
-    context.noteLost(3_000 + MAX_JITTER_MILLIS);
+    context.recordSuspension(3_000 + MAX_JITTER_MILLIS);
 
     assertTrue(admits());
   }
@@ -137,7 +137,7 @@
 
   @Test
   void backoffFromAnotherHostDoesNotBlockTheTarget() {
-    facts.learn(List.of(new BackoffFact(TARGET, context.now() - 200, context.now() + 2_800)));
+    facts.merge(List.of(new BackoffFact(TARGET, context.now() - 200, context.now() + 2_800)));
 
     assertTrue(admits());
     assertTrue(backoffs.isBackingOffElsewhere(TARGET));
--- a/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/statement/TargetFactsTest.java
@@ -26,12 +26,12 @@
   private final List<TargetFact> changes = new ArrayList<>();
 
   TargetFactsTest() {
-    context.moveTo(1_000_000);
+    context.advanceTo(1_000_000);
     facts.onChange(changes::add);
   }
 
   private void advance(long millis) {
-    context.moveTo(context.now() + millis);
+    context.advanceTo(context.now() + millis);
     context.timers().runDue(context.now());
   }
 
@@ -52,7 +52,7 @@
     facts.observe(new LeavingFact(TARGET, context.now()));
     advance(500);
     facts.observe(new LeavingFact(TARGET, context.now()));
-    facts.learn(List.of(new LeavingFact(TARGET, context.now() - 900)));
+    facts.merge(List.of(new LeavingFact(TARGET, context.now() - 900)));
 
     assertEquals(1, changes.size());
     assertEquals(1, facts.after(0, 10).size());
@@ -60,8 +60,8 @@
 
   @Test
   void laterEndOfTwoBackoffsApplies() {
-    facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 3_000)));
-    facts.learn(List.of(new BackoffFact(TARGET, context.now(), context.now() + 1_000)));
+    facts.merge(List.of(new BackoffFact(TARGET, context.now(), context.now() + 3_000)));
+    facts.merge(List.of(new BackoffFact(TARGET, context.now(), context.now() + 1_000)));
 
     BackoffFact backoff = (BackoffFact) facts.find(FactKind.REST, TARGET).orElseThrow();
 
--- a/gatereel-core/src/test/java/org/gatereel/core/target/TargetListChangesTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/target/TargetListChangesTest.java
@@ -41,10 +41,10 @@
   private List<String> logLinesFor(TargetDescription... listed) {
     targets.applyList(new HostList(++version, List.of(), List.of(listed)));
     return context.takeActions().stream()
-        .filter(Action.Note.class::isInstance)
-        .map(Action.Note.class::cast)
+        .filter(Action.LogEvent.class::isInstance)
+        .map(Action.LogEvent.class::cast)
         .filter(note -> note.code() == EventCode.TARGETS_CHANGED)
-        .map(Action.Note::detail)
+        .map(Action.LogEvent::detail)
         .toList();
   }
 
--- a/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/ControlThread.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.internal.CoreContext;
-import org.gatereel.core.internal.SuspensionWatch;
+import org.gatereel.core.internal.SuspensionDetector;
 import org.gatereel.forward.log.ForwardLog;
 
 /**
@@ -19,7 +19,7 @@
   private final EventLoop loop;
   private final CoreContext context;
   private final ForwardLog log;
-  private final SuspensionWatch suspensionWatch = new SuspensionWatch();
+  private final SuspensionDetector suspensionWatch = new SuspensionDetector();
   private ScheduledFuture<?> scheduledTask;
   private long scheduledAtMillis = Long.MAX_VALUE;
   private boolean inStep;
@@ -64,15 +64,15 @@
   public void updateClocks() {
     long monotonicMillis = nowMillis();
     long suspendedMillis = suspensionWatch.observe(monotonicMillis, System.currentTimeMillis());
-    context.moveTo(monotonicMillis);
+    context.advanceTo(monotonicMillis);
     if (suspendedMillis > 0) {
-      context.noteLost(suspendedMillis);
+      context.recordSuspension(suspendedMillis);
     }
   }
 
   private void logPendingEvents() {
     for (Action action : context.takeActions()) {
-      if (action instanceof Action.Note note) {
+      if (action instanceof Action.LogEvent note) {
         log.event(note.code(), note.subject(), note.detail());
       }
     }
--- a/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/http/ProbeHandler.java
@@ -115,7 +115,7 @@
   }
 
   private boolean isIncarnationUnknown() {
-    return target.born() == TargetId.UNKNOWN_BORN;
+    return target.born() == TargetId.UNKNOWN_START;
   }
 
   private void finish(ProbeResult result) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/PeerServer.java
@@ -68,7 +68,9 @@
     // The age must include any time for which this host was suspended.
     control.updateClocks();
     return new StatusServer.Page(
-        OK, PeerDocuments.writeResponse(requestTarget, documentCache, context.knowledgeTime()));
+        OK,
+        PeerDocuments.writeResponse(
+            requestTarget, documentCache, context.nowIncludingSuspensions()));
   }
 
   private void issueTokens(String requestTarget, Consumer<StatusServer.Page> callback) {
--- a/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetIdCodec.java
+++ b/gatereel-forward/src/main/java/org/gatereel/forward/peer/TargetIdCodec.java
@@ -14,7 +14,7 @@
 
   static String encode(TargetId target) {
     String name = target.value();
-    boolean omitsStart = target.born() == TargetId.UNKNOWN_BORN && name.indexOf(SEPARATOR) < 0;
+    boolean omitsStart = target.born() == TargetId.UNKNOWN_START && name.indexOf(SEPARATOR) < 0;
     return omitsStart ? name : name + SEPARATOR + Long.toString(target.born(), RADIX);
   }
 
