--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -33,17 +33,16 @@
 import org.gatereel.core.target.TargetState;
 
 /**
- * All decisions of one entry host, without I/O, clock or randomness of its own.
+ * The decision logic of an entry host, without I/O, clock or randomness of its own.
  *
- * <p>Whoever drives it passes in events and the time and carries out the returned actions in their
- * order. It must be driven by one thread at a time. Times are milliseconds of a clock that does not
- * go back.
+ * <p>The driver passes in events and the time, and executes the returned actions in their order. An
+ * instance must be used by one thread at a time. Times are milliseconds of a monotonic clock.
  *
  * <pre>{@code
  * EntryHost host = new EntryHost(id, dataCentre, random);
- * carryOut(host.start(now, seeds));
- * carryOut(host.handle(event, now));
- * carryOut(host.advance(now)); // once host.nextDeadline() has come
+ * execute(host.start(now, seeds));
+ * execute(host.handle(event, now));
+ * execute(host.advance(now)); // when host.nextDeadline() is reached
  * }</pre>
  *
  * @since 0.1.0
@@ -69,7 +68,7 @@
   private boolean draining;
   private boolean dispatchRequested;
 
-  /** Makes a host before a store with the standard rates. */
+  /** Makes a host that uses a store with the standard limits. */
   public EntryHost(HostId self, DataCentre dataCentre, RandomGenerator random) {
     this(self, dataCentre, random, StoreLimits.STANDARD);
   }
@@ -94,7 +93,7 @@
     targets.onLeaving(this::announceDraining);
   }
 
-  /** Starts heartbeats and reads; {@code seeds} are peers known from the settings. */
+  /** Starts heartbeats and reads; {@code seeds} are the peers from the settings. */
   public List<Action> start(long now, List<HostDescription> seeds) {
     context.advanceTo(now);
     context.logEvent(EventCode.HOST_STARTED, context.self().value(), context.dataCentre().value());
@@ -104,12 +103,12 @@
     return context.takeActions();
   }
 
-  /** Returns when {@link #advance} is wanted next, if no event comes before. */
+  /** Returns when {@link #advance} must be called next, unless an event is handled before. */
   public OptionalLong nextDeadline() {
     return context.timers().nextDeadline();
   }
 
-  /** Lets the time pass. */
+  /** Runs the tasks that are due at {@code now}. */
   public List<Action> advance(long now) {
     advanceTo(now);
     context.timers().runDue(now);
@@ -117,13 +116,12 @@
     return context.takeActions();
   }
 
-  /** Takes in an event. */
   public List<Action> handle(Event event, long now) {
     advanceTo(now);
     if (event instanceof Event.TokenArrived token) {
       owner.handleToken(token);
-    } else if (event instanceof Event.PeerMessageReceived said) {
-      handlePeerMessage(said.from(), said.message());
+    } else if (event instanceof Event.PeerMessageReceived received) {
+      handlePeerMessage(received.from(), received.message());
     } else if (!handleCaller(event) && !handleTarget(event)) {
       handleEnvironment(event);
     }
@@ -132,13 +130,14 @@
   }
 
   private void advanceTo(long now) {
-    OptionalLong due = context.timers().nextDeadline();
-    long lastRun = context.now();
+    OptionalLong nextDeadline = context.timers().nextDeadline();
+    long previousTime = context.now();
     context.advanceTo(now);
-    long late = due.isPresent() ? now - Math.max(due.getAsLong(), lastRun) : 0;
-    if (late > PAUSE_THRESHOLD_MILLIS) {
+    long lateMillis =
+        nextDeadline.isPresent() ? now - Math.max(nextDeadline.getAsLong(), previousTime) : 0;
+    if (lateMillis > PAUSE_THRESHOLD_MILLIS) {
       context.recordPause();
-      context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), late + " ms");
+      context.logEvent(EventCode.PAUSE_NOTICED, context.self().value(), lateMillis + " ms");
     }
   }
 
@@ -148,17 +147,17 @@
         generations.handleRequest(request);
       }
     } else if (event instanceof Event.CallRequested request) {
-      // Under the same key another host may have run the call already.
-      Outcome known = request.idempotencyKey().isPresent() ? Outcome.UNKNOWN : Outcome.NOT_RUN;
-      if (canAccept(request.caller(), known)) {
+      // Another host may have executed a call with the same key.
+      Outcome outcome = request.idempotencyKey().isPresent() ? Outcome.UNKNOWN : Outcome.NOT_RUN;
+      if (canAccept(request.caller(), outcome)) {
         calls.handleRequest(request);
       }
     } else if (event instanceof Event.ResumeRequested request) {
       if (hasTable(request.caller(), Outcome.RAN)) {
         takeovers.handleResume(request);
       }
-    } else if (event instanceof Event.CallerDisconnected gone) {
-      handleCallerDisconnected(gone.caller());
+    } else if (event instanceof Event.CallerDisconnected disconnected) {
+      handleCallerDisconnected(disconnected.caller());
     } else if (event instanceof Event.EditRequested request) {
       edits.handleRequest(request);
     } else {
@@ -177,10 +176,10 @@
     return hasTable(caller, outcome);
   }
 
-  /** A host that has just started knows no account: to say that there is none would be wrong. */
+  /** Rejects requests before the first table is applied, when accounts and services are unknown. */
   private boolean hasTable(long caller, Outcome outcome) {
     if (table.revision() == 0) {
-      String detail = "neither the platform nor a peer has answered yet";
+      String detail = "neither the platform nor a peer has responded yet";
       refuse(
           caller,
           new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_DELAY_MILLIS));
@@ -230,8 +229,8 @@
   }
 
   private void handleEnvironment(Event event) {
-    if (event instanceof Event.HostListReceived seen) {
-      applyList(seen.list());
+    if (event instanceof Event.HostListReceived received) {
+      applyList(received.list());
     } else if (event instanceof Event.TransactionEnded ended) {
       platform.complete(ended);
     } else if (event instanceof Event.ReadEnded ended) {
@@ -312,8 +311,8 @@
   }
 
   private boolean handleTakeOverMessage(HostId from, PeerMessage message) {
-    if (message instanceof PeerMessage.TakeOver ask) {
-      takeovers.handleTakeOver(from, ask);
+    if (message instanceof PeerMessage.TakeOver takeOver) {
+      takeovers.handleTakeOver(from, takeOver);
     } else if (message instanceof PeerMessage.TakeOverGranted granted) {
       takeovers.handleGranted(from, granted);
     } else if (message instanceof PeerMessage.TakeOverRefused refused) {
@@ -348,21 +347,21 @@
     }
   }
 
-  /** Returns how many callers wait for an answer. */
+  /** Returns the number of callers and operators that wait for a response. */
   public int openCount() {
     return owner.openCount() + admission.waitingRequests() + calls.openCount() + edits.openCount();
   }
 
-  /** Returns whether callers are served: there is a table, and no planned stop. */
+  /** Returns whether callers are served: a table is in force and the host is not draining. */
   public boolean isReady() {
     return table.revision() > 0 && !draining;
   }
 
-  /** Returns what status pages show; taken at one moment. */
+  /** Returns a consistent snapshot of the host's status. */
   public HostStatus status() {
-    List<HostStatus.TargetStatus> shown = new ArrayList<>();
+    List<HostStatus.TargetStatus> targetStatuses = new ArrayList<>();
     for (TargetState target : targets.all()) {
-      shown.add(
+      targetStatuses.add(
           new HostStatus.TargetStatus(
               target.description(),
               target.isLeaving(),
@@ -384,10 +383,10 @@
         admission.waitingRequests(),
         calls.openCount(),
         peers,
-        shown);
+        targetStatuses);
   }
 
-  /** Returns the table in force; to be read on the thread that drives this host. */
+  /** Returns the table in force, which must only be used by the thread that drives this host. */
   public PolicyTable table() {
     return table;
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/GatereelException.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/GatereelException.java
@@ -1,6 +1,6 @@
 package org.gatereel.core;
 
-/** The root of the failures that callers of this library are made to handle. */
+/** The superclass of the checked exceptions of this library. */
 public abstract class GatereelException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/gatereel-core/src/main/java/org/gatereel/core/HostStatus.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/HostStatus.java
@@ -7,11 +7,12 @@
 import org.gatereel.core.model.TargetDescription;
 
 /**
- * What one entry host says of itself.
+ * A snapshot of the status of an entry host.
  *
- * @param openGenerations generations with a caller who waits
- * @param ownedGenerations generations in memory, delivered ones that linger included
- * @param heldCopies copies held for other hosts
+ * @param openGenerations the number of generations with a connected caller
+ * @param ownedGenerations the number of generations in memory, including delivered ones that have
+ *     not expired
+ * @param heldCopies the number of copies held for other hosts
  */
 public record HostStatus(
     HostId host,
@@ -30,10 +31,10 @@
     targets = List.copyOf(targets);
   }
 
-  /** One peer as this host sees it. */
+  /** The status of a peer as known by this host. */
   public record PeerStatus(HostDescription description, boolean answering) {}
 
-  /** One target as this host sees it. */
+  /** The status of a target as known by this host. */
   public record TargetStatus(
       TargetDescription description, boolean leaving, int openHere, double estimatedLoad) {}
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/ArchitectureTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/ArchitectureTest.java
@@ -43,6 +43,6 @@
           .haveNameMatching("java.time.Clock|java.util.Random|java.util.UUID|java.lang.Thread");
 
   @ArchTest
-  static final ArchRule THE_CORE_HAS_NO_STATE_OF_THE_PROCESS =
+  static final ArchRule THE_CORE_HAS_NO_MUTABLE_STATIC_FIELDS =
       noFields().that().areStatic().should().notBeFinal();
 }
