--- a/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
@@ -25,13 +25,13 @@
   static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final Duration PATIENCE = Duration.ofSeconds(8);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(8);
   private static final int NOT_FOUND = 404;
 
   private final OkHttpClient client =
       new OkHttpClient.Builder()
           .connectTimeout(Duration.ofSeconds(1))
-          .callTimeout(PATIENCE)
+          .callTimeout(CALL_TIMEOUT)
           .retryOnConnectionFailure(false)
           .build();
   private final List<String> hosts;
@@ -49,7 +49,7 @@
 
   /** Returns a row, or a row of revision 0 without cells if there is none. */
   public Row row(RowKey row) throws ControlException {
-    Answer answer = firstAnswer(get(path(row)));
+    ApiResponse answer = firstResponse(get(path(row)));
     if (answer.status() == NOT_FOUND) {
       return new Row(row, 0, false, new java.util.TreeMap<>());
     }
@@ -69,13 +69,15 @@
     Request.Builder request = new Request.Builder();
     RequestBody body = RequestBody.create(json, JSON);
     return read(
-        new Path(path(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
+        new ApiRequest(
+            path(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
         new TypeReference<>() {});
   }
 
   public AdminMessages.History history(long after) throws ControlException {
     return read(
-        new Path("admin/history", List.of("after", Long.toString(after)), new Request.Builder()),
+        new ApiRequest(
+            "admin/history", List.of("after", Long.toString(after)), new Request.Builder()),
         new TypeReference<>() {});
   }
 
@@ -86,7 +88,7 @@
 
   /** Returns the state of one host. */
   public HostStatus statusOf(String host) throws ControlException {
-    return read(answer(host, get("admin/status")), new TypeReference<>() {});
+    return read(send(host, get("admin/status")), new TypeReference<>() {});
   }
 
   /** Returns the time line of one host. */
@@ -94,15 +96,15 @@
       throws ControlException {
     List<String> query = List.of("since", Long.toString(since), "subject", subject);
     return read(
-        answer(host, new Path("admin/timeline", query, new Request.Builder())),
+        send(host, new ApiRequest("admin/timeline", query, new Request.Builder())),
         new TypeReference<>() {});
   }
 
   /** Starts a planned stop of one host. */
   public void drain(String host) throws ControlException {
     RequestBody body = RequestBody.create(new byte[0], JSON);
-    Path path = new Path("admin/drain", List.of(), new Request.Builder().post(body));
-    check(answer(host, path));
+    ApiRequest path = new ApiRequest("admin/drain", List.of(), new Request.Builder().post(body));
+    checkSuccess(send(host, path));
   }
 
   /** Returns the addresses of all hosts that the first answering host knows. */
@@ -113,28 +115,28 @@
   }
 
   /** What to ask; the query has names and values in turn. */
-  private record Path(String segments, List<String> query, Request.Builder request) {}
+  private record ApiRequest(String segments, List<String> query, Request.Builder request) {}
 
-  private record Answer(int status, String body) {}
+  private record ApiResponse(int status, String body) {}
 
-  private static Path get(String segments) {
-    return new Path(segments, List.of(), new Request.Builder());
+  private static ApiRequest get(String segments) {
+    return new ApiRequest(segments, List.of(), new Request.Builder());
   }
 
-  private static Path get(Path path) {
+  private static ApiRequest get(ApiRequest path) {
     return path;
   }
 
-  private static Path path(RowKey row) {
+  private static ApiRequest path(RowKey row) {
     return get("admin/table/" + row.kind().word() + "/" + row.name());
   }
 
-  private <T> T read(Path path, TypeReference<T> type) throws ControlException {
-    return read(firstAnswer(path), type);
+  private <T> T read(ApiRequest path, TypeReference<T> type) throws ControlException {
+    return read(firstResponse(path), type);
   }
 
-  private static <T> T read(Answer answer, TypeReference<T> type) throws ControlException {
-    check(answer);
+  private static <T> T read(ApiResponse answer, TypeReference<T> type) throws ControlException {
+    checkSuccess(answer);
     try {
       return MAPPER.readValue(answer.body(), type);
     } catch (IOException e) {
@@ -142,20 +144,20 @@
     }
   }
 
-  private static void check(Answer answer) throws ControlException {
+  private static void checkSuccess(ApiResponse answer) throws ControlException {
     if (answer.status() >= 200 && answer.status() < 300) {
       return;
     }
     throw new ControlException(ExitCode.REFUSED, describe(answer));
   }
 
-  private static String describe(Answer answer) {
+  private static String describe(ApiResponse answer) {
     try {
       var problem = MAPPER.readValue(answer.body(), AdminMessages.Problem.class);
       String present =
           problem.present() == null
               ? ""
-              : System.lineSeparator() + "in force: " + Printer.describe(problem.present());
+              : System.lineSeparator() + "in force: " + Printer.format(problem.present());
       String detail = problem.detail() == null ? "" : ": " + problem.detail();
       return problem.title() + detail + " (" + problem.outcome() + ")" + present;
     } catch (IOException e) {
@@ -163,11 +165,11 @@
     }
   }
 
-  private Answer firstAnswer(Path path) throws ControlException {
+  private ApiResponse firstResponse(ApiRequest path) throws ControlException {
     ControlException last = null;
     for (String host : hosts) {
       try {
-        return answer(host, path);
+        return send(host, path);
       } catch (ControlException e) {
         last = e;
       }
@@ -175,7 +177,7 @@
     throw last == null ? new ControlException(ExitCode.USAGE, "no host was named") : last;
   }
 
-  private Answer answer(String host, Path path) throws ControlException {
+  private ApiResponse send(String host, ApiRequest path) throws ControlException {
     HttpUrl base = HttpUrl.parse("http://" + host);
     if (base == null) {
       throw new ControlException(ExitCode.USAGE, "not an address: " + host);
@@ -187,7 +189,7 @@
     Request request =
         path.request().url(url.build()).header("Authorization", "Bearer " + key).build();
     try (Response response = client.newCall(request).execute()) {
-      return new Answer(response.code(), response.body().string());
+      return new ApiResponse(response.code(), response.body().string());
     } catch (IOException e) {
       throw new ControlException(
           ExitCode.UNREACHABLE, host + " does not answer: " + e.getMessage(), e);
--- a/gatereel-control/src/main/java/org/gatereel/control/ControlMain.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ControlMain.java
@@ -56,7 +56,7 @@
 
   ExitCode run(String... arguments) {
     if (Arrays.asList(arguments).contains(HELP)) {
-      named(arguments).usage();
+      innermostCommand(arguments).usage();
       return ExitCode.DONE;
     }
     try {
@@ -65,7 +65,7 @@
       System.err.println(e.getMessage());
       return ExitCode.USAGE;
     }
-    JCommander chosen = chosen();
+    JCommander chosen = parsedCommand();
     Object command = chosen == null ? null : chosen.getObjects().get(0);
     try {
       if (command instanceof LocalCommand local) {
@@ -78,7 +78,7 @@
       System.err.println(e.getMessage());
       return e.exitCode();
     }
-    named(arguments).usage();
+    innermostCommand(arguments).usage();
     return ExitCode.USAGE;
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** Returns the innermost command that the words name, whatever else is missing or wrong. */
-  private JCommander named(String... words) {
+  private JCommander innermostCommand(String... words) {
     JCommander innermost = commander;
     for (String word : words) {
       innermost = innermost.getCommands().getOrDefault(word, innermost);
@@ -102,7 +102,7 @@
   }
 
   /** Returns the innermost command, or the table group if none of its commands was named. */
-  private JCommander chosen() {
+  private JCommander parsedCommand() {
     String name = commander.getParsedCommand();
     if (name == null) {
       return null;
--- a/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
@@ -13,20 +13,21 @@
 @Parameters(commandDescription = "tell from log files what became of a request: ID FILE...")
 final class ExplainCommand implements LocalCommand {
   @Parameter(description = "ID FILE...", required = true)
-  private List<String> words = new ArrayList<>();
+  private List<String> arguments = new ArrayList<>();
 
   /** One line of a log that has the subject. */
   record Entry(String time, String host, String name, String detail, String meaning) {}
 
   @Override
   public ExitCode run(Printer printer) throws ControlException {
-    if (words.size() < 2) {
+    if (arguments.size() < 2) {
       System.err.println("an id and at least one log file are needed");
       return ExitCode.USAGE;
     }
-    String subject = words.get(0);
+    String subject = arguments.get(0);
     List<Entry> entries =
-        LogFiles.read(words.subList(1, words.size()), line -> line.contains(subject)).stream()
+        LogFiles.read(arguments.subList(1, arguments.size()), line -> line.contains(subject))
+            .stream()
             .filter(line -> line.subject().equals(subject))
             .map(ExplainCommand::entry)
             .toList();
--- a/gatereel-control/src/main/java/org/gatereel/control/HostCommands.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/HostCommands.java
@@ -77,7 +77,7 @@
           Comparator.comparingLong(AdminMessages.TimelineEntry::wallClockMillis)
               .thenComparing(AdminMessages.TimelineEntry::host)
               .thenComparingLong(AdminMessages.TimelineEntry::sequence));
-      printer.print(entries, entries.stream().map(Printer::describe).toList());
+      printer.print(entries, entries.stream().map(Printer::format).toList());
       return exit;
     }
   }
--- a/gatereel-control/src/main/java/org/gatereel/control/Printer.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/Printer.java
@@ -32,11 +32,11 @@
     }
   }
 
-  public static String describe(Row row) {
+  public static String format(Row row) {
     return row.key() + " @" + row.revision() + "  " + cells(row.cells());
   }
 
-  public static String describe(TableEdit edit) {
+  public static String format(TableEdit edit) {
     String what = edit.row().deleted() ? "deleted" : cells(edit.row().cells());
     return String.format(
         "%6d  %s  %-12s  %s  %s",
@@ -47,7 +47,7 @@
         what);
   }
 
-  public static String describe(AdminMessages.TimelineEntry entry) {
+  public static String format(AdminMessages.TimelineEntry entry) {
     return String.format(
         "%s  %-12s  %3d %-22s  %s  %s",
         Instant.ofEpochMilli(entry.wallClockMillis()),
--- a/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
@@ -17,7 +17,7 @@
         "tell how a roll-out stands: SERVICE --at IP:PORT,... (hosts' metrics addresses); for"
             + " example: rollout counters --at 10.0.0.1:7060,10.0.0.2:7060")
 final class RolloutCommand implements LocalCommand {
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
 
   @Parameter(description = "SERVICE", required = true)
   private String service;
@@ -26,7 +26,7 @@
   private List<String> hosts = new ArrayList<>();
 
   private final OkHttpClient client =
-      new OkHttpClient.Builder().callTimeout(PATIENCE).retryOnConnectionFailure(false).build();
+      new OkHttpClient.Builder().callTimeout(CALL_TIMEOUT).retryOnConnectionFailure(false).build();
 
   @Override
   public ExitCode run(Printer printer) throws ControlException {
@@ -34,7 +34,7 @@
     int silent = 0;
     for (String host : hosts) {
       try {
-        about(ask(host)).forEach(line -> lines.add(host + " " + line));
+        linesOfService(readRollouts(host)).forEach(line -> lines.add(host + " " + line));
       } catch (IOException e) {
         silent++;
         lines.add(host + " does not answer: " + e.getMessage());
@@ -47,7 +47,7 @@
     return silent > 0 ? ExitCode.INCOMPLETE : ExitCode.DONE;
   }
 
-  private List<String> ask(String host) throws IOException, ControlException {
+  private List<String> readRollouts(String host) throws IOException, ControlException {
     HttpUrl page = HttpUrl.parse("http://" + host + "/rollouts");
     if (page == null) {
       throw new ControlException(ExitCode.USAGE, "no IP:PORT: " + host);
@@ -58,7 +58,7 @@
   }
 
   /** Returns the service's line and those of its evidence, which are set in below it. */
-  private List<String> about(List<String> page) {
+  private List<String> linesOfService(List<String> page) {
     List<String> found = new ArrayList<>();
     boolean within = false;
     for (String line : page) {
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LimitSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LimitSummary.java
@@ -9,33 +9,36 @@
 /** Targets that took only so many requests: what they said, who sent them some and who did not. */
 final class LimitSummary {
   private final Map<String, Target> targets = new LinkedHashMap<>();
-  private final Map<String, Map<String, Integer>> sent = new TreeMap<>();
+  private final Map<String, Map<String, Integer>> sentByHost = new TreeMap<>();
 
   /** What lines say of one target. */
   private static final class Target {
-    private final List<String> said = new ArrayList<>();
-    private final Map<String, Long> passedOver = new TreeMap<>();
-    private int silentLenders;
+    private final List<String> announcements = new ArrayList<>();
+    private final Map<String, Long> skippedByHost = new TreeMap<>();
+    private int unresponsiveIssuers;
   }
 
   void add(LogLine line) {
     switch (line.name()) {
-      case "LIMIT_ANNOUNCED" -> announced(line);
+      case "LIMIT_ANNOUNCED" -> addAnnouncement(line);
       case "LIMIT_REACHED" ->
           target(line)
-              .passedOver
-              .merge(line.host(), line.number("passedOver").orElse(1), Long::sum);
-      case "LIMIT_LENDER_SILENT" -> target(line).silentLenders++;
+              .skippedByHost
+              .merge(line.host(), line.detailNumber("passedOver").orElse(1), Long::sum);
+      case "LIMIT_LENDER_SILENT" -> target(line).unresponsiveIssuers++;
       case "REQUEST_FORWARDED" ->
-          sent.computeIfAbsent(line.input("target"), any -> new TreeMap<>())
+          sentByHost
+              .computeIfAbsent(line.detailValue("target"), any -> new TreeMap<>())
               .merge(line.host(), 1, Integer::sum);
       default -> {}
     }
   }
 
-  private void announced(LogLine line) {
-    if (line.input("source").equals("TARGET")) {
-      target(line).said.add(line.time() + " to " + line.host() + ": " + line.input("perSecond"));
+  private void addAnnouncement(LogLine line) {
+    if (line.detailValue("source").equals("TARGET")) {
+      target(line)
+          .announcements
+          .add(line.time() + " to " + line.host() + ": " + line.detailValue("perSecond"));
     }
   }
 
@@ -51,10 +54,10 @@
     lines.add("targets that named how many requests a second they take");
     targets.forEach(
         (name, target) -> {
-          lines.add("  " + name + ", said " + target.said);
-          lines.add("    sent by all lines, by host: " + sent.getOrDefault(name, Map.of()));
-          lines.add("    passed over by host: " + target.passedOver);
-          lines.add("    lenders that did not answer: " + target.silentLenders);
+          lines.add("  " + name + ", said " + target.announcements);
+          lines.add("    sent by all lines, by host: " + sentByHost.getOrDefault(name, Map.of()));
+          lines.add("    passed over by host: " + target.skippedByHost);
+          lines.add("    lenders that did not answer: " + target.unresponsiveIssuers);
         });
   }
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogLine.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogLine.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns the inputs by their names. */
-  public Map<String, String> inputs() {
+  public Map<String, String> detailValues() {
     Map<String, String> inputs = new HashMap<>();
     for (String pair : detail.split(" ")) {
       int equals = pair.indexOf('=');
@@ -50,14 +50,14 @@
   }
 
   /** Returns an input, or a dash if the line does not have it. */
-  String input(String name) {
-    return inputs().getOrDefault(name, "-");
+  String detailValue(String name) {
+    return detailValues().getOrDefault(name, "-");
   }
 
   /** Returns an input that is a whole number. */
-  OptionalLong number(String name) {
+  OptionalLong detailNumber(String name) {
     try {
-      return OptionalLong.of(Long.parseLong(input(name)));
+      return OptionalLong.of(Long.parseLong(detailValue(name)));
     } catch (NumberFormatException e) {
       return OptionalLong.empty();
     }
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
@@ -10,23 +10,23 @@
 /** What the lines of a log say of all requests together; lines are given in the order of time. */
 public final class LogSummary {
   private final LimitSummary limits = new LimitSummary();
-  private final StatementSummary statements = new StatementSummary();
+  private final AnnouncementSummary announcements = new AnnouncementSummary();
   private final KindSummary streams = new KindSummary();
   private final KindSummary calls = new KindSummary();
   private final Map<String, HostSummary> hosts = new TreeMap<>();
 
   /** What the hosts knew when they chose. */
   private static final class HostSummary {
-    private final Spread open = new Spread();
-    private final Spread age = new Spread();
+    private final PercentileSummary openRequests = new PercentileSummary();
+    private final PercentileSummary loadAgeMillis = new PercentileSummary();
 
     private void add(LogLine forwarded) {
-      for (String reason : forwarded.input("costs").split(",")) {
+      for (String reason : forwarded.detailValue("costs").split(",")) {
         if (reason.startsWith("OPEN:")) {
-          open.add(Double.parseDouble(reason.substring("OPEN:".length())));
+          openRequests.add(Double.parseDouble(reason.substring("OPEN:".length())));
         }
       }
-      forwarded.number("loadsAgeMillis").ifPresent(age::add);
+      forwarded.detailNumber("loadsAgeMillis").ifPresent(loadAgeMillis::add);
     }
   }
 
@@ -39,7 +39,7 @@
     }
     requests.values().forEach(summary::addRequest);
     lines.forEach(summary.limits::add);
-    lines.forEach(summary.statements::add);
+    lines.forEach(summary.announcements::add);
     return summary;
   }
 
@@ -48,15 +48,15 @@
     if (!forwarded) {
       return;
     }
-    KindSummary kind = lines.stream().anyMatch(LogSummary::isOfStream) ? streams : calls;
+    KindSummary kind = lines.stream().anyMatch(LogSummary::belongsToStream) ? streams : calls;
     kind.add(lines);
     lines.stream()
         .filter(line -> line.name().equals("REQUEST_FORWARDED"))
         .forEach(line -> hosts.computeIfAbsent(line.host(), any -> new HostSummary()).add(line));
   }
 
-  private static boolean isOfStream(LogLine line) {
-    boolean copied = !line.input("copyAt").equals("-");
+  private static boolean belongsToStream(LogLine line) {
+    boolean copied = !line.detailValue("copyAt").equals("-");
     return line.name().equals("FIRST_TOKEN") || copied;
   }
 
@@ -72,18 +72,23 @@
     hosts.forEach(
         (host, known) ->
             lines.add(
-                "  " + host + ": open there " + known.open + "; age of loads, ms " + known.age));
+                "  "
+                    + host
+                    + ": open there "
+                    + known.openRequests
+                    + "; age of loads, ms "
+                    + known.loadAgeMillis));
     limits.print(lines);
-    statements.print(lines);
+    announcements.print(lines);
     return lines;
   }
 
   /** Requests of one kind. */
   private static final class KindSummary {
-    private final Spread first = new Spread();
-    private final Spread event = new Spread();
-    private final Spread whole = new Spread();
-    private final Spread tries = new Spread();
+    private final PercentileSummary firstEventMillis = new PercentileSummary();
+    private final PercentileSummary eventIntervalMillis = new PercentileSummary();
+    private final PercentileSummary responseMillis = new PercentileSummary();
+    private final PercentileSummary attempts = new PercentileSummary();
     private final Map<String, Integer> counts = new TreeMap<>();
 
     private void add(List<LogLine> lines) {
@@ -92,7 +97,7 @@
       for (LogLine line : lines) {
         switch (line.name()) {
           case "REQUEST_FORWARDED" -> {
-            fromCopy = line.input("fromCopy").equals("true");
+            fromCopy = line.detailValue("fromCopy").equals("true");
             if (fromCopy) {
               count("continued from a copy");
             } else if (firstAt.isPresent()) {
@@ -101,36 +106,40 @@
           }
           case "FIRST_TOKEN" -> {
             if (firstAt.isEmpty()) {
-              firstAt = line.number("millis");
-              firstAt.ifPresent(first::add);
+              firstAt = line.detailNumber("millis");
+              firstAt.ifPresent(firstEventMillis::add);
             }
           }
           case "ATTEMPT_FAILED" -> {
             String when = firstAt.isPresent() ? "after" : "before";
             String copy = fromCopy ? ", going on from a copy" : "";
-            count("failed " + when + " the first event: " + line.input("failure") + copy);
+            count("failed " + when + " the first event: " + line.detailValue("failure") + copy);
           }
           case "STREAM_PAUSED" ->
-              count("paused: moved=" + line.input("moved") + " fromCopy=" + line.input("fromCopy"));
+              count(
+                  "paused: moved="
+                      + line.detailValue("moved")
+                      + " fromCopy="
+                      + line.detailValue("fromCopy"));
           case "PROMPT_LOCATED" ->
-              count(line.input("target").equals("-") ? "prompt not found" : "prompt found");
-          case "REQUEST_REFUSED" -> count("refused: " + line.input("reason"));
-          case "GENERATION_INTERRUPTED" -> count("interrupted: " + line.input("reason"));
+              count(line.detailValue("target").equals("-") ? "prompt not found" : "prompt found");
+          case "REQUEST_REFUSED" -> count("refused: " + line.detailValue("reason"));
+          case "GENERATION_INTERRUPTED" -> count("interrupted: " + line.detailValue("reason"));
           case "CALLER_GONE" -> count("caller gone");
-          case "REQUEST_ANSWERED" -> answered(line, firstAt);
+          case "REQUEST_ANSWERED" -> addResponse(line, firstAt);
           default -> {}
         }
       }
     }
 
-    private void answered(LogLine line, OptionalLong firstAt) {
+    private void addResponse(LogLine line, OptionalLong firstAt) {
       count("answered");
-      line.number("tries").ifPresent(tries::add);
-      line.number("millis").ifPresent(whole::add);
-      long events = line.number("lastEvent").orElse(0);
-      if (firstAt.isPresent() && line.number("millis").isPresent() && events > 0) {
-        long millis = line.number("millis").getAsLong() - firstAt.getAsLong();
-        event.add((double) millis / events);
+      line.detailNumber("tries").ifPresent(attempts::add);
+      line.detailNumber("millis").ifPresent(responseMillis::add);
+      long events = line.detailNumber("lastEvent").orElse(0);
+      if (firstAt.isPresent() && line.detailNumber("millis").isPresent() && events > 0) {
+        long millis = line.detailNumber("millis").getAsLong() - firstAt.getAsLong();
+        eventIntervalMillis.add((double) millis / events);
       }
     }
 
@@ -139,10 +148,10 @@
     }
 
     private void print(List<String> lines) {
-      lines.add("  first event, ms: " + first);
-      lines.add("  each event after it, ms: " + event);
-      lines.add("  whole answer, ms: " + whole);
-      lines.add("  tries of an answered one: " + tries);
+      lines.add("  first event, ms: " + firstEventMillis);
+      lines.add("  each event after it, ms: " + eventIntervalMillis);
+      lines.add("  whole answer, ms: " + responseMillis);
+      lines.add("  tries of an answered one: " + attempts);
       counts.forEach((what, count) -> lines.add("  " + count + " " + what));
     }
   }
--- a/gatereel-control/src/main/java/org/gatereel/control/log/Spread.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/PercentileSummary.java
@@ -4,16 +4,16 @@
 import org.HdrHistogram.Histogram;
 
 /** How values of one kind are spread. */
-final class Spread {
-  private static final int DIGITS = 4;
+final class PercentileSummary {
+  private static final int SIGNIFICANT_DIGITS = 4;
 
   /** Values are kept as whole tenths; a stream makes an event in 30 ms or more. */
-  private static final double SCALE = 10;
+  private static final double UNITS_PER_VALUE = 10;
 
-  private final Histogram values = new Histogram(DIGITS);
+  private final Histogram values = new Histogram(SIGNIFICANT_DIGITS);
 
   void add(double value) {
-    values.recordValue(Math.max(0, Math.round(value * SCALE)));
+    values.recordValue(Math.max(0, Math.round(value * UNITS_PER_VALUE)));
   }
 
   /** Returns the 10th, 50th, 90th and 99th percentile and the number of values. */
@@ -25,14 +25,14 @@
     return String.format(
         Locale.ROOT,
         "%.1f %.1f %.1f %.1f (of %d)",
-        at(10),
-        at(50),
-        at(90),
-        at(99),
+        percentile(10),
+        percentile(50),
+        percentile(90),
+        percentile(99),
         values.getTotalCount());
   }
 
-  private double at(double percentile) {
-    return values.getValueAtPercentile(percentile) / SCALE;
+  private double percentile(double percentile) {
+    return values.getValueAtPercentile(percentile) / UNITS_PER_VALUE;
   }
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/table/Numbers.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/Revisions.java
@@ -4,8 +4,8 @@
 import org.gatereel.control.ExitCode;
 
 /** Reads revisions as they are typed. */
-final class Numbers {
-  private Numbers() {}
+final class Revisions {
+  private Revisions() {}
 
   static long parse(String text) throws ControlException {
     try {
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
@@ -21,7 +21,7 @@
 
 /** The commands that look at and edit single rows of the table. */
 public final class TableCommands {
-  private static final String SEE_ROW = "ROW, for example service/narrator";
+  private static final String ROW_DESCRIPTION = "ROW, for example service/narrator";
 
   private TableCommands() {}
 
@@ -33,7 +33,7 @@
       AdminMessages.Table table = client.table();
       List<String> lines = new ArrayList<>();
       lines.add("revision " + table.revision());
-      table.rows().forEach(row -> lines.add(Printer.describe(row)));
+      table.rows().forEach(row -> lines.add(Printer.format(row)));
       printer.print(table, lines);
       return ExitCode.DONE;
     }
@@ -42,7 +42,7 @@
   /** Prints one row with all its columns, set or standard. */
   @Parameters(commandDescription = "print one row with the standard values of unset cells")
   public static final class Get implements Command {
-    @Parameter(description = SEE_ROW, required = true)
+    @Parameter(description = ROW_DESCRIPTION, required = true)
     private String name;
 
     @Override
@@ -68,7 +68,7 @@
   @Parameters(commandDescription = "set cells: ROW COLUMN=VALUE...")
   public static final class Set implements Command {
     @Parameter(description = "ROW COLUMN=VALUE...", required = true)
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     @Parameter(
         names = "--based-on",
@@ -77,9 +77,9 @@
 
     @Override
     public ExitCode run(AdminClient client, Printer printer) throws ControlException {
-      RowKey key = RowKeys.parse(words.get(0));
+      RowKey key = RowKeys.parse(arguments.get(0));
       Map<String, String> cells = new TreeMap<>();
-      for (String word : words.subList(1, words.size())) {
+      for (String word : arguments.subList(1, arguments.size())) {
         int equals = word.indexOf('=');
         if (equals < 1) {
           throw new ControlException(ExitCode.USAGE, "a cell is COLUMN=VALUE, not " + word);
@@ -94,7 +94,7 @@
   /** Deletes one row. */
   @Parameters(commandDescription = "delete a row")
   public static final class Delete implements Command {
-    @Parameter(description = SEE_ROW, required = true)
+    @Parameter(description = ROW_DESCRIPTION, required = true)
     private String name;
 
     @Parameter(names = "--based-on", description = "revision of the row that you saw")
@@ -131,7 +131,7 @@
     @Override
     public ExitCode run(AdminClient client, Printer printer) throws ControlException {
       AdminMessages.History history = client.history(after);
-      printer.print(history, history.edits().stream().map(Printer::describe).toList());
+      printer.print(history, history.edits().stream().map(Printer::format).toList());
       return ExitCode.DONE;
     }
   }
@@ -150,8 +150,8 @@
       TableDiff diff =
           TableDiff.between(
               client.history(0).edits(),
-              Numbers.parse(revisions.get(0)),
-              Numbers.parse(revisions.get(1)));
+              Revisions.parse(revisions.get(0)),
+              Revisions.parse(revisions.get(1)));
       printer.print(diff, diff.lines());
       return ExitCode.DONE;
     }
--- a/gatereel-control/src/main/java/org/gatereel/control/table/WaitCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/WaitCommand.java
@@ -16,7 +16,7 @@
 /** Waits until a revision is in force on every host that can be reached. */
 @Parameters(commandDescription = "wait until a revision is in force on every reachable host")
 public final class WaitCommand implements Command {
-  private static final long LOOK_MILLIS = 50;
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
   @Parameter(description = "REVISION", required = true)
   private String revisionText;
@@ -31,18 +31,18 @@
 
   @Override
   public ExitCode run(AdminClient client, Printer printer) throws ControlException {
-    revision = Numbers.parse(revisionText);
+    revision = Revisions.parse(revisionText);
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-    Result result = look(client);
+    Result result = queryHosts(client);
     while (!result.behind().isEmpty() && System.nanoTime() < deadline) {
       pause();
-      result = look(client);
+      result = queryHosts(client);
     }
     printer.print(result, lines(result));
     return result.behind().isEmpty() ? ExitCode.DONE : ExitCode.INCOMPLETE;
   }
 
-  private Result look(AdminClient client) throws ControlException {
+  private Result queryHosts(AdminClient client) throws ControlException {
     Result result = new Result(revision, new TreeSet<>(), new TreeSet<>(), new TreeSet<>());
     for (String host : client.allHosts()) {
       try {
@@ -69,7 +69,7 @@
 
   private static void pause() throws ControlException {
     try {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new ControlException(ExitCode.INCOMPLETE, "interrupted", e);
--- a/gatereel-control/src/test/java/org/gatereel/control/PrintedCommand.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/CommandOutput.java
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** Runs a command and takes what it prints. */
-final class PrintedCommand {
-  private PrintedCommand() {}
+final class CommandOutput {
+  private CommandOutput() {}
 
   /** Runs a command that has to end with an exit code; returns its standard output. */
-  static String run(ExitCode expected, String... words) {
+  static String capture(ExitCode expected, String... words) {
     PrintStream before = System.out;
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
--- a/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
@@ -32,7 +32,7 @@
     Path other = file("other", line("T1", "h2", "REQUEST_FORWARDED", "r1"));
 
     String text =
-        PrintedCommand.run(ExitCode.DONE, "explain", "r1", one.toString(), other.toString());
+        CommandOutput.capture(ExitCode.DONE, "explain", "r1", one.toString(), other.toString());
 
     assertTrue(text.indexOf("T1 h2") < text.indexOf("T3 h1"), text);
     assertTrue(text.contains("A request was sent to a target."), text);
@@ -43,11 +43,11 @@
   void saysThatNothingWasFound() throws IOException {
     Path one = file("one", line("T1", "h1", "REQUEST_FORWARDED", "r1"));
 
-    PrintedCommand.run(ExitCode.INCOMPLETE, "explain", "other", one.toString());
+    CommandOutput.capture(ExitCode.INCOMPLETE, "explain", "other", one.toString());
   }
 
   @Test
   void refusesAFileThatCannotBeRead() {
-    PrintedCommand.run(ExitCode.USAGE, "explain", "r1", folder.resolve("absent").toString());
+    CommandOutput.capture(ExitCode.USAGE, "explain", "r1", folder.resolve("absent").toString());
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
@@ -40,7 +40,7 @@
 
   @Test
   void printsWhatTheHostKnowsOfTheService() {
-    String text = PrintedCommand.run(ExitCode.DONE, "rollout", "counters", "--at", address);
+    String text = CommandOutput.capture(ExitCode.DONE, "rollout", "counters", "--at", address);
 
     assertTrue(text.contains("counters version=v2 state=RUNNING"), text);
     assertTrue(text.contains("route=r answers=3"), text);
@@ -49,7 +49,7 @@
 
   @Test
   void saysThatAServiceHasNone() {
-    String text = PrintedCommand.run(ExitCode.DONE, "rollout", "other", "--at", address);
+    String text = CommandOutput.capture(ExitCode.DONE, "rollout", "other", "--at", address);
 
     assertTrue(text.contains("no roll-out of other is known"), text);
   }
@@ -58,11 +58,11 @@
   void saysWhichHostsDoNotAnswer() {
     host.stop(0);
 
-    PrintedCommand.run(ExitCode.UNREACHABLE, "rollout", "counters", "--at", address);
+    CommandOutput.capture(ExitCode.UNREACHABLE, "rollout", "counters", "--at", address);
   }
 
   @Test
   void anAddressThatIsNoneIsAMistakeOfTheCaller() {
-    PrintedCommand.run(ExitCode.USAGE, "rollout", "counters", "--at", "a b");
+    CommandOutput.capture(ExitCode.USAGE, "rollout", "counters", "--at", "a b");
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/log/LogSummaryTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/log/LogSummaryTest.java
@@ -91,6 +91,8 @@
     assertEquals(Optional.empty(), LogLine.parse("prefix {no json"));
     assertEquals(
         "RESET",
-        LogLine.parse("3.1 h1 {\"detail\":\"a=1 failure=RESET\"}").orElseThrow().input("failure"));
+        LogLine.parse("3.1 h1 {\"detail\":\"a=1 failure=RESET\"}")
+            .orElseThrow()
+            .detailValue("failure"));
   }
 }
