--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/HttpClients.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/HttpClients.java
@@ -10,10 +10,10 @@
 
 /** The HTTP clients of one process; they share their threads. */
 public final class HttpClients implements AutoCloseable {
-  private static final int MOST_REQUESTS = 10_000;
-  private static final int IDLE_CONNECTIONS = 64;
-  private static final Duration CONNECT = Duration.ofMillis(800);
-  private static final Duration PLATFORM_CALL = Duration.ofSeconds(1);
+  private static final int MAX_REQUESTS = 10_000;
+  private static final int MAX_IDLE_CONNECTIONS = 64;
+  private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(800);
+  private static final Duration PLATFORM_CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final ExecutorService threads =
       Executors.newCachedThreadPool(
@@ -23,29 +23,29 @@
             return thread;
           });
   private final OkHttpClient streaming;
-  private final OkHttpClient once;
+  private final OkHttpClient unpooled;
   private final OkHttpClient platform;
 
   public HttpClients() {
     Dispatcher dispatcher = new Dispatcher(threads);
-    dispatcher.setMaxRequests(MOST_REQUESTS);
-    dispatcher.setMaxRequestsPerHost(MOST_REQUESTS);
+    dispatcher.setMaxRequests(MAX_REQUESTS);
+    dispatcher.setMaxRequestsPerHost(MAX_REQUESTS);
     streaming =
         new OkHttpClient.Builder()
             .dispatcher(dispatcher)
-            .connectTimeout(CONNECT)
+            .connectTimeout(CONNECT_TIMEOUT)
             .readTimeout(Duration.ZERO)
             .retryOnConnectionFailure(false)
             .followRedirects(false)
             .eventListenerFactory(SentMarker.FROM_TAG)
             .build();
-    once =
+    unpooled =
         streaming.newBuilder().connectionPool(new ConnectionPool(0, 1, TimeUnit.SECONDS)).build();
     platform =
         streaming
             .newBuilder()
-            .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
-            .callTimeout(PLATFORM_CALL)
+            .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
+            .callTimeout(PLATFORM_CALL_TIMEOUT)
             .build();
   }
 
@@ -60,8 +60,8 @@
    * <p>Each call has a new connection: on one that was kept, the target may have closed it just
    * now, and then nobody could say whether the call arrived.
    */
-  public OkHttpClient once() {
-    return once;
+  public OkHttpClient unpooled() {
+    return unpooled;
   }
 
   /** Returns the client for the platform. */
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
@@ -45,7 +45,7 @@
     Request request =
         marker
             .tag(new Request.Builder())
-            .url(path("table/transaction"))
+            .url(url("table/transaction"))
             .post(body(new PlatformMessages.Transaction(rows)))
             .build();
     client
@@ -87,24 +87,24 @@
   public void read(List<String> keys, Consumer<ReadResult> done) {
     Request request =
         new Request.Builder()
-            .url(path("table/read"))
+            .url(url("table/read"))
             .post(body(new PlatformMessages.Read(keys)))
             .build();
-    rows(request, done);
+    requestRows(request, done);
   }
 
   /** Reads the rows with a prefix after a key; {@code done} is called once, on another thread. */
   public void scan(String prefix, String after, Consumer<ReadResult> done) {
     HttpUrl url =
-        path("table/scan")
+        url("table/scan")
             .newBuilder()
             .addQueryParameter("prefix", prefix)
             .addQueryParameter("after", after)
             .build();
-    rows(new Request.Builder().url(url).build(), done);
+    requestRows(new Request.Builder().url(url).build(), done);
   }
 
-  private void rows(Request request, Consumer<ReadResult> done) {
+  private void requestRows(Request request, Consumer<ReadResult> done) {
     client
         .newCall(request)
         .enqueue(
@@ -134,9 +134,9 @@
   }
 
   /** Reads the list of hosts and targets; {@code done} is not called if that fails. */
-  public void hosts(Consumer<HostList> done) {
+  public void readHostList(Consumer<HostList> done) {
     client
-        .newCall(new Request.Builder().url(path("hosts")).build())
+        .newCall(new Request.Builder().url(url("hosts")).build())
         .enqueue(
             new Callback() {
               @Override
@@ -157,7 +157,7 @@
             });
   }
 
-  private HttpUrl path(String segments) {
+  private HttpUrl url(String segments) {
     return base.newBuilder().addPathSegments(segments).build();
   }
 
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
@@ -31,7 +31,7 @@
  * stream that ends in any other way has failed.
  */
 public final class EngineClient {
-  private static final String END = "end";
+  private static final String END_EVENT = "end";
 
   /** Reads final events; without it a length that is missing would be read as 0. */
   private static final ObjectReader END_READER =
@@ -88,10 +88,10 @@
             .url(url(stream.address, "cancel"))
             .post(body(new EngineMessages.Cancel(request.value(), attempt)))
             .build();
-    client.newCall(cancel).enqueue(IGNORE);
+    client.newCall(cancel).enqueue(IGNORE_RESPONSE);
   }
 
-  private static final Callback IGNORE =
+  private static final Callback IGNORE_RESPONSE =
       new Callback() {
         @Override
         public void onFailure(Call call, IOException failure) {
@@ -119,14 +119,15 @@
     @Override
     public void onEvent(EventSource eventSource, String id, String type, String data) {
       try {
-        if (END.equals(type)) {
+        if (END_EVENT.equals(type)) {
           int length = endLength(data);
           if (streams.remove(key, this)) {
-            listener.finished(key.request(), key.attempt(), length);
+            listener.onFinished(key.request(), key.attempt(), length);
           }
         } else {
           EngineMessages.Token token = Json.MAPPER.readValue(data, EngineMessages.Token.class);
-          listener.token(key.request(), key.attempt(), token.offset(), token.token(), token.load());
+          listener.onToken(
+              key.request(), key.attempt(), token.offset(), token.token(), token.load());
         }
       } catch (JsonProcessingException e) {
         fail(TargetFailure.ERROR);
@@ -149,8 +150,8 @@
 
     @Override
     public void onFailure(EventSource eventSource, Throwable failure, Response response) {
-      if (response != null && Refusals.isRefusal(response)) {
-        fail(Refusals.read(response));
+      if (response != null && TargetRejections.isRejection(response)) {
+        fail(TargetRejections.readFailure(response));
       } else if (response != null && !response.isSuccessful()) {
         fail(TargetFailure.ERROR);
       } else {
@@ -160,7 +161,7 @@
 
     private void fail(TargetFailure failure) {
       if (streams.remove(key, this)) {
-        listener.failed(key.request(), key.attempt(), failure);
+        listener.onFailed(key.request(), key.attempt(), failure);
       }
     }
   }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineMessages.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineMessages.java
@@ -26,7 +26,7 @@
   public record End(int length) {}
 
   /** Why a target did not start a request. */
-  public record Refusal(String reason) {}
+  public record Rejection(String reason) {}
 
   /** Asks to stop an attempt. */
   public record Cancel(String request, int attempt) {}
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ConnectionEnds.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ResponseFraming.java
@@ -4,28 +4,28 @@
 import okhttp3.Response;
 
 /** Tells by what the end of a target's answer is known. */
-final class ConnectionEnds {
+final class ResponseFraming {
   private static final int NO_CONTENT = 204;
   private static final int NOT_MODIFIED = 304;
 
-  private ConnectionEnds() {}
+  private ResponseFraming() {}
 
   /**
    * Returns whether only the end of the connection is the end of the answer.
    *
    * <p>That is no word of the target: the connections of a process that dies end in the same way.
    */
-  static boolean endsWithConnection(Response response) {
+  static boolean isCloseDelimited(Response response) {
     boolean withoutBody = response.code() == NO_CONTENT || response.code() == NOT_MODIFIED;
     return !withoutBody && !isChunked(response) && !hasLength(response);
   }
 
   private static boolean isChunked(Response response) {
-    return "chunked".equalsIgnoreCase(received(response).get("Transfer-Encoding"));
+    return "chunked".equalsIgnoreCase(receivedHeaders(response).get("Transfer-Encoding"));
   }
 
   private static boolean hasLength(Response response) {
-    String length = received(response).get("Content-Length");
+    String length = receivedHeaders(response).get("Content-Length");
     try {
       return length != null && Long.parseLong(length) >= 0;
     } catch (NumberFormatException e) {
@@ -34,7 +34,7 @@
   }
 
   /** The headers as they came: those of an answer that was unpacked no longer have its length. */
-  private static Headers received(Response response) {
+  private static Headers receivedHeaders(Response response) {
     Response network = response.networkResponse();
     return network == null ? response.headers() : network.headers();
   }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ServiceClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ServiceClient.java
@@ -23,10 +23,10 @@
  */
 public final class ServiceClient {
   /** Milliseconds; by so much at most an answer that may be cut is told later. */
-  private static final long PROBE_MILLIS = 1_000;
+  private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
-  private static final MediaType TEXT = MediaType.get("application/octet-stream");
-  private static final String LOAD = "Load";
+  private static final MediaType OCTET_STREAM = MediaType.get("application/octet-stream");
+  private static final String LOAD_HEADER = "Load";
 
   private final OkHttpClient client;
   private final TargetListener listener;
@@ -45,18 +45,18 @@
             .url(EngineClient.url(send.target().address(), "call"))
             .header("Idempotency-Key", send.executionId())
             .header("Priority", "u=" + send.priority())
-            .post(RequestBody.create(send.body(), TEXT))
+            .post(RequestBody.create(send.body(), OCTET_STREAM))
             .build();
     Call call = client.newCall(request);
     call.timeout().timeout(send.timeoutMillis(), TimeUnit.MILLISECONDS);
-    call.enqueue(new Answer(send.ticket(), send.target().address(), marker));
+    call.enqueue(new ResponseHandler(send.ticket(), send.target().address(), marker));
   }
 
   /** Asks a target anything; any answer shows that its process lives. */
-  private boolean answers(Address address) {
+  private boolean isReachable(Address address) {
     Request request = new Request.Builder().url(EngineClient.url(address, "")).build();
     Call probe = client.newCall(request);
-    probe.timeout().timeout(PROBE_MILLIS, TimeUnit.MILLISECONDS);
+    probe.timeout().timeout(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     try {
       probe.execute().close();
       return true;
@@ -65,12 +65,12 @@
     }
   }
 
-  private final class Answer implements Callback {
+  private final class ResponseHandler implements Callback {
     private final long ticket;
     private final Address address;
     private final SentMarker marker;
 
-    private Answer(long ticket, Address address, SentMarker marker) {
+    private ResponseHandler(long ticket, Address address, SentMarker marker) {
       this.ticket = ticket;
       this.address = address;
       this.marker = marker;
@@ -79,35 +79,35 @@
     @Override
     public void onFailure(Call call, IOException failure) {
       if (!marker.isSent()) {
-        listener.callFailed(ticket, TargetFailure.NOT_CONNECTED);
+        listener.onCallFailed(ticket, TargetFailure.NOT_CONNECTED);
       } else if (failure instanceof InterruptedIOException) {
-        listener.callFailed(ticket, TargetFailure.TIMEOUT);
+        listener.onCallFailed(ticket, TargetFailure.TIMEOUT);
       } else {
-        listener.callFailed(ticket, TargetFailure.RESET);
+        listener.onCallFailed(ticket, TargetFailure.RESET);
       }
     }
 
     @Override
     public void onResponse(Call call, Response response) {
       try (response) {
-        if (Refusals.isRefusal(response)) {
-          listener.callFailed(ticket, Refusals.read(response));
+        if (TargetRejections.isRejection(response)) {
+          listener.onCallFailed(ticket, TargetRejections.readFailure(response));
           return;
         }
         String body = response.body().string();
-        if (ConnectionEnds.endsWithConnection(response) && !answers(address)) {
-          listener.callFailed(ticket, TargetFailure.RESET);
+        if (ResponseFraming.isCloseDelimited(response) && !isReachable(address)) {
+          listener.onCallFailed(ticket, TargetFailure.RESET);
           return;
         }
-        listener.answered(ticket, response.code(), body, load(response));
+        listener.onCallResponse(ticket, response.code(), body, load(response));
       } catch (IOException e) {
-        listener.callFailed(ticket, TargetFailure.RESET);
+        listener.onCallFailed(ticket, TargetFailure.RESET);
       }
     }
 
     private int load(Response response) {
       try {
-        return Integer.parseInt(response.header(LOAD, "0"));
+        return Integer.parseInt(response.header(LOAD_HEADER, "0"));
       } catch (NumberFormatException e) {
         return 0;
       }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/Refusals.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/TargetRejections.java
@@ -6,19 +6,19 @@
 import org.gatereel.core.event.TargetFailure;
 
 /** Reads the answers of targets that did not start a request. */
-final class Refusals {
+final class TargetRejections {
   private static final int UNAVAILABLE = 503;
 
-  private Refusals() {}
+  private TargetRejections() {}
 
-  static boolean isRefusal(Response response) {
+  static boolean isRejection(Response response) {
     return response.code() == UNAVAILABLE;
   }
 
   /** Returns the failure that a refusal stands for; an unreadable one proves nothing. */
-  static TargetFailure read(Response response) {
+  static TargetFailure readFailure(Response response) {
     try {
-      var refusal = Json.MAPPER.readValue(response.body().string(), EngineMessages.Refusal.class);
+      var refusal = Json.MAPPER.readValue(response.body().string(), EngineMessages.Rejection.class);
       return switch (String.valueOf(refusal.reason())) {
         case "LEAVING" -> TargetFailure.GOODBYE;
         case "FULL" -> TargetFailure.FULL;
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/RawServer.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/RawServer.java
@@ -19,22 +19,22 @@
   private static final String LENGTH = "content-length:";
 
   private final ServerSocket socket;
-  private final byte[] answer;
-  private final Ending ending;
+  private final byte[] response;
+  private final CloseMode closeMode;
 
   /** How the connection ends after the answer. */
-  public enum Ending {
+  public enum CloseMode {
     /** In order, while the server can still be reached. */
     CLOSE {
       @Override
-      void end(ServerSocket server, Socket connection) throws IOException {
+      void closeConnection(ServerSocket server, Socket connection) throws IOException {
         connection.close();
       }
     },
     /** In order, as the system ends the connections of a process that died. */
     DIE {
       @Override
-      void end(ServerSocket server, Socket connection) throws IOException {
+      void closeConnection(ServerSocket server, Socket connection) throws IOException {
         server.close();
         connection.close();
       }
@@ -42,19 +42,19 @@
     /** By a reset. */
     RESET {
       @Override
-      void end(ServerSocket server, Socket connection) throws IOException {
+      void closeConnection(ServerSocket server, Socket connection) throws IOException {
         connection.setSoLinger(true, 0);
         connection.close();
       }
     };
 
-    abstract void end(ServerSocket server, Socket connection) throws IOException;
+    abstract void closeConnection(ServerSocket server, Socket connection) throws IOException;
   }
 
-  public RawServer(String answer, Ending ending) throws IOException {
+  public RawServer(String answer, CloseMode ending) throws IOException {
     this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    this.answer = answer.getBytes(StandardCharsets.ISO_8859_1);
-    this.ending = ending;
+    this.response = answer.getBytes(StandardCharsets.ISO_8859_1);
+    this.closeMode = ending;
     Thread thread = new Thread(this::serve, "raw-server");
     thread.setDaemon(true);
     thread.start();
@@ -68,9 +68,9 @@
     while (!socket.isClosed()) {
       try (Socket connection = socket.accept()) {
         if (readRequest(connection.getInputStream())) {
-          connection.getOutputStream().write(answer);
+          connection.getOutputStream().write(response);
           connection.getOutputStream().flush();
-          ending.end(socket, connection);
+          closeMode.closeConnection(socket, connection);
         }
       } catch (IOException e) {
         // The test ended this server, or a client its connection; the next one is served.
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
@@ -25,73 +25,75 @@
 
 /** What counts as a document of the platform, where nothing but its connection ends it. */
 class PlatformClientTest {
-  private static final long PATIENCE_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final String UNFRAMED = "\r\nConnection: close\r\n\r\n";
   private static final String ROWS = "{\"rows\":{\"a\":\"1\",\"b\":\"{\\\"c\\\":2}\"}}";
   private static final String CONFLICT = "{\"keys\":[\"a\"],\"present\":{\"a\":\"1\"}}";
 
-  private static <T> T ask(
-      String answer, RawServer.Ending ending, BiConsumer<PlatformClient, Consumer<T>> question)
+  private static <T> T send(
+      String answer, RawServer.CloseMode ending, BiConsumer<PlatformClient, Consumer<T>> question)
       throws Exception {
     BlockingQueue<T> results = new LinkedBlockingQueue<>();
     try (HttpClients clients = new HttpClients();
         RawServer server = new RawServer(answer, ending)) {
       question.accept(new PlatformClient(clients.platform(), server.address()), results::add);
-      T result = results.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      T result = results.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertNotNull(result, "no result for " + answer);
       return result;
     }
   }
 
-  private static ReadResult read(String document, RawServer.Ending ending) throws Exception {
-    return ask(
+  private static ReadResult read(String document, RawServer.CloseMode ending) throws Exception {
+    return send(
         "HTTP/1.1 200 OK" + UNFRAMED + document,
         ending,
         (client, done) -> client.read(List.of("a", "b"), done));
   }
 
-  private static TransactionResult transact(String answer, RawServer.Ending ending)
+  private static TransactionResult transact(String answer, RawServer.CloseMode ending)
       throws Exception {
     TableWrite write = new TableWrite("a", Optional.of("0"), "2");
-    return ask(answer, ending, (client, done) -> client.transact(List.of(write), done));
+    return send(answer, ending, (client, done) -> client.transact(List.of(write), done));
   }
 
-  private static Stream<Arguments> cuts(String document) {
+  private static Stream<Arguments> truncations(String document) {
     return IntStream.range(0, document.length())
         .boxed()
         .flatMap(
             length ->
-                Stream.of(RawServer.Ending.values())
+                Stream.of(RawServer.CloseMode.values())
                     .map(ending -> Arguments.of(document.substring(0, length), ending)));
   }
 
   private static Stream<Arguments> cutRows() {
-    return cuts(ROWS);
+    return truncations(ROWS);
   }
 
   private static Stream<Arguments> cutConflicts() {
-    return cuts(CONFLICT);
+    return truncations(CONFLICT);
   }
 
   @Test
   void wholeDocumentsAreRead() throws Exception {
     assertEquals(
         "1",
-        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.Ending.DIE)).rows().get("a"));
+        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE))
+            .rows()
+            .get("a"));
     assertInstanceOf(
         TransactionResult.Conflict.class,
-        transact("HTTP/1.1 409 Conflict" + UNFRAMED + CONFLICT, RawServer.Ending.DIE));
+        transact("HTTP/1.1 409 Conflict" + UNFRAMED + CONFLICT, RawServer.CloseMode.DIE));
   }
 
   @ParameterizedTest
   @MethodSource("cutRows")
-  void rowsThatAreCutAnywhereAreNotRead(String part, RawServer.Ending ending) throws Exception {
+  void rowsThatAreCutAnywhereAreNotRead(String part, RawServer.CloseMode ending) throws Exception {
     assertInstanceOf(ReadResult.Failed.class, read(part, ending));
   }
 
   @ParameterizedTest
   @MethodSource("cutConflicts")
-  void aConflictThatIsCutAnywhereIsOfUnknownOutcome(String part, RawServer.Ending ending)
+  void aConflictThatIsCutAnywhereIsOfUnknownOutcome(String part, RawServer.CloseMode ending)
       throws Exception {
     String answer = "HTTP/1.1 409 Conflict" + UNFRAMED + part;
     assertInstanceOf(TransactionResult.Unknown.class, transact(answer, ending));
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
@@ -35,10 +35,10 @@
   private static final String END = "event: end\ndata: {\"length\":5}\n\n";
 
   /** Has an engine that gives an answer go on after three tokens, and returns how that ended. */
-  private static String run(String answer, RawServer.Ending ending) throws Exception {
+  private static String run(String answer, RawServer.CloseMode ending) throws Exception {
     try (HttpClients clients = new HttpClients();
         RawServer server = new RawServer(answer, ending)) {
-      HeardTargets heard = new HeardTargets();
+      RecordingTargetListener heard = new RecordingTargetListener();
       EngineClient client = new EngineClient(clients.streaming(), heard);
       GenerationSpec spec =
           new GenerationSpec(
@@ -50,7 +50,7 @@
               0);
       client.start(
           new Action.StartAttempt(spec, 1, target(server.address()), List.of("x", "y", "z")));
-      return heard.ending();
+      return heard.firstNonToken();
     }
   }
 
@@ -76,12 +76,13 @@
         .boxed()
         .flatMap(
             length ->
-                Stream.of(RawServer.Ending.values()).map(ending -> Arguments.of(length, ending)));
+                Stream.of(RawServer.CloseMode.values())
+                    .map(ending -> Arguments.of(length, ending)));
   }
 
   @ParameterizedTest
   @MethodSource("cuts")
-  void aStreamThatIsCutAnywhereBeforeItsFinalEventHasFailed(int length, RawServer.Ending ending)
+  void aStreamThatIsCutAnywhereBeforeItsFinalEventHasFailed(int length, RawServer.CloseMode ending)
       throws Exception {
     String part = (TOKENS + END).substring(0, length);
     assertEquals("failed RESET", run(UNFRAMED + part, ending));
@@ -89,9 +90,9 @@
 
   @ParameterizedTest
   @EnumSource(
-      value = RawServer.Ending.class,
+      value = RawServer.CloseMode.class,
       names = {"CLOSE", "DIE"})
-  void aStreamWhoseFinalEventCameIsFinishedThoughNothingElseEndsIt(RawServer.Ending ending)
+  void aStreamWhoseFinalEventCameIsFinishedThoughNothingElseEndsIt(RawServer.CloseMode ending)
       throws Exception {
     assertEquals("finished 5", run(UNFRAMED + TOKENS + END, ending));
     assertEquals("finished 5", run(chunked(TOKENS + END), ending));
@@ -100,14 +101,14 @@
   @Test
   void anAnswerThatIsWholeWithoutTheFinalEventHasFailed() throws Exception {
     String whole = chunked(TOKENS) + "0\r\n\r\n";
-    assertEquals("failed RESET", run(whole, RawServer.Ending.CLOSE));
+    assertEquals("failed RESET", run(whole, RawServer.CloseMode.CLOSE));
     String empty = STREAM + "Content-Length: 0\r\n\r\n";
-    assertEquals("failed RESET", run(empty, RawServer.Ending.CLOSE));
+    assertEquals("failed RESET", run(empty, RawServer.CloseMode.CLOSE));
   }
 
   @Test
   void anAnswerWhoseChunksAreCutHasFailed() throws Exception {
-    assertEquals("failed RESET", run(chunked(TOKENS), RawServer.Ending.DIE));
+    assertEquals("failed RESET", run(chunked(TOKENS), RawServer.CloseMode.DIE));
   }
 
   @ParameterizedTest
@@ -115,14 +116,14 @@
   void anAnswerOfAnotherTypeHasFailed(String type) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Type: " + type + "\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
-    assertEquals("failed RESET", run(answer + length + END, RawServer.Ending.CLOSE));
+    assertEquals("failed RESET", run(answer + length + END, RawServer.CloseMode.CLOSE));
   }
 
   @Test
   void anErrorIsNoEndThoughItsBodyLooksLikeOne() throws Exception {
     String answer = "HTTP/1.1 500 Error\r\nContent-Type: text/event-stream\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
-    assertEquals("failed ERROR", run(answer + length + END, RawServer.Ending.CLOSE));
+    assertEquals("failed ERROR", run(answer + length + END, RawServer.CloseMode.CLOSE));
   }
 
   @ParameterizedTest
@@ -133,7 +134,7 @@
     // that a generation which had none yet was told as finished; where the event had nothing at
     // all, the attempt never ended.
     String answer = UNFRAMED + "event: end\ndata: " + data + "\n\n";
-    String ended = run(answer, RawServer.Ending.CLOSE);
+    String ended = run(answer, RawServer.CloseMode.CLOSE);
     assertEquals("failed", ended.replaceAll(" .*", ""), ended);
   }
 }
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
@@ -23,11 +23,11 @@
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
   /** Sends a call to a server that gives an answer, and returns how it ended. */
-  private static String call(String answer, RawServer.Ending ending) throws Exception {
+  private static String call(String answer, RawServer.CloseMode ending) throws Exception {
     try (HttpClients clients = new HttpClients();
         RawServer server = new RawServer(answer, ending)) {
-      HeardTargets heard = new HeardTargets();
-      ServiceClient client = new ServiceClient(clients.once(), heard);
+      RecordingTargetListener heard = new RecordingTargetListener();
+      ServiceClient client = new ServiceClient(clients.unpooled(), heard);
       client.send(
           new Action.SendCall(1, target(server.address()), "call-1", "debit", TIMEOUT_MILLIS, 0));
       return heard.next();
@@ -48,7 +48,7 @@
   @Test
   void anAnswerWhoseConnectionIsClosedByAServiceThatStillAnswersIsWhole() throws Exception {
     String answer = UNFRAMED + "balance 12";
-    assertEquals("answered 200 balance 12", call(answer, RawServer.Ending.CLOSE));
+    assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.CLOSE));
   }
 
   @Test
@@ -56,30 +56,30 @@
     // A service sent "balance 1200" without a length and died after "balance 12". Its system
     // closed the connection in order, which is how such an answer ends, so that the part was kept
     // under the Idempotency-Key as the answer and given to everyone who asked again.
-    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.Ending.DIE));
+    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.DIE));
   }
 
   @Test
   void aLengthThatCannotBeReadIsNone() throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
-    assertEquals("failed RESET", call(answer, RawServer.Ending.DIE));
+    assertEquals("failed RESET", call(answer, RawServer.CloseMode.DIE));
   }
 
   @Test
   void anAnswerThatIsResetIsCut() throws Exception {
-    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.Ending.RESET));
+    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.RESET));
   }
 
   @ParameterizedTest
-  @EnumSource(RawServer.Ending.class)
-  void anAnswerShortOfItsLengthIsCut(RawServer.Ending ending) throws Exception {
+  @EnumSource(RawServer.CloseMode.class)
+  void anAnswerShortOfItsLengthIsCut(RawServer.CloseMode ending) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
     assertEquals("failed RESET", call(answer, ending));
   }
 
   @ParameterizedTest
-  @EnumSource(RawServer.Ending.class)
-  void anAnswerWithoutItsLastChunkIsCut(RawServer.Ending ending) throws Exception {
+  @EnumSource(RawServer.CloseMode.class)
+  void anAnswerWithoutItsLastChunkIsCut(RawServer.CloseMode ending) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
     assertEquals("failed RESET", call(answer, ending));
   }
@@ -95,11 +95,11 @@
   void anAnswerThatItsServiceEndedIsWholeThoughTheServiceDiedAfterIt(String header, String body)
       throws Exception {
     String answer = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
-    assertEquals("answered 200 balance 12", call(answer, RawServer.Ending.DIE));
+    assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.DIE));
   }
 
   @Test
   void anAnswerThatCanHaveNoBodyIsWhole() throws Exception {
-    assertEquals("answered 204 ", call("HTTP/1.1 204 No Content\r\n\r\n", RawServer.Ending.DIE));
+    assertEquals("answered 204 ", call("HTTP/1.1 204 No Content\r\n\r\n", RawServer.CloseMode.DIE));
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
@@ -69,7 +69,7 @@
             exchanges,
             platform,
             new EngineClient(clients.streaming(), inbox),
-            new ServiceClient(clients.once(), inbox),
+            new ServiceClient(clients.unpooled(), inbox),
             peers,
             inbox::post);
     EntryHost core =
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
@@ -33,7 +33,7 @@
   }
 
   private void poll() {
-    platform.hosts(this::seen);
+    platform.readHostList(this::seen);
     // All hosts together read about as often whatever their number; news spreads among peers.
     long interval = Math.max(SHORTEST_MILLIS, (long) hosts * MILLIS_A_SECOND / READS_A_SECOND);
     var unused = timer.schedule(this::poll, interval, TimeUnit.MILLISECONDS);
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -33,27 +33,27 @@
   }
 
   @Override
-  public void token(RequestId request, int attempt, int offset, String token, int load) {
+  public void onToken(RequestId request, int attempt, int offset, String token, int load) {
     post(new Event.TokenArrived(request, attempt, offset, token, load));
   }
 
   @Override
-  public void finished(RequestId request, int attempt, int length) {
+  public void onFinished(RequestId request, int attempt, int length) {
     post(new Event.AttemptFinished(request, attempt, length));
   }
 
   @Override
-  public void failed(RequestId request, int attempt, TargetFailure failure) {
+  public void onFailed(RequestId request, int attempt, TargetFailure failure) {
     post(new Event.AttemptFailed(request, attempt, failure));
   }
 
   @Override
-  public void answered(long ticket, int status, String body, int load) {
+  public void onCallResponse(long ticket, int status, String body, int load) {
     post(new Event.CallAnswered(ticket, status, body, load));
   }
 
   @Override
-  public void callFailed(long ticket, TargetFailure failure) {
+  public void onCallFailed(long ticket, TargetFailure failure) {
     post(new Event.CallFailed(ticket, failure));
   }
 
