--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
@@ -14,9 +14,9 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
-import org.gatereel.daemon.callers.CallerGate;
-import org.gatereel.daemon.callers.Exchanges;
-import org.gatereel.daemon.control.ActionRunner;
+import org.gatereel.daemon.callers.CallerExchanges;
+import org.gatereel.daemon.callers.CallerServer;
+import org.gatereel.daemon.control.ActionDispatcher;
 import org.gatereel.daemon.control.ControlLoop;
 import org.gatereel.daemon.control.HostListPoller;
 import org.gatereel.daemon.control.Inbox;
@@ -28,8 +28,8 @@
 
 /** One entry host: the services in their order, and the planned stop. */
 public final class Daemon implements AutoCloseable {
-  private static final long LOOK_MILLIS = 50;
-  private static final long ANSWER_MILLIS = 2_000;
+  private static final long DRAIN_POLL_INTERVAL_MILLIS = 50;
+  private static final long CONTROL_TIMEOUT_MILLIS = 2_000;
 
   private final Settings settings;
   private final Kernel kernel = new Kernel();
@@ -57,14 +57,15 @@
     Inbox inbox = new Inbox(events);
     HttpClients clients = kernel.start(Services.CLIENTS, found -> new HttpClients());
     PeerLinks links = kernel.start(Services.PEERS, found -> new PeerLinks(settings.host(), inbox));
-    Exchanges exchanges =
+    CallerExchanges exchanges =
         kernel.start(
-            Services.EXCHANGES, found -> new Exchanges(settings.mostWaitingBytes(), inbox::post));
+            Services.EXCHANGES,
+            found -> new CallerExchanges(settings.mostWaitingBytes(), inbox::post));
     PlatformClient platform = new PlatformClient(clients.platform(), settings.platform());
     PeerSender peers = new PeerSender(links);
-    peers.learn(settings.peers());
-    ActionRunner runner =
-        new ActionRunner(
+    peers.updateAddresses(settings.peers());
+    ActionDispatcher runner =
+        new ActionDispatcher(
             events,
             exchanges,
             platform,
@@ -84,26 +85,26 @@
     kernel.start(
         Services.CALLERS,
         found ->
-            new CallerGate(
-                settings, exchanges, loop, events, platform, () -> !stopping, this::leave));
+            new CallerServer(
+                settings, exchanges, loop, events, platform, () -> !stopping, this::markNotReady));
     addGauges(loop, links);
     return loop;
   }
 
   private void addGauges(ControlLoop loop, PeerLinks links) {
-    events.gauge("peer_bytes_sent", links::bytesSent);
-    events.gauge("peer_messages_sent", links::messagesSent);
-    events.gauge("table_revision", () -> status(loop).revision());
-    events.gauge("open_generations", () -> status(loop).openGenerations());
-    events.gauge("owned_generations", () -> status(loop).ownedGenerations());
-    events.gauge("held_copies", () -> status(loop).heldCopies());
-    events.gauge("waiting_requests", () -> status(loop).waiting());
-    events.gauge("open_calls", () -> status(loop).openCalls());
+    events.addGauge("peer_bytes_sent", links::bytesSent);
+    events.addGauge("peer_messages_sent", links::messagesSent);
+    events.addGauge("table_revision", () -> status(loop).revision());
+    events.addGauge("open_generations", () -> status(loop).openGenerations());
+    events.addGauge("owned_generations", () -> status(loop).ownedGenerations());
+    events.addGauge("held_copies", () -> status(loop).heldCopies());
+    events.addGauge("waiting_requests", () -> status(loop).waiting());
+    events.addGauge("open_calls", () -> status(loop).openCalls());
   }
 
   private static HostStatus status(ControlLoop loop) {
     try {
-      return loop.ask(EntryHost::status).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      return loop.query(EntryHost::status).get(CONTROL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IllegalStateException("interrupted", e);
@@ -113,25 +114,25 @@
   }
 
   /** Tells the balancer to send nothing new; requests that still come are served. */
-  public void leave() {
+  public void markNotReady() {
     stopping = true;
   }
 
   /** Stops as planned: leaves the balancer, finishes what is open, then closes. */
   public void stop() throws InterruptedException, GatereelException {
-    leave();
+    markNotReady();
     TimeUnit.MILLISECONDS.sleep(settings.balancerMillis());
     control.post(new Event.DrainRequested());
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(settings.drainMillis());
     while (openRequests() > 0 && System.nanoTime() < deadline) {
-      TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(DRAIN_POLL_INTERVAL_MILLIS);
     }
     close();
   }
 
   private int openRequests() {
     try {
-      return control.ask(EntryHost::open).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+      return control.query(EntryHost::open).get(CONTROL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
       return 1;
     } catch (InterruptedException e) {
@@ -142,7 +143,7 @@
 
   @Override
   public void close() throws GatereelException {
-    events.note(new Action.Note(EventCode.HOST_STOPPED, settings.host().value(), ""));
+    events.recordEvent(new Action.Note(EventCode.HOST_STOPPED, settings.host().value(), ""));
     kernel.close();
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/DaemonMain.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/DaemonMain.java
@@ -12,9 +12,9 @@
 
 /** The command {@code gatereel}: runs an entry host until it is told to stop. */
 public final class DaemonMain {
-  private static final int FAILED = 1;
-  private static final int USAGE = 2;
-  private static final int BAD_SETTINGS = 3;
+  private static final int EXIT_FAILED = 1;
+  private static final int EXIT_USAGE = 2;
+  private static final int EXIT_BAD_SETTINGS = 3;
 
   @Parameter(description = "FILE")
   private String file;
@@ -35,11 +35,11 @@
       commander.parse(arguments);
     } catch (ParameterException e) {
       System.err.println(e.getMessage());
-      System.exit(USAGE);
+      System.exit(EXIT_USAGE);
     }
     if (main.help || main.file == null) {
       commander.usage();
-      System.exit(main.help ? 0 : USAGE);
+      System.exit(main.help ? 0 : EXIT_USAGE);
     }
     System.exit(main.run());
   }
@@ -58,10 +58,10 @@
       return 0;
     } catch (SettingsException e) {
       System.err.println(e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_BAD_SETTINGS;
     } catch (GatereelException e) {
       System.err.println(e.getMessage());
-      return FAILED;
+      return EXIT_FAILED;
     }
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/Keys.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/BearerKeys.java
@@ -8,10 +8,10 @@
 import org.gatereel.daemon.settings.Settings;
 
 /** Reads bearer keys; only their hashes go any further. */
-final class Keys {
+final class BearerKeys {
   private static final String BEARER = "Bearer ";
 
-  private Keys() {}
+  private BearerKeys() {}
 
   /** Returns the SHA-256 of a request's bearer key; of an empty text if it has none. */
   static String credential(Context context) {
@@ -21,7 +21,7 @@
   }
 
   /** Returns the operator whose key a request has. */
-  static Optional<String> operator(Context context, List<Settings.Operator> operators) {
+  static Optional<String> findOperator(Context context, List<Settings.Operator> operators) {
     String credential = credential(context);
     return operators.stream()
         .filter(operator -> operator.keySha256().equals(credential))
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/Exchange.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchange.java
@@ -11,14 +11,14 @@
 import org.gatereel.core.model.ProblemType;
 
 /** One open request of a caller; written to by the control thread only. */
-final class Exchange {
+final class CallerExchange {
   private static final MediaType EVENT_STREAM = MediaType.valueOf("text/event-stream");
   private static final int OK = 200;
 
   private final Context context;
-  private final int mostWaitingBytes;
-  private final Runnable gone;
-  private final AtomicLong waitingBytes = new AtomicLong();
+  private final int maxBufferedBytes;
+  private final Runnable onDisconnect;
+  private final AtomicLong bufferedBytes = new AtomicLong();
   private Sender sender;
   private boolean ended;
 
@@ -28,13 +28,13 @@
 
   private record Length(int tokens) {}
 
-  Exchange(Context context, int mostWaitingBytes, Runnable gone) {
+  CallerExchange(Context context, int mostWaitingBytes, Runnable gone) {
     this.context = context;
-    this.mostWaitingBytes = mostWaitingBytes;
-    this.gone = gone;
+    this.maxBufferedBytes = mostWaitingBytes;
+    this.onDisconnect = gone;
   }
 
-  void open(EventId id) {
+  void openStream(EventId id) {
     if (ended) {
       return;
     }
@@ -45,39 +45,39 @@
     write("open", id, new Opened(id.request().value()));
   }
 
-  void token(EventId id, String token) {
+  void sendToken(EventId id, String token) {
     write("token", id, new Text(token));
-    if (waitingBytes.get() > mostWaitingBytes && !ended) {
-      String detail = waitingBytes.get() + " bytes are waiting";
-      endStream(new Problem(ProblemType.SLOW_READER, Outcome.RAN, detail, 1));
-      gone.run();
+    if (bufferedBytes.get() > maxBufferedBytes && !ended) {
+      String detail = bufferedBytes.get() + " bytes are waiting";
+      endWithProblem(new Problem(ProblemType.SLOW_READER, Outcome.RAN, detail, 1));
+      onDisconnect.run();
     }
   }
 
-  void end(EventId id) {
+  void sendEnd(EventId id) {
     write("end", id, new Length(id.offset()));
     close();
   }
 
   /** Tells of a problem: in the stream if it is open, as the answer otherwise. */
-  void refuse(Problem problem) {
+  void sendProblem(Problem problem) {
     if (ended) {
       return;
     }
     if (sender != null) {
-      endStream(problem);
+      endWithProblem(problem);
     } else {
       ended = true;
-      ProblemDocument.answer(context, problem);
+      ProblemDocument.send(context, problem);
     }
   }
 
-  private void endStream(Problem problem) {
+  private void endWithProblem(Problem problem) {
     write("problem", null, ProblemDocument.of(problem));
     close();
   }
 
-  void answer(int status, MediaType type, byte[] body) {
+  void respond(int status, MediaType type, byte[] body) {
     if (!ended) {
       ended = true;
       context.setResponseCode(status);
@@ -95,7 +95,7 @@
     // What a request that has no answer yet has come to is known to the core only, which was not
     // asked.
     Outcome outcome = sender == null ? Outcome.UNKNOWN : Outcome.RAN;
-    refuse(new Problem(reason, outcome, "connect again", 1));
+    sendProblem(new Problem(reason, outcome, "connect again", 1));
   }
 
   private void close() {
@@ -113,14 +113,14 @@
     String body = new String(ProblemDocument.json(data), StandardCharsets.UTF_8);
     String event = head + "event: " + type + "\ndata: " + body + "\n\n";
     byte[] bytes = event.getBytes(StandardCharsets.UTF_8);
-    waitingBytes.addAndGet(bytes.length);
-    sender.write(bytes, (done, failure) -> written(bytes.length, failure));
+    bufferedBytes.addAndGet(bytes.length);
+    sender.write(bytes, (done, failure) -> onWritten(bytes.length, failure));
   }
 
-  private void written(int length, Throwable failure) {
-    waitingBytes.addAndGet(-length);
+  private void onWritten(int length, Throwable failure) {
+    bufferedBytes.addAndGet(-length);
     if (failure != null) {
-      gone.run();
+      onDisconnect.run();
     }
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
@@ -18,7 +18,7 @@
 
 /** The paths of callers: generations and plain calls. */
 final class CallerRoutes {
-  private static final List<String> FORMS =
+  private static final List<String> FORM_MEDIA_TYPES =
       List.of("application/x-www-form-urlencoded", "multipart/form-data");
   private static final String LAST_EVENT_ID = "Last-Event-ID";
   private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[!-}]{1,128}");
@@ -28,11 +28,11 @@
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
           .build();
 
-  private final Exchanges exchanges;
+  private final CallerExchanges exchanges;
 
   private record GenerationBody(String service, String prompt, int maximumTokens) {}
 
-  CallerRoutes(Exchanges exchanges) {
+  CallerRoutes(CallerExchanges exchanges) {
     this.exchanges = exchanges;
   }
 
@@ -47,20 +47,20 @@
       return resume(context);
     }
     if (isForm(context)) {
-      return formRefused(context);
+      return rejectForm(context);
     }
     GenerationBody body;
     try {
       body = MAPPER.readValue(context.body().value(""), GenerationBody.class);
     } catch (JsonProcessingException e) {
-      return malformed(context, e.getOriginalMessage());
+      return rejectMalformed(context, e.getOriginalMessage());
     }
     boolean complete = body != null && body.service() != null && body.prompt() != null;
     if (!complete || body.maximumTokens() < 1) {
-      return malformed(context, "wanted: service, prompt, maximumTokens of 1 or more");
+      return rejectMalformed(context, "wanted: service, prompt, maximumTokens of 1 or more");
     }
-    String credential = Keys.credential(context);
-    return exchanges.take(
+    String credential = BearerKeys.credential(context);
+    return exchanges.accept(
         context,
         caller ->
             new Event.GenerationRequested(
@@ -71,17 +71,17 @@
                 body.maximumTokens()));
   }
 
-  private static Context malformed(Context context, String detail) {
-    return ProblemDocument.answer(context, Problem.notRun(ProblemType.MALFORMED_BODY, detail));
+  private static Context rejectMalformed(Context context, String detail) {
+    return ProblemDocument.send(context, Problem.notRun(ProblemType.MALFORMED_BODY, detail));
   }
 
   /** A form is taken apart before it gets here, so that its text is no longer known. */
   private static boolean isForm(Context context) {
-    return FORMS.stream().anyMatch(context.header("Content-Type").value("")::startsWith);
+    return FORM_MEDIA_TYPES.stream().anyMatch(context.header("Content-Type").value("")::startsWith);
   }
 
-  private static Context formRefused(Context context) {
-    return malformed(context, "send the body as application/json, not as a form");
+  private static Context rejectForm(Context context) {
+    return rejectMalformed(context, "send the body as application/json, not as a form");
   }
 
   private Object resume(Context context) throws Exception {
@@ -89,28 +89,29 @@
     try {
       after = EventId.parse(context.header(LAST_EVENT_ID).value(""));
     } catch (MalformedEventIdException e) {
-      return ProblemDocument.answer(
+      return ProblemDocument.send(
           context, Problem.notRun(ProblemType.MALFORMED_EVENT_ID, e.getMessage()));
     }
-    String credential = Keys.credential(context);
-    return exchanges.take(context, caller -> new Event.ResumeRequested(caller, credential, after));
+    String credential = BearerKeys.credential(context);
+    return exchanges.accept(
+        context, caller -> new Event.ResumeRequested(caller, credential, after));
   }
 
   private Object call(Context context) throws Exception {
     if (isForm(context)) {
-      return formRefused(context);
+      return rejectForm(context);
     }
     String key = context.header("Idempotency-Key").value("");
     if (!key.isEmpty() && !IDEMPOTENCY_KEY.matcher(key).matches()) {
       String detail = "an Idempotency-Key has 1 to 128 printable ASCII characters, no blanks";
-      return ProblemDocument.answer(
+      return ProblemDocument.send(
           context, Problem.notRun(ProblemType.MISSING_IDEMPOTENCY_KEY, detail));
     }
-    String credential = Keys.credential(context);
+    String credential = BearerKeys.credential(context);
     String body = context.body().value("");
     ServiceName service = new ServiceName(context.path("service").value());
     Optional<String> present = key.isEmpty() ? Optional.empty() : Optional.of(key);
-    return exchanges.take(
+    return exchanges.accept(
         context, caller -> new Event.CallRequested(caller, credential, service, present, body));
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerGate.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerServer.java
@@ -19,7 +19,7 @@
 import org.gatereel.daemon.settings.Settings;
 
 /** The HTTP server for callers, operators and the balancer. */
-public final class CallerGate implements AutoCloseable {
+public final class CallerServer implements AutoCloseable {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
   private static final int IO_THREADS = 2;
@@ -43,9 +43,9 @@
    * @param drain starts a planned stop
    * @throws HttpPortException if the address cannot be bound
    */
-  public CallerGate(
+  public CallerServer(
       Settings settings,
-      Exchanges exchanges,
+      CallerExchanges exchanges,
       ControlLoop control,
       EventLog events,
       PlatformClient platform,
@@ -64,10 +64,10 @@
             (after, done) -> platform.scan(TableHistory.PREFIX, TableHistory.key(after), done),
             drain)
         .route(application);
-    application.get("/healthz", context -> health(context, true));
-    application.get("/readyz", context -> readiness(context, control));
-    application.get("/metrics", this::metrics);
-    application.error(this::failed);
+    application.get("/healthz", context -> sendHealth(context, true));
+    application.get("/readyz", context -> sendReadiness(context, control));
+    application.get("/metrics", this::sendMetrics);
+    application.error(this::handleError);
     server.setOptions(options(settings));
     try {
       server.start(application);
@@ -87,30 +87,31 @@
     return options;
   }
 
-  private static Context health(Context context, boolean good) {
+  private static Context sendHealth(Context context, boolean good) {
     context.setResponseCode(good ? OK : UNAVAILABLE);
     context.setResponseType(MediaType.json);
     return context.send(ProblemDocument.json(new Health(good ? "ready" : "not ready")));
   }
 
-  private Object readiness(Context context, ControlLoop control) throws Exception {
+  private Object sendReadiness(Context context, ControlLoop control) throws Exception {
     if (!ready.getAsBoolean()) {
-      return health(context, false);
+      return sendHealth(context, false);
     }
     return context.detach(
         detached -> {
-          var unused = control.ask(EntryHost::isReady).thenAccept(good -> health(detached, good));
+          var unused =
+              control.query(EntryHost::isReady).thenAccept(good -> sendHealth(detached, good));
           return detached;
         });
   }
 
-  private Context metrics(Context context) {
+  private Context sendMetrics(Context context) {
     context.setResponseType(MediaType.text);
     return context.send(events.scrape());
   }
 
-  private void failed(Context context, Throwable cause, StatusCode status) {
-    ProblemDocument.answer(context, problem(context, cause, status));
+  private void handleError(Context context, Throwable cause, StatusCode status) {
+    ProblemDocument.send(context, problem(context, cause, status));
   }
 
   private Problem problem(Context context, Throwable cause, StatusCode status) {
@@ -125,7 +126,7 @@
     if (status.value() < StatusCode.SERVER_ERROR_CODE) {
       return Problem.notRun(ProblemType.MALFORMED_BODY, String.valueOf(cause.getMessage()));
     }
-    events.failure("a request could not be handled", cause);
+    events.logFailure("a request could not be handled", cause);
     return new Problem(ProblemType.INTERNAL, Outcome.UNKNOWN, "see the log", 0);
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
@@ -32,7 +32,7 @@
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
 
-  private final Exchanges exchanges;
+  private final CallerExchanges exchanges;
   private final ControlLoop control;
   private final EventLog events;
   private final List<Settings.Operator> operators;
@@ -53,7 +53,7 @@
   private record Draining(boolean draining) {}
 
   OperatorRoutes(
-      Exchanges exchanges,
+      CallerExchanges exchanges,
       ControlLoop control,
       EventLog events,
       List<Settings.Operator> operators,
@@ -68,27 +68,27 @@
   }
 
   void route(Jooby application) {
-    application.get("/admin/table", checked(this::table));
-    application.get("/admin/table/{kind}/{name}", checked(this::row));
-    application.put("/admin/table/{kind}/{name}", checked(context -> edit(context, false)));
-    application.delete("/admin/table/{kind}/{name}", checked(context -> edit(context, true)));
-    application.get("/admin/history", checked(this::history));
-    application.get("/admin/status", checked(this::status));
-    application.get("/admin/timeline", checked(this::timeline));
+    application.get("/admin/table", authenticated(this::table));
+    application.get("/admin/table/{kind}/{name}", authenticated(this::row));
+    application.put("/admin/table/{kind}/{name}", authenticated(context -> edit(context, false)));
+    application.delete("/admin/table/{kind}/{name}", authenticated(context -> edit(context, true)));
+    application.get("/admin/history", authenticated(this::history));
+    application.get("/admin/status", authenticated(this::status));
+    application.get("/admin/timeline", authenticated(this::timeline));
     application.post(
         "/admin/drain",
-        checked(
+        authenticated(
             context -> {
               drain.run();
               return json(context, new Draining(true));
             }));
   }
 
-  private Route.Handler checked(Route.Handler handler) {
+  private Route.Handler authenticated(Route.Handler handler) {
     return context ->
-        Keys.operator(context, operators).isPresent()
+        BearerKeys.findOperator(context, operators).isPresent()
             ? handler.apply(context)
-            : ProblemDocument.answer(
+            : ProblemDocument.send(
                 context,
                 Problem.notRun(ProblemType.UNKNOWN_OPERATOR, "send an operator's bearer key"));
   }
@@ -99,7 +99,8 @@
     return context.send(ProblemDocument.json(value));
   }
 
-  private static Object later(Context context, CompletableFuture<?> answer) throws Exception {
+  private static Object sendWhenComplete(Context context, CompletableFuture<?> answer)
+      throws Exception {
     return context.detach(
         detached -> {
           var unused = answer.thenAccept(value -> json(detached, value));
@@ -108,8 +109,8 @@
   }
 
   private Object table(Context context) throws Exception {
-    return later(
-        context, control.ask(core -> new Table(core.table().revision(), core.table().rows())));
+    return sendWhenComplete(
+        context, control.query(core -> new Table(core.table().revision(), core.table().rows())));
   }
 
   private Object row(Context context) throws Exception {
@@ -117,21 +118,21 @@
     try {
       key = key(context);
     } catch (InvalidEditException e) {
-      return invalid(context, e);
+      return rejectInvalidEdit(context, e);
     }
-    CompletableFuture<Optional<Row>> found = control.ask(core -> core.table().row(key));
+    CompletableFuture<Optional<Row>> found = control.query(core -> core.table().row(key));
     return context.detach(
         detached -> {
-          var unused = found.thenAccept(row -> rowFound(detached, key, row));
+          var unused = found.thenAccept(row -> sendRow(detached, key, row));
           return detached;
         });
   }
 
-  private static void rowFound(Context context, RowKey key, Optional<Row> row) {
+  private static void sendRow(Context context, RowKey key, Optional<Row> row) {
     if (row.isPresent()) {
       json(context, row.get());
     } else {
-      ProblemDocument.answer(
+      ProblemDocument.send(
           context, Problem.notRun(ProblemType.UNKNOWN_ROW, "there is no row " + key));
     }
   }
@@ -140,8 +141,8 @@
     return new RowKey(RowKind.of(context.path("kind").value()), context.path("name").value());
   }
 
-  private static Object invalid(Context context, InvalidEditException failure) {
-    return ProblemDocument.answer(
+  private static Object rejectInvalidEdit(Context context, InvalidEditException failure) {
+    return ProblemDocument.send(
         context, Problem.notRun(ProblemType.INVALID_EDIT, failure.getMessage()));
   }
 
@@ -152,19 +153,19 @@
       change = MAPPER.readValue(context.body().value("{}"), Change.class);
       key = key(context);
     } catch (JsonProcessingException e) {
-      return ProblemDocument.answer(
+      return ProblemDocument.send(
           context, Problem.notRun(ProblemType.MALFORMED_BODY, e.getOriginalMessage()));
     } catch (InvalidEditException e) {
-      return invalid(context, e);
+      return rejectInvalidEdit(context, e);
     }
     if (change.editId() == null || change.basedOn() == null) {
       String detail = "wanted: editId, basedOn (0 for a new row) and cells";
-      return ProblemDocument.answer(context, Problem.notRun(ProblemType.MALFORMED_BODY, detail));
+      return ProblemDocument.send(context, Problem.notRun(ProblemType.MALFORMED_BODY, detail));
     }
     Map<String, String> cells = change.cells() == null ? new TreeMap<>() : change.cells();
     RowChange rowChange = new RowChange(key, change.basedOn(), delete, cells);
-    String operator = Keys.operator(context, operators).orElseThrow();
-    return exchanges.take(
+    String operator = BearerKeys.findOperator(context, operators).orElseThrow();
+    return exchanges.accept(
         context,
         caller ->
             new Event.EditRequested(
@@ -175,12 +176,12 @@
     long after = context.query("after").longValue(0);
     return context.detach(
         detached -> {
-          history.read(after, result -> historyRead(detached, result));
+          history.read(after, result -> sendHistory(detached, result));
           return detached;
         });
   }
 
-  private static void historyRead(Context context, ReadResult result) {
+  private static void sendHistory(Context context, ReadResult result) {
     if (result instanceof ReadResult.Rows rows) {
       List<TableEdit> edits =
           TableHistory.decode(rows.rows()).stream()
@@ -188,7 +189,7 @@
               .toList();
       json(context, new History(edits));
     } else {
-      ProblemDocument.answer(
+      ProblemDocument.send(
           context,
           Problem.notRun(
               ProblemType.PLATFORM_UNAVAILABLE, "the history is kept there only", 1_000));
@@ -196,7 +197,7 @@
   }
 
   private Object status(Context context) throws Exception {
-    return later(context, control.ask(core -> core.status()));
+    return sendWhenComplete(context, control.query(core -> core.status()));
   }
 
   private Object timeline(Context context) {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/ProblemDocument.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/ProblemDocument.java
@@ -17,7 +17,7 @@
     String type, String title, int status, String detail, Outcome outcome, long retryAfterMillis) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final MediaType MEDIA_TYPE = MediaType.valueOf("application/problem+json");
-  private static final long MILLIS_A_SECOND = 1_000;
+  private static final long MILLIS_PER_SECOND = 1_000;
 
   static ProblemDocument of(Problem problem) {
     return new ProblemDocument(
@@ -30,11 +30,11 @@
   }
 
   /** Answers an exchange with a problem. */
-  static Context answer(Context context, Problem problem) {
+  static Context send(Context context, Problem problem) {
     context.setResponseCode(problem.type().status());
     context.setResponseType(MEDIA_TYPE);
     if (problem.retryAfterMillis() > 0) {
-      long seconds = (problem.retryAfterMillis() + MILLIS_A_SECOND - 1) / MILLIS_A_SECOND;
+      long seconds = (problem.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
       context.setResponseHeader("Retry-After", Long.toString(seconds));
     }
     return context.send(json(of(problem)));
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionRunner.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionDispatcher.java
@@ -6,22 +6,22 @@
 import org.gatereel.adapters.targets.ServiceClient;
 import org.gatereel.core.action.Action;
 import org.gatereel.core.event.Event;
-import org.gatereel.daemon.callers.Exchanges;
+import org.gatereel.daemon.callers.CallerExchanges;
 import org.gatereel.daemon.events.EventLog;
 
 /** Carries out the core's actions through the ports. */
-public final class ActionRunner implements Consumer<Action> {
+public final class ActionDispatcher implements Consumer<Action> {
   private final EventLog events;
-  private final Exchanges callers;
+  private final CallerExchanges callers;
   private final PlatformClient platform;
   private final EngineClient engines;
   private final ServiceClient services;
   private final PeerSender peers;
-  private final Consumer<Event> inbox;
+  private final Consumer<Event> eventSink;
 
-  public ActionRunner(
+  public ActionDispatcher(
       EventLog events,
-      Exchanges callers,
+      CallerExchanges callers,
       PlatformClient platform,
       EngineClient engines,
       ServiceClient services,
@@ -33,7 +33,7 @@
     this.engines = engines;
     this.services = services;
     this.peers = peers;
-    this.inbox = inbox;
+    this.eventSink = inbox;
   }
 
   @Override
@@ -45,15 +45,15 @@
     } else if (action instanceof Action.DropLink drop) {
       peers.drop(drop.peer());
     } else if (action instanceof Action.Note note) {
-      events.note(note);
+      events.recordEvent(note);
     } else if (action instanceof Action.Measure measure) {
-      events.measure(measure);
-    } else if (!runTarget(action) && !runPlatform(action)) {
-      callers.run(action);
+      events.recordMeasurement(measure);
+    } else if (!dispatchToTarget(action) && !dispatchToPlatform(action)) {
+      callers.execute(action);
     }
   }
 
-  private boolean runTarget(Action action) {
+  private boolean dispatchToTarget(Action action) {
     if (action instanceof Action.StartAttempt start) {
       engines.start(start);
     } else if (action instanceof Action.CancelAttempt cancel) {
@@ -66,19 +66,19 @@
     return true;
   }
 
-  private boolean runPlatform(Action action) {
+  private boolean dispatchToPlatform(Action action) {
     if (action instanceof Action.Transact transact) {
       platform.transact(
           transact.writes(),
-          result -> inbox.accept(new Event.TransactionEnded(transact.ticket(), result)));
+          result -> eventSink.accept(new Event.TransactionEnded(transact.ticket(), result)));
     } else if (action instanceof Action.ReadRows read) {
       platform.read(
-          read.keys(), result -> inbox.accept(new Event.ReadEnded(read.ticket(), result)));
+          read.keys(), result -> eventSink.accept(new Event.ReadEnded(read.ticket(), result)));
     } else if (action instanceof Action.ScanRows scan) {
       platform.scan(
           scan.prefix(),
           scan.after(),
-          result -> inbox.accept(new Event.ReadEnded(scan.ticket(), result)));
+          result -> eventSink.accept(new Event.ReadEnded(scan.ticket(), result)));
     } else {
       return false;
     }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
@@ -16,13 +16,13 @@
 
 /** The one thread for control state: it feeds the core with events and carries out its actions. */
 public final class ControlLoop implements AutoCloseable {
-  private static final long IDLE_MILLIS = 1_000;
-  private static final int STOP_MILLIS = 2_000;
+  private static final long MAX_WAIT_MILLIS = 1_000;
+  private static final int STOP_TIMEOUT_MILLIS = 2_000;
 
   private final EntryHost core;
   private final EventLog events;
-  private final Consumer<Action> runner;
-  private final LinkedBlockingDeque<Runnable> inbox = new LinkedBlockingDeque<>();
+  private final Consumer<Action> actionHandler;
+  private final LinkedBlockingDeque<Runnable> tasks = new LinkedBlockingDeque<>();
   private final Thread thread = new Thread(this::run, "control");
   private final CountDownLatch started = new CountDownLatch(1);
   private volatile boolean closed;
@@ -30,13 +30,13 @@
   public ControlLoop(EntryHost core, EventLog events, Consumer<Action> runner) {
     this.core = core;
     this.events = events;
-    this.runner = runner;
+    this.actionHandler = runner;
     thread.setDaemon(true);
   }
 
   /** Starts the thread and the core. */
   public void start(List<HostDescription> seeds) {
-    inbox.add(() -> perform(core.start(nowMillis(), seeds)));
+    tasks.add(() -> execute(core.start(nowMillis(), seeds)));
     thread.start();
     started.countDown();
   }
@@ -48,18 +48,18 @@
    * that waits: the rest of an answer would be taken for delivered to somebody who is not there.
    */
   public void post(Event event) {
-    Runnable handling = () -> perform(core.handle(event, nowMillis()));
+    Runnable handling = () -> execute(core.handle(event, nowMillis()));
     if (event instanceof Event.CallerGone) {
-      inbox.addFirst(handling);
+      tasks.addFirst(handling);
     }
     // A caller's leaving comes again in its turn, since its request itself may still wait.
-    inbox.addLast(handling);
+    tasks.addLast(handling);
   }
 
   /** Asks the core something, on its thread. */
-  public <T> CompletableFuture<T> ask(Function<EntryHost, T> question) {
+  public <T> CompletableFuture<T> query(Function<EntryHost, T> question) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    inbox.add(() -> answer.complete(question.apply(core)));
+    tasks.add(() -> answer.complete(question.apply(core)));
     return answer;
   }
 
@@ -70,26 +70,26 @@
   private void run() {
     while (!closed) {
       try {
-        Runnable next = inbox.poll(waitMillis(), TimeUnit.MILLISECONDS);
+        Runnable next = tasks.poll(waitMillis(), TimeUnit.MILLISECONDS);
         if (next != null) {
           next.run();
         }
         if (isDue()) {
-          perform(core.advance(nowMillis()));
+          execute(core.advance(nowMillis()));
         }
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
         // One event must not end the service of all others; the log has it for whoever is on call.
-        events.failure("an event could not be handled", e);
+        events.logFailure("an event could not be handled", e);
       }
     }
   }
 
   private long waitMillis() {
     OptionalLong deadline = core.nextDeadline();
-    long wait = deadline.isPresent() ? deadline.getAsLong() - nowMillis() : IDLE_MILLIS;
-    return Math.max(0, Math.min(IDLE_MILLIS, wait));
+    long wait = deadline.isPresent() ? deadline.getAsLong() - nowMillis() : MAX_WAIT_MILLIS;
+    return Math.max(0, Math.min(MAX_WAIT_MILLIS, wait));
   }
 
   private boolean isDue() {
@@ -97,8 +97,8 @@
     return deadline.isPresent() && deadline.getAsLong() <= nowMillis();
   }
 
-  private void perform(List<Action> actions) {
-    actions.forEach(runner);
+  private void execute(List<Action> actions) {
+    actions.forEach(actionHandler);
   }
 
   @Override
@@ -106,7 +106,7 @@
     closed = true;
     thread.interrupt();
     try {
-      thread.join(STOP_MILLIS);
+      thread.join(STOP_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
@@ -9,9 +9,9 @@
 
 /** Reads the platform's list of hosts and targets again and again. */
 public final class HostListPoller implements AutoCloseable {
-  private static final long SHORTEST_MILLIS = 1_000;
-  private static final int READS_A_SECOND = 18;
-  private static final int MILLIS_A_SECOND = 1_000;
+  private static final long MIN_INTERVAL_MILLIS = 1_000;
+  private static final int TOTAL_READS_PER_SECOND = 18;
+  private static final int MILLIS_PER_SECOND = 1_000;
 
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(
@@ -23,7 +23,7 @@
   private final PlatformClient platform;
   private final PeerSender peers;
   private final Inbox inbox;
-  private volatile int hosts = 1;
+  private volatile int hostCount = 1;
 
   public HostListPoller(PlatformClient platform, PeerSender peers, Inbox inbox) {
     this.platform = platform;
@@ -33,15 +33,17 @@
   }
 
   private void poll() {
-    platform.readHostList(this::seen);
+    platform.readHostList(this::onHostList);
     // All hosts together read about as often whatever their number; news spreads among peers.
-    long interval = Math.max(SHORTEST_MILLIS, (long) hosts * MILLIS_A_SECOND / READS_A_SECOND);
+    long interval =
+        Math.max(
+            MIN_INTERVAL_MILLIS, (long) hostCount * MILLIS_PER_SECOND / TOTAL_READS_PER_SECOND);
     var unused = timer.schedule(this::poll, interval, TimeUnit.MILLISECONDS);
   }
 
-  private void seen(HostList list) {
-    hosts = Math.max(1, list.hosts().size());
-    peers.learn(list.hosts());
+  private void onHostList(HostList list) {
+    hostCount = Math.max(1, list.hosts().size());
+    peers.updateAddresses(list.hosts());
     inbox.post(new Event.HostListSeen(list));
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -69,6 +69,6 @@
 
   @Override
   public void malformed(String from, MalformedMessageException failure) {
-    events.failure("a message of peer " + from + " cannot be read", failure);
+    events.logFailure("a message of peer " + from + " cannot be read", failure);
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/PeerSender.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/PeerSender.java
@@ -19,7 +19,7 @@
   }
 
   /** Takes in where hosts are; a host that is no longer named keeps its address. */
-  public void learn(List<HostDescription> hosts) {
+  public void updateAddresses(List<HostDescription> hosts) {
     hosts.forEach(host -> addresses.put(host.id(), host.peerAddress()));
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
@@ -28,7 +28,7 @@
 public final class EventLog implements AutoCloseable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final double[] PERCENTILES = {0.5, 0.95, 0.99};
-  private static final int FIRST_WORKING_CODE = 200;
+  private static final int FIRST_REQUEST_CODE = 200;
   private static final int FIRST_TABLE_CODE = 400;
 
   private final String host;
@@ -71,7 +71,7 @@
   }
 
   /** Takes in an event of the core. */
-  public void note(Action.Note note) {
+  public void recordEvent(Action.Note note) {
     EventCode code = note.code();
     counters.get(code).increment();
     ring.add(
@@ -84,7 +84,7 @@
             note.subject(),
             note.detail()));
     // What happens to single requests goes to the time line only, or the log would be all of it.
-    boolean ofOneRequest = code.number() >= FIRST_WORKING_CODE && code.number() < FIRST_TABLE_CODE;
+    boolean ofOneRequest = code.number() >= FIRST_REQUEST_CODE && code.number() < FIRST_TABLE_CODE;
     if (!ofOneRequest) {
       LOGGER
           .atInfo()
@@ -95,14 +95,14 @@
   }
 
   /** Takes in a measured value. */
-  public void measure(Action.Measure measure) {
+  public void recordMeasurement(Action.Measure measure) {
     MeasureKey key =
         new MeasureKey(
             measure.measurement().name(), measure.service().value(), measure.arm().name());
-    summaries.computeIfAbsent(key, this::summary).record((double) measure.value());
+    summaries.computeIfAbsent(key, this::createSummary).record((double) measure.value());
   }
 
-  private DistributionSummary summary(MeasureKey key) {
+  private DistributionSummary createSummary(MeasureKey key) {
     return DistributionSummary.builder(
             "gatereel_" + key.measurement().toLowerCase(java.util.Locale.ROOT))
         .tag("service", key.service())
@@ -112,12 +112,12 @@
   }
 
   /** Logs a failure of this process itself. */
-  public void failure(String what, Throwable cause) {
+  public void logFailure(String what, Throwable cause) {
     LOGGER.atSevere().withCause(cause).log("%s", what);
   }
 
   /** Adds a value that is asked for when metrics are read. */
-  public void gauge(String name, Supplier<Number> value) {
+  public void addGauge(String name, Supplier<Number> value) {
     io.micrometer.core.instrument.Gauge.builder("gatereel_" + name, value).register(registry);
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
@@ -11,15 +11,16 @@
 
 /** One object of the settings: reads its keys with checks and collects the mistakes. */
 final class SettingsNode {
-  private static final int HIGHEST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
-  private static final Pattern IP = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
+  private static final Pattern IP_ADDRESS =
+      Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
   private final JsonNode node;
   private final String path;
   private final List<SettingsException.Mistake> mistakes;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> knownKeys = new HashSet<>();
 
   SettingsNode(JsonNode node, String path, List<SettingsException.Mistake> mistakes) {
     this.node = node;
@@ -36,7 +37,7 @@
   }
 
   private JsonNode take(String key) {
-    known.add(key);
+    knownKeys.add(key);
     JsonNode value = node.get(key);
     return value == null ? MissingNode.getInstance() : value;
   }
@@ -50,7 +51,7 @@
   }
 
   String ip(String key) {
-    return text(key, IP, "an IP number");
+    return text(key, IP_ADDRESS, "an IP number");
   }
 
   String hash(String key) {
@@ -67,7 +68,7 @@
   }
 
   int port(String key) {
-    return number(key, 1, HIGHEST_PORT, 1, true);
+    return number(key, 1, MAX_PORT, 1, true);
   }
 
   int number(String key, int least, int most, int standard) {
@@ -103,7 +104,7 @@
   <T> T object(String key, Function<SettingsNode, T> reader) {
     SettingsNode child = new SettingsNode(take(key), pathOf(key), mistakes);
     T read = reader.apply(child);
-    child.refuseUnknown();
+    child.rejectUnknownKeys();
     return read;
   }
 
@@ -121,19 +122,21 @@
       String childPath = pathOf(key) + "[" + index + "]";
       SettingsNode child = new SettingsNode(value.get(index), childPath, mistakes);
       read.add(reader.apply(child));
-      child.refuseUnknown();
+      child.rejectUnknownKeys();
     }
     return read;
   }
 
   /** Reports the keys that nobody asked for. */
-  void refuseUnknown() {
+  void rejectUnknownKeys() {
     node.fieldNames()
         .forEachRemaining(
             key -> {
-              if (!known.contains(key)) {
+              if (!knownKeys.contains(key)) {
                 mistake(
-                    pathOf(key), node.get(key), "no such key; known: " + String.join(", ", known));
+                    pathOf(key),
+                    node.get(key),
+                    "no such key; known: " + String.join(", ", knownKeys));
               }
             });
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsReader.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsReader.java
@@ -20,17 +20,17 @@
 
 /** Reads settings, which are JSON with comments, and reports all mistakes at once. */
 public final class SettingsReader {
-  private static final int DRAIN_MILLIS = 600_000;
-  private static final int BALANCER_MILLIS = 3_000;
-  private static final int LONGEST_MILLIS = 86_400_000;
-  private static final int BODY_BYTES = 1 << 20;
-  private static final int MOST_BYTES = 1 << 28;
-  private static final int WAITING_BYTES = 1 << 18;
-  private static final int LEAST_BYTES = 1 << 10;
-  private static final int MOST_STORE_WRITES = 1_000_000;
-  private static final int MOST_ROWS = 100_000;
-  private static final int RING = 4_096;
-  private static final int LARGEST_RING = 1 << 20;
+  private static final int DEFAULT_DRAIN_MILLIS = 600_000;
+  private static final int DEFAULT_BALANCER_MILLIS = 3_000;
+  private static final int MAX_MILLIS = 86_400_000;
+  private static final int DEFAULT_BODY_BYTES = 1 << 20;
+  private static final int MAX_BYTES = 1 << 28;
+  private static final int DEFAULT_WAITING_BYTES = 1 << 18;
+  private static final int MIN_BYTES = 1 << 10;
+  private static final int MAX_STORE_WRITES_PER_SECOND = 1_000_000;
+  private static final int MAX_ROWS_PER_TRANSACTION = 100_000;
+  private static final int DEFAULT_EVENT_RING = 4_096;
+  private static final int MAX_EVENT_RING = 1 << 20;
 
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -74,22 +74,22 @@
                 root.number(
                     "storeWritesPerSecond",
                     1,
-                    MOST_STORE_WRITES,
+                    MAX_STORE_WRITES_PER_SECOND,
                     StoreLimits.STANDARD.writesPerSecond()),
                 root.number(
                     "storeRowsPerTransaction",
                     1,
-                    MOST_ROWS,
+                    MAX_ROWS_PER_TRANSACTION,
                     StoreLimits.STANDARD.rowsPerTransaction())),
             root.list("peers", SettingsReader::peer),
             root.list("operators", SettingsReader::operator),
-            root.number("drainMillis", 0, LONGEST_MILLIS, DRAIN_MILLIS),
-            root.number("balancerMillis", 0, LONGEST_MILLIS, BALANCER_MILLIS),
-            root.number("mostBodyBytes", LEAST_BYTES, MOST_BYTES, BODY_BYTES),
-            root.number("mostWaitingBytes", LEAST_BYTES, MOST_BYTES, WAITING_BYTES),
-            root.number("eventRing", 1, LARGEST_RING, RING),
+            root.number("drainMillis", 0, MAX_MILLIS, DEFAULT_DRAIN_MILLIS),
+            root.number("balancerMillis", 0, MAX_MILLIS, DEFAULT_BALANCER_MILLIS),
+            root.number("mostBodyBytes", MIN_BYTES, MAX_BYTES, DEFAULT_BODY_BYTES),
+            root.number("mostWaitingBytes", MIN_BYTES, MAX_BYTES, DEFAULT_WAITING_BYTES),
+            root.number("eventRing", 1, MAX_EVENT_RING, DEFAULT_EVENT_RING),
             root.choice("logLevel", Settings.LogLevel.class, Settings.LogLevel.INFO));
-    root.refuseUnknown();
+    root.rejectUnknownKeys();
     if (!mistakes.isEmpty()) {
       throw new SettingsException(mistakes);
     }
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/ExchangeTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
@@ -16,7 +16,7 @@
 import org.gatereel.core.model.ProblemType;
 import org.junit.jupiter.api.Test;
 
-class ExchangeTest {
+class CallerExchangeTest {
   private static final String ID = "1~df4d7a8a0ca3c3ab~entry-1~-~none~1000~1~0~9e3779b97f4a7c15";
 
   private final List<String> bodies = new ArrayList<>();
@@ -55,7 +55,7 @@
 
   @Test
   void anExchangeThatIsCutOffNeverClaimsThatItsRequestDidNotRun() {
-    new Exchange(context(), 1_000, () -> {}).disconnect(ProblemType.DRAINING);
+    new CallerExchange(context(), 1_000, () -> {}).disconnect(ProblemType.DRAINING);
     assertTrue(bodies.get(0).contains("\"outcome\":\"UNKNOWN\""), bodies.toString());
   }
 
@@ -63,9 +63,9 @@
   void aHostThatEndsTellsTheReadersOfItsOpenStreams() throws Exception {
     // A host's open streams were ended in order and without any event when it was stopped, so that
     // to their framing they were whole.
-    try (Exchanges exchanges = new Exchanges(1_000_000, event -> {})) {
-      exchanges.take(context(), caller -> new Event.CallerGone(caller));
-      exchanges.run(new Action.OpenStream(1, EventId.parse(ID)));
+    try (CallerExchanges exchanges = new CallerExchanges(1_000_000, event -> {})) {
+      exchanges.accept(context(), caller -> new Event.CallerGone(caller));
+      exchanges.execute(new Action.OpenStream(1, EventId.parse(ID)));
     }
     assertEquals(2, bodies.size(), bodies.toString());
     assertTrue(bodies.get(1).startsWith("event: problem\n"), bodies.toString());
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -47,8 +47,8 @@
   private static final String CREDENTIAL = "ab".repeat(32);
   private static final ServiceName SERVICE = new ServiceName("assistant");
   private static final int TOKENS = 2_000;
-  private static final int MOST_WAITING_BYTES = 65_536;
-  private static final long PATIENCE_SECONDS = 30;
+  private static final int MAX_BUFFERED_BYTES = 65_536;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final String SETTINGS =
       """
       {"host": "entry-1", "dataCentre": "ollur",
@@ -58,10 +58,10 @@
       """;
 
   private final TreeMap<String, String> table = new TreeMap<>();
-  private final BlockingQueue<EventCode> notes = new LinkedBlockingQueue<>();
+  private final BlockingQueue<EventCode> recordedCodes = new LinkedBlockingQueue<>();
   private final List<String> written = new CopyOnWriteArrayList<>();
-  private final Exchanges exchanges =
-      new Exchanges(MOST_WAITING_BYTES, event -> this.loop.post(event));
+  private final CallerExchanges exchanges =
+      new CallerExchanges(MAX_BUFFERED_BYTES, event -> this.loop.post(event));
   private final EntryHost core =
       new EntryHost(new HostId("entry-1"), new DataCentre("ollur"), new Random(1));
   private ControlLoop loop;
@@ -90,9 +90,9 @@
     } else if (action instanceof Action.SendToken send) {
       exchanges.sendToken(send);
     } else if (action instanceof Action.Note note) {
-      notes.add(note.code());
+      recordedCodes.add(note.code());
     } else {
-      exchanges.run(action);
+      exchanges.execute(action);
     }
   }
 
@@ -160,7 +160,7 @@
     loop = control;
     control.start(List.of());
     control.post(new Event.HostListSeen(new HostList(1, List.of(), List.of(engine()))));
-    while (!control.ask(EntryHost::isReady).get(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+    while (!control.query(EntryHost::isReady).get(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       Thread.onSpinWait();
     }
   }
@@ -169,7 +169,7 @@
   private List<EventCode> untilFinished() throws InterruptedException {
     List<EventCode> seen = new CopyOnWriteArrayList<>();
     while (!seen.contains(EventCode.GENERATION_FINISHED)) {
-      EventCode next = notes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      EventCode next = recordedCodes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertTrue(next != null, "the answer did not end: " + seen);
       seen.add(next);
     }
@@ -185,13 +185,14 @@
     try (EventLog events = new EventLog(SettingsReader.parse(SETTINGS));
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
-      exchanges.take(
+      exchanges.accept(
           unread(),
           caller -> new Event.GenerationRequested(caller, CREDENTIAL, SERVICE, "long", TOKENS));
       List<EventCode> seen = untilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
-      control.ask(EntryHost::open).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertEquals(0, notes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
+      control.query(EntryHost::open).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertEquals(
+          0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
     }
     String last = written.get(written.size() - 1);
     assertTrue(last.contains("event: problem") && last.contains("slow-reader"), last);
@@ -207,11 +208,11 @@
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
       CountDownLatch posted = new CountDownLatch(1);
-      CompletableFuture<Boolean> busy = control.ask(host -> awaitQuietly(posted));
+      CompletableFuture<Boolean> busy = control.query(host -> awaitQuietly(posted));
       control.post(new Event.GenerationRequested(7, CREDENTIAL, SERVICE, "long", TOKENS));
       control.post(new Event.CallerGone(7));
       posted.countDown();
-      assertTrue(busy.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertTrue(busy.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
 
       List<EventCode> seen = untilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
@@ -220,7 +221,7 @@
 
   private static boolean awaitQuietly(CountDownLatch latch) {
     try {
-      return latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
@@ -13,11 +13,11 @@
 class KernelTest {
   private final List<String> closed = new ArrayList<>();
 
-  private final class Part implements AutoCloseable {
+  private final class TestService implements AutoCloseable {
     private final String name;
     private final boolean failsToClose;
 
-    private Part(String name, boolean failsToClose) {
+    private TestService(String name, boolean failsToClose) {
       this.name = name;
       this.failsToClose = failsToClose;
     }
@@ -31,19 +31,19 @@
     }
   }
 
-  private static ServiceKey<Part> key(String name) {
-    return new ServiceKey<>(name, Part.class);
+  private static ServiceKey<TestService> key(String name) {
+    return new ServiceKey<>(name, TestService.class);
   }
 
   @Test
   void servicesAreFoundByNameAndClosedInReverse() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
-      Part first = kernel.start(key("first"), found -> new Part("first", false));
+      TestService first = kernel.start(key("first"), found -> new TestService("first", false));
       kernel.start(
           key("second"),
           found -> {
             assertSame(first, found.find(key("first")));
-            return new Part("second", false);
+            return new TestService("second", false);
           });
     }
     assertEquals(List.of("second", "first"), closed);
@@ -52,8 +52,8 @@
   @Test
   void aServiceThatFailsToCloseDoesNotKeepTheOthersOpen() throws GatereelException {
     Kernel kernel = new Kernel();
-    kernel.start(key("first"), found -> new Part("first", false));
-    kernel.start(key("second"), found -> new Part("second", true));
+    kernel.start(key("first"), found -> new TestService("first", false));
+    kernel.start(key("second"), found -> new TestService("second", true));
     assertThrows(ServiceException.class, kernel::close);
     assertEquals(List.of("second", "first"), closed);
   }
@@ -62,10 +62,10 @@
   void aNameThatIsUnknownOrTakenIsATypedFailure() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
       assertThrows(ServiceException.class, () -> kernel.find(key("nobody")));
-      kernel.start(key("one"), found -> new Part("one", false));
+      kernel.start(key("one"), found -> new TestService("one", false));
       assertThrows(
           ServiceException.class,
-          () -> kernel.start(key("one"), found -> new Part("other", false)));
+          () -> kernel.start(key("one"), found -> new TestService("other", false)));
     }
   }
 }
