--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void wholeDocumentsAreRead() throws Exception {
+  void completeDocumentsAreRead() throws Exception {
     assertEquals(
         "1",
         assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE))
@@ -87,13 +87,13 @@
 
   @ParameterizedTest
   @MethodSource("cutRows")
-  void rowsThatAreCutAnywhereAreNotRead(String part, RawServer.CloseMode ending) throws Exception {
+  void truncatedRowsAreNotRead(String part, RawServer.CloseMode ending) throws Exception {
     assertInstanceOf(ReadResult.Failed.class, read(part, ending));
   }
 
   @ParameterizedTest
   @MethodSource("cutConflicts")
-  void aConflictThatIsCutAnywhereIsOfUnknownOutcome(String part, RawServer.CloseMode ending)
+  void truncatedConflictHasUnknownOutcome(String part, RawServer.CloseMode ending)
       throws Exception {
     String answer = "HTTP/1.1 409 Conflict" + UNFRAMED + part;
     assertInstanceOf(TransactionResult.Unknown.class, transact(answer, ending));
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
@@ -82,7 +82,7 @@
 
   @ParameterizedTest
   @MethodSource("cuts")
-  void aStreamThatIsCutAnywhereBeforeItsFinalEventHasFailed(int length, RawServer.CloseMode ending)
+  void streamTruncatedBeforeItsFinalEventFails(int length, RawServer.CloseMode ending)
       throws Exception {
     String part = (TOKENS + END).substring(0, length);
     assertEquals("failed RESET", run(UNFRAMED + part, ending));
@@ -92,14 +92,14 @@
   @EnumSource(
       value = RawServer.CloseMode.class,
       names = {"CLOSE", "DIE"})
-  void aStreamWhoseFinalEventCameIsFinishedThoughNothingElseEndsIt(RawServer.CloseMode ending)
+  void streamWithFinalEventIsFinishedWithoutProperFraming(RawServer.CloseMode ending)
       throws Exception {
     assertEquals("finished 5", run(UNFRAMED + TOKENS + END, ending));
     assertEquals("finished 5", run(chunked(TOKENS + END), ending));
   }
 
   @Test
-  void anAnswerThatIsWholeWithoutTheFinalEventHasFailed() throws Exception {
+  void completeResponseWithoutFinalEventFails() throws Exception {
     String whole = chunked(TOKENS) + "0\r\n\r\n";
     assertEquals("failed RESET", run(whole, RawServer.CloseMode.CLOSE));
     String empty = STREAM + "Content-Length: 0\r\n\r\n";
@@ -107,20 +107,20 @@
   }
 
   @Test
-  void anAnswerWhoseChunksAreCutHasFailed() throws Exception {
+  void responseWithoutLastChunkFails() throws Exception {
     assertEquals("failed RESET", run(chunked(TOKENS), RawServer.CloseMode.DIE));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"application/json", "text/plain"})
-  void anAnswerOfAnotherTypeHasFailed(String type) throws Exception {
+  void responseOfAnotherContentTypeFails(String type) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Type: " + type + "\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
     assertEquals("failed RESET", run(answer + length + END, RawServer.CloseMode.CLOSE));
   }
 
   @Test
-  void anErrorIsNoEndThoughItsBodyLooksLikeOne() throws Exception {
+  void errorResponseFailsEvenIfItsBodyIsAFinalEvent() throws Exception {
     String answer = "HTTP/1.1 500 Error\r\nContent-Type: text/event-stream\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
     assertEquals("failed ERROR", run(answer + length + END, RawServer.CloseMode.CLOSE));
@@ -129,7 +129,7 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"{}", "{\"length\":null}", "{\"size\":5}", "null", "\"\"", "", "{\"length\":"})
-  void aFinalEventWithoutTheLengthIsNoEnd(String data) throws Exception {
+  void finalEventWithoutLengthFails(String data) throws Exception {
     // An engine's final event had no length. It was taken for the end of an answer of no tokens, so
     // that a generation which had none yet was told as finished; where the event had nothing at
     // all, the attempt never ended.
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
@@ -46,13 +46,13 @@
   }
 
   @Test
-  void anAnswerWhoseConnectionIsClosedByAServiceThatStillAnswersIsWhole() throws Exception {
+  void closeDelimitedResponseOfReachableServiceIsComplete() throws Exception {
     String answer = UNFRAMED + "balance 12";
     assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.CLOSE));
   }
 
   @Test
-  void anAnswerWhoseConnectionWasClosedByTheDeathOfItsServiceMayBeCut() throws Exception {
+  void closeDelimitedResponseOfCrashedServiceFails() throws Exception {
     // A service sent "balance 1200" without a length and died after "balance 12". Its system
     // closed the connection in order, which is how such an answer ends, so that the part was kept
     // under the Idempotency-Key as the answer and given to everyone who asked again.
@@ -60,26 +60,26 @@
   }
 
   @Test
-  void aLengthThatCannotBeReadIsNone() throws Exception {
+  void invalidContentLengthIsIgnored() throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
     assertEquals("failed RESET", call(answer, RawServer.CloseMode.DIE));
   }
 
   @Test
-  void anAnswerThatIsResetIsCut() throws Exception {
+  void resetConnectionFailsTheCall() throws Exception {
     assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.RESET));
   }
 
   @ParameterizedTest
   @EnumSource(RawServer.CloseMode.class)
-  void anAnswerShortOfItsLengthIsCut(RawServer.CloseMode ending) throws Exception {
+  void responseShorterThanContentLengthFails(RawServer.CloseMode ending) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
     assertEquals("failed RESET", call(answer, ending));
   }
 
   @ParameterizedTest
   @EnumSource(RawServer.CloseMode.class)
-  void anAnswerWithoutItsLastChunkIsCut(RawServer.CloseMode ending) throws Exception {
+  void responseWithoutLastChunkFails(RawServer.CloseMode ending) throws Exception {
     String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
     assertEquals("failed RESET", call(answer, ending));
   }
@@ -92,14 +92,14 @@
         "Transfer-Encoding: chunked|a;balance 12;0;;",
         "Transfer-Encoding: Chunked|a;balance 12;0;;",
       })
-  void anAnswerThatItsServiceEndedIsWholeThoughTheServiceDiedAfterIt(String header, String body)
+  void framedResponseIsCompleteEvenIfTheServiceCrashesAfterIt(String header, String body)
       throws Exception {
     String answer = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
     assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.DIE));
   }
 
   @Test
-  void anAnswerThatCanHaveNoBodyIsWhole() throws Exception {
+  void responseWithoutBodyIsComplete() throws Exception {
     assertEquals("answered 204 ", call("HTTP/1.1 204 No Content\r\n\r\n", RawServer.CloseMode.DIE));
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/ControlMainTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/ControlMainTest.java
@@ -32,7 +32,7 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"nothing", "table", "table nothing", "table set", "explain", "explain id"})
-  void wrongWordsAreAUsageError(String line) {
+  void invalidArgumentsAreAUsageError(String line) {
     assertEquals(ExitCode.USAGE, new ControlMain().run(line.split(" ", -1)));
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void ordersTheLinesOfAllFilesByTimeAndSaysWhatTheyMean() throws IOException {
+  void printsEventsOfAllFilesInOrderOfTimeWithTheirMeaning() throws IOException {
     Path one =
         file(
             "one",
@@ -40,14 +40,14 @@
   }
 
   @Test
-  void saysThatNothingWasFound() throws IOException {
+  void returnsIncompleteIfNothingWasFound() throws IOException {
     Path one = file("one", line("T1", "h1", "REQUEST_FORWARDED", "r1"));
 
     CommandOutput.capture(ExitCode.INCOMPLETE, "explain", "other", one.toString());
   }
 
   @Test
-  void refusesAFileThatCannotBeRead() {
+  void returnsUsageIfAFileCannotBeRead() {
     CommandOutput.capture(ExitCode.USAGE, "explain", "r1", folder.resolve("absent").toString());
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void everyNameOnThePageIsWrittenByTheCode() throws IOException {
+  void everyNameOnThePageExistsInTheCode() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
     Set<String> known =
         Stream.of(
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void everyRefusalThatInvitesARetryIsExplained() throws IOException {
+  void everyRejectionThatAllowsRetryIsExplained() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
     for (Refusal refusal : Refusal.values()) {
       assertTrue(!refusal.invitesRetry() || page.contains(refusal.name()), refusal.name());
--- a/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void printsWhatTheHostKnowsOfTheService() {
+  void printsTheRolloutOfTheService() {
     String text = CommandOutput.capture(ExitCode.DONE, "rollout", "counters", "--at", address);
 
     assertTrue(text.contains("counters version=v2 state=RUNNING"), text);
@@ -48,21 +48,21 @@
   }
 
   @Test
-  void saysThatAServiceHasNone() {
+  void printsThatTheServiceHasNoRollout() {
     String text = CommandOutput.capture(ExitCode.DONE, "rollout", "other", "--at", address);
 
     assertTrue(text.contains("no roll-out of other is known"), text);
   }
 
   @Test
-  void saysWhichHostsDoNotAnswer() {
+  void returnsUnreachableIfNoHostResponds() {
     host.stop(0);
 
     CommandOutput.capture(ExitCode.UNREACHABLE, "rollout", "counters", "--at", address);
   }
 
   @Test
-  void anAddressThatIsNoneIsAMistakeOfTheCaller() {
+  void invalidAddressIsAUsageError() {
     CommandOutput.capture(ExitCode.USAGE, "rollout", "counters", "--at", "a b");
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/log/LogSummaryTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/log/LogSummaryTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void tellsHowAStreamFaredThatWentOnFromItsCopy() {
+  void summarizesAStreamResumedFromItsCopy() {
     String text =
         summary(
             line(
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void keepsPlainCallsApart() {
+  void summarizesPlainCallsSeparately() {
     String text =
         summary(
             line("REQUEST_FORWARDED", "r2", "copyAt=- fromCopy=false millis=0"),
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void tellsWhoSentALimitedTargetRequestsAndWhoPassedItOver() {
+  void countsRequestsAndSkipsOfALimitedTargetByHost() {
     String text =
         summary(
             line("LIMIT_ANNOUNCED", "t1", "perSecond=5.400 before=- source=TARGET ageMillis=0"),
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void tellsWhoSentATargetRequestsThatHadSaidItLeavesOrRests() {
+  void countsRequestsSentAfterADrainingOrBackoffAnnouncement() {
     String text =
         summary(
             line("REQUEST_FORWARDED", "r1", "target=t1 copyAt=- fromCopy=false millis=0"),
@@ -81,12 +81,12 @@
   }
 
   @Test
-  void namesNoLimitsWhereThereAreNone() {
+  void omitsLimitsIfNoneWereAnnounced() {
     assertTrue(!summary(line("REQUEST_FORWARDED", "r1", "target=t1")).contains("named how many"));
   }
 
   @Test
-  void passesOverWhatIsNoEvent() {
+  void ignoresLinesThatAreNoEvents() {
     assertEquals(Optional.empty(), LogLine.parse("# a report of the runtime"));
     assertEquals(Optional.empty(), LogLine.parse("prefix {no json"));
     assertEquals(
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
@@ -54,13 +54,13 @@
   }
 
   @Test
-  void anExchangeThatIsCutOffNeverClaimsThatItsRequestDidNotRun() {
+  void disconnectBeforeTheResponseHasUnknownOutcome() {
     new CallerExchange(context(), 1_000, () -> {}).disconnect(ProblemType.DRAINING);
     assertTrue(bodies.get(0).contains("\"outcome\":\"UNKNOWN\""), bodies.toString());
   }
 
   @Test
-  void aHostThatEndsTellsTheReadersOfItsOpenStreams() throws Exception {
+  void closeSendsAProblemOnOpenStreams() throws Exception {
     // A host's open streams were ended in order and without any event when it was stopped, so that
     // to their framing they were whole.
     try (CallerExchanges exchanges = new CallerExchanges(1_000_000, event -> {})) {
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -86,7 +86,7 @@
           .removeIf(key -> !key.startsWith(scan.prefix()) || key.compareTo(scan.after()) <= 0);
       loop.post(new Event.ReadEnded(scan.ticket(), new ReadResult.Rows(found)));
     } else if (action instanceof Action.StartAttempt start) {
-      answerAtOnce(start);
+      queueCompleteResponse(start);
     } else if (action instanceof Action.SendToken send) {
       exchanges.sendToken(send);
     } else if (action instanceof Action.Note note) {
@@ -97,7 +97,7 @@
   }
 
   /** Has the whole answer of an engine wait for the control thread, which runs this. */
-  private void answerAtOnce(Action.StartAttempt start) {
+  private void queueCompleteResponse(Action.StartAttempt start) {
     for (int offset = 0; offset < TOKENS; offset++) {
       String token = "token " + offset;
       loop.post(new Event.TokenArrived(start.spec().request(), start.attempt(), offset, token, 1));
@@ -106,7 +106,7 @@
   }
 
   /** Returns the exchange of a caller who reads nothing: what is written is never said to be. */
-  private Context unread() {
+  private Context contextThatReadsNothing() {
     Sender sender =
         proxy(
             Sender.class,
@@ -166,7 +166,7 @@
   }
 
   /** Returns the events of the time line up to the end of the engine's answer. */
-  private List<EventCode> untilFinished() throws InterruptedException {
+  private List<EventCode> eventsUntilFinished() throws InterruptedException {
     List<EventCode> seen = new CopyOnWriteArrayList<>();
     while (!seen.contains(EventCode.GENERATION_FINISHED)) {
       EventCode next = recordedCodes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -177,7 +177,7 @@
   }
 
   @Test
-  void aCallerWhoWasCutOffIsGoneBeforeWhatTheEngineSentMeanwhile() throws Exception {
+  void disconnectIsHandledBeforeQueuedEngineEvents() throws Exception {
     // An engine was faster than the host, so that its whole answer, with its end, waited there. The
     // caller did not read and was cut off after the first part. That it had left was put behind all
     // that waited: the host went through the rest for nobody and noted the answer as delivered,
@@ -186,9 +186,9 @@
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
       exchanges.accept(
-          unread(),
+          contextThatReadsNothing(),
           caller -> new Event.GenerationRequested(caller, CREDENTIAL, SERVICE, "long", TOKENS));
-      List<EventCode> seen = untilFinished();
+      List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
       control.query(EntryHost::open).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertEquals(
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void aCallerWhoLeftBeforeItsRequestWasHandledIsGoneToo() throws Exception {
+  void disconnectBeforeTheRequestIsHandledCancelsTheRequest() throws Exception {
     // That a caller has left goes ahead of what engines send, and so also ahead of its own request
     // where that still waits. Told of only then, it would be told of somebody unknown, and the
     // generation would run for nobody.
@@ -214,7 +214,7 @@
       posted.countDown();
       assertTrue(busy.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
 
-      List<EventCode> seen = untilFinished();
+      List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
     }
   }
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void servicesAreFoundByNameAndClosedInReverse() throws GatereelException {
+  void servicesAreFoundByNameAndClosedInReverseOrder() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
       TestService first = kernel.start(key("first"), found -> new TestService("first", false));
       kernel.start(
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aServiceThatFailsToCloseDoesNotKeepTheOthersOpen() throws GatereelException {
+  void failureToCloseOneServiceDoesNotKeepOthersOpen() throws GatereelException {
     Kernel kernel = new Kernel();
     kernel.start(key("first"), found -> new TestService("first", false));
     kernel.start(key("second"), found -> new TestService("second", true));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aNameThatIsUnknownOrTakenIsATypedFailure() throws GatereelException {
+  void unknownOrDuplicateNameThrowsServiceException() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
       assertThrows(ServiceException.class, () -> kernel.find(key("nobody")));
       kernel.start(key("one"), found -> new TestService("one", false));
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/settings/SettingsReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/settings/SettingsReaderTest.java
@@ -22,7 +22,7 @@
       """;
 
   @Test
-  void commentsAreAllowedAndTheRestHasStandardValues() throws SettingsException {
+  void commentsAreAllowedAndMissingKeysHaveDefaults() throws SettingsException {
     Settings settings = SettingsReader.parse(GOOD);
     assertEquals("entry-1", settings.host().value());
     assertEquals(1 << 20, settings.mostBodyBytes());
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void everyMistakeIsReportedAtOnceWithKeyValueAndWhatIsAllowed() {
+  void allMistakesAreReportedWithKeyValueAndAllowedValues() {
     String bad =
         GOOD.replace("8080", "99999")
             .replace("\"entry-1\"", "\"Entry 1\"")
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theRatesOfTheStoreAreTakenFromTheSettings() throws SettingsException {
+  void storeLimitsAreReadFromTheSettings() throws SettingsException {
     assertEquals(StoreLimits.STANDARD, SettingsReader.parse(GOOD).storeLimits());
     String rates = "\"host\": \"entry-1\", \"storeWritesPerSecond\": 1200,";
     String grown = GOOD.replace("\"host\": \"entry-1\",", rates);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aMissingKeyIsAMistakeUnlessItHasAStandardValue() {
+  void missingKeyIsAMistakeUnlessItHasADefault() {
     String bad = GOOD.replace("\"dataCentre\": \"ollur\",", "");
     SettingsException failure =
         assertThrows(SettingsException.class, () -> SettingsReader.parse(bad));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void brokenJsonIsReportedWithItsPlace() {
+  void invalidJsonIsReportedWithItsLocation() {
     SettingsException failure =
         assertThrows(SettingsException.class, () -> SettingsReader.parse("{\n  \"host\": }"));
     assertTrue(failure.mistakes().get(0).key().startsWith("line 2"), failure.getMessage());
