--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
@@ -126,8 +126,7 @@
           }
         } else {
           EngineMessages.Token token = Json.MAPPER.readValue(data, EngineMessages.Token.class);
-          listener.onToken(
-              key.request(), key.attempt(), token.offset(), token.token(), token.load());
+          listener.onToken(key.request(), key.attempt(), token.offset(), token.token(), token.load());
         }
       } catch (JsonProcessingException e) {
         fail(TargetFailure.ERROR);
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
@@ -77,9 +77,7 @@
   void completeDocumentsAreRead() throws Exception {
     assertEquals(
         "1",
-        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE))
-            .rows()
-            .get("a"));
+        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE)).rows().get("a"));
     assertInstanceOf(
         TransactionResult.Conflict.class,
         transact("HTTP/1.1 409 Conflict" + UNFRAMED + CONFLICT, RawServer.CloseMode.DIE));
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
@@ -76,8 +76,7 @@
         .boxed()
         .flatMap(
             length ->
-                Stream.of(RawServer.CloseMode.values())
-                    .map(ending -> Arguments.of(length, ending)));
+                Stream.of(RawServer.CloseMode.values()).map(ending -> Arguments.of(length, ending)));
   }
 
   @ParameterizedTest
--- a/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
@@ -20,7 +20,11 @@
 import org.gatereel.core.table.RowKey;
 import org.gatereel.core.table.TableEdit;
 
-/** Speaks with the administration API of entry hosts. */
+/**
+ * A client of the administration API of entry hosts.
+ *
+ * <p>A request that names no host is sent to the given hosts in order until one responds.
+ */
 public final class AdminClient implements AutoCloseable {
   static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
@@ -42,26 +46,28 @@
     this.key = key;
   }
 
-  /** Returns the table in force on the first host that answers. */
+  /** Returns the table in force on the first host that responds. */
   public AdminMessages.Table table() throws ControlException {
     return read(get("admin/table"), new TypeReference<>() {});
   }
 
-  /** Returns a row, or a row of revision 0 without cells if there is none. */
+  /** Returns a row; if there is none, a row of revision 0 without cells. */
   public Row row(RowKey row) throws ControlException {
-    ApiResponse answer = firstResponse(get(path(row)));
-    if (answer.status() == NOT_FOUND) {
+    ApiResponse response = firstResponse(get(rowRequest(row)));
+    if (response.status() == NOT_FOUND) {
       return new Row(row, 0, false, new java.util.TreeMap<>());
     }
-    return read(answer, new TypeReference<>() {});
+    return read(response, new TypeReference<>() {});
   }
 
   /**
-   * Has a row edited.
+   * Edits or deletes a row.
    *
-   * <p>The same edit id is sent to the next host if one does not answer; it takes effect once.
+   * <p>If a host does not respond, the edit is sent to the next one with the same edit id, so that
+   * it takes effect at most once.
    *
-   * @throws ControlException if the edit is refused; a lost race shows the row that won
+   * @throws ControlException if the edit is rejected; on a conflict with another edit, the message
+   *     shows the row in force
    */
   public TableEdit edit(RowKey row, boolean delete, AdminMessages.Change change)
       throws ControlException {
@@ -70,7 +76,7 @@
     RequestBody body = RequestBody.create(json, JSON);
     return read(
         new ApiRequest(
-            path(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
+            rowRequest(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
         new TypeReference<>() {});
   }
 
@@ -81,7 +87,7 @@
         new TypeReference<>() {});
   }
 
-  /** Returns the state of the first host that answers. */
+  /** Returns the state of the first host that responds. */
   public HostStatus status() throws ControlException {
     return read(get("admin/status"), new TypeReference<>() {});
   }
@@ -91,7 +97,12 @@
     return read(send(host, get("admin/status")), new TypeReference<>() {});
   }
 
-  /** Returns the time line of one host. */
+  /**
+   * Returns the timeline of one host.
+   *
+   * @param since the earliest time, in milliseconds since 1970
+   * @param subject restricts the events to one subject unless empty
+   */
   public List<AdminMessages.TimelineEntry> timelineOf(String host, long since, String subject)
       throws ControlException {
     List<String> query = List.of("since", Long.toString(since), "subject", subject);
@@ -100,21 +111,21 @@
         new TypeReference<>() {});
   }
 
-  /** Starts a planned stop of one host. */
+  /** Makes one host report that it is not ready. */
   public void drain(String host) throws ControlException {
     RequestBody body = RequestBody.create(new byte[0], JSON);
-    ApiRequest path = new ApiRequest("admin/drain", List.of(), new Request.Builder().post(body));
-    checkSuccess(send(host, path));
+    ApiRequest request = new ApiRequest("admin/drain", List.of(), new Request.Builder().post(body));
+    checkSuccess(send(host, request));
   }
 
-  /** Returns the addresses of all hosts that the first answering host knows. */
+  /** Returns the given hosts and the peers of the first host that responds. */
   public Set<String> allHosts() throws ControlException {
     Set<String> all = new LinkedHashSet<>(hosts);
     status().peers().forEach(peer -> all.add(peer.description().httpAddress().toString()));
     return all;
   }
 
-  /** What to ask; the query has names and values in turn. */
+  /** A request to any host; {@code query} alternates between names and values of parameters. */
   private record ApiRequest(String segments, List<String> query, Request.Builder request) {}
 
   private record ApiResponse(int status, String body) {}
@@ -123,37 +134,38 @@
     return new ApiRequest(segments, List.of(), new Request.Builder());
   }
 
-  private static ApiRequest get(ApiRequest path) {
-    return path;
+  private static ApiRequest get(ApiRequest request) {
+    return request;
   }
 
-  private static ApiRequest path(RowKey row) {
+  private static ApiRequest rowRequest(RowKey row) {
     return get("admin/table/" + row.kind().word() + "/" + row.name());
   }
 
-  private <T> T read(ApiRequest path, TypeReference<T> type) throws ControlException {
-    return read(firstResponse(path), type);
+  private <T> T read(ApiRequest request, TypeReference<T> type) throws ControlException {
+    return read(firstResponse(request), type);
   }
 
-  private static <T> T read(ApiResponse answer, TypeReference<T> type) throws ControlException {
-    checkSuccess(answer);
+  private static <T> T read(ApiResponse response, TypeReference<T> type) throws ControlException {
+    checkSuccess(response);
     try {
-      return MAPPER.readValue(answer.body(), type);
+      return MAPPER.readValue(response.body(), type);
     } catch (IOException e) {
-      throw new ControlException(ExitCode.REFUSED, "the host's answer cannot be read", e);
+      throw new ControlException(
+          ExitCode.REFUSED, "the response of the host is not valid JSON for this command", e);
     }
   }
 
-  private static void checkSuccess(ApiResponse answer) throws ControlException {
-    if (answer.status() >= 200 && answer.status() < 300) {
+  private static void checkSuccess(ApiResponse response) throws ControlException {
+    if (response.status() >= 200 && response.status() < 300) {
       return;
     }
-    throw new ControlException(ExitCode.REFUSED, describe(answer));
+    throw new ControlException(ExitCode.REFUSED, describe(response));
   }
 
-  private static String describe(ApiResponse answer) {
+  private static String describe(ApiResponse response) {
     try {
-      var problem = MAPPER.readValue(answer.body(), AdminMessages.Problem.class);
+      var problem = MAPPER.readValue(response.body(), AdminMessages.Problem.class);
       String present =
           problem.present() == null
               ? ""
@@ -161,33 +173,35 @@
       String detail = problem.detail() == null ? "" : ": " + problem.detail();
       return problem.title() + detail + " (" + problem.outcome() + ")" + present;
     } catch (IOException e) {
-      return "status " + answer.status();
+      return "status " + response.status();
     }
   }
 
-  private ApiResponse firstResponse(ApiRequest path) throws ControlException {
-    ControlException last = null;
+  private ApiResponse firstResponse(ApiRequest request) throws ControlException {
+    ControlException lastFailure = null;
     for (String host : hosts) {
       try {
-        return send(host, path);
+        return send(host, request);
       } catch (ControlException e) {
-        last = e;
+        lastFailure = e;
       }
     }
-    throw last == null ? new ControlException(ExitCode.USAGE, "no host was named") : last;
+    throw lastFailure == null
+        ? new ControlException(ExitCode.USAGE, "no host was given")
+        : lastFailure;
   }
 
-  private ApiResponse send(String host, ApiRequest path) throws ControlException {
+  private ApiResponse send(String host, ApiRequest apiRequest) throws ControlException {
     HttpUrl base = HttpUrl.parse("http://" + host);
     if (base == null) {
-      throw new ControlException(ExitCode.USAGE, "not an address: " + host);
+      throw new ControlException(ExitCode.USAGE, "not a valid host address: " + host);
     }
-    HttpUrl.Builder url = base.newBuilder().addPathSegments(path.segments());
-    for (int index = 0; index < path.query().size(); index += 2) {
-      url.addQueryParameter(path.query().get(index), path.query().get(index + 1));
+    HttpUrl.Builder url = base.newBuilder().addPathSegments(apiRequest.segments());
+    for (int index = 0; index < apiRequest.query().size(); index += 2) {
+      url.addQueryParameter(apiRequest.query().get(index), apiRequest.query().get(index + 1));
     }
     Request request =
-        path.request().url(url.build()).header("Authorization", "Bearer " + key).build();
+        apiRequest.request().url(url.build()).header("Authorization", "Bearer " + key).build();
     try (Response response = client.newCall(request).execute()) {
       return new ApiResponse(response.code(), response.body().string());
     } catch (IOException e) {
@@ -200,7 +214,7 @@
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (IOException e) {
-      throw new ControlException(ExitCode.USAGE, "cannot be written as JSON", e);
+      throw new ControlException(ExitCode.USAGE, "the edit cannot be serialized as JSON", e);
     }
   }
 
--- a/gatereel-control/src/main/java/org/gatereel/control/AdminMessages.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/AdminMessages.java
@@ -12,13 +12,13 @@
   /** The table at one revision. */
   public record Table(long revision, List<Row> rows) {}
 
-  /** A part of the history. */
+  /** The edits after a revision. */
   public record History(List<TableEdit> edits) {}
 
-  /** An edit; {@code basedOn} is the revision of the row that the operator saw. */
+  /** An edit; {@code basedOn} is the revision of the row that it was made from. */
   public record Change(String editId, long basedOn, Map<String, String> cells) {}
 
-  /** A problem document; {@code present} is the row that won a race. */
+  /** A problem document; {@code present} is the row in force if the edit conflicted with it. */
   public record Problem(
       String type,
       String title,
@@ -28,7 +28,7 @@
       long retryAfterMillis,
       TableEdit present) {}
 
-  /** One event of one host. */
+  /** An event on the timeline of a host. */
   public record TimelineEntry(
       long sequence,
       long wallClockMillis,
--- a/gatereel-control/src/main/java/org/gatereel/control/Command.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/Command.java
@@ -1,11 +1,11 @@
 package org.gatereel.control;
 
-/** One command of the tool. */
+/** A command that sends requests to entry hosts. */
 public interface Command {
   /**
-   * Carries the command out.
+   * Executes the command.
    *
-   * @throws ControlException if it cannot be carried out
+   * @throws ControlException if it fails
    */
   ExitCode run(AdminClient client, Printer printer) throws ControlException;
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/ControlException.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ControlException.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.GatereelException;
 
-/** A command that could not be carried out; it knows the exit code. */
+/** Thrown when a command fails; carries the exit code of the process. */
 public final class ControlException extends GatereelException {
   private static final long serialVersionUID = 1L;
   private final ExitCode exitCode;
--- a/gatereel-control/src/main/java/org/gatereel/control/ControlMain.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ControlMain.java
@@ -9,7 +9,7 @@
 import org.gatereel.control.table.TableFiles;
 import org.gatereel.control.table.WaitCommand;
 
-/** The command {@code gatereelctl}. */
+/** The command line tool {@code gatereelctl}. */
 public final class ControlMain {
   private static final String TABLE = "table";
   private static final String HELP = "--help";
@@ -42,14 +42,14 @@
     tableCommands.forEach((name, command) -> addCommand(table, name, command));
   }
 
-  /** Holds the commands about the table together; it has no options of its own. */
+  /** The parent of the table commands; it has no options. */
   private static final class Group {}
 
   private static void addCommand(JCommander parent, String name, Command command) {
     parent.addCommand(name, command);
   }
 
-  /** Runs the command that the arguments name; the exit codes are those of {@link ExitCode}. */
+  /** Executes the command in the arguments and exits with a code of {@link ExitCode}. */
   public static void main(String[] arguments) {
     System.exit(new ControlMain().run(arguments).number());
   }
@@ -65,8 +65,8 @@
       System.err.println(e.getMessage());
       return ExitCode.USAGE;
     }
-    JCommander chosen = parsedCommand();
-    Object command = chosen == null ? null : chosen.getObjects().get(0);
+    JCommander parsed = parsedCommand();
+    Object command = parsed == null ? null : parsed.getObjects().get(0);
     try {
       if (command instanceof LocalCommand local) {
         return local.run(printer());
@@ -92,16 +92,19 @@
     return new Printer(System.out, options.isJson());
   }
 
-  /** Returns the innermost command that the words name, whatever else is missing or wrong. */
-  private JCommander innermostCommand(String... words) {
+  /** Returns the innermost command in the arguments, ignoring all other arguments. */
+  private JCommander innermostCommand(String... arguments) {
     JCommander innermost = commander;
-    for (String word : words) {
-      innermost = innermost.getCommands().getOrDefault(word, innermost);
+    for (String argument : arguments) {
+      innermost = innermost.getCommands().getOrDefault(argument, innermost);
     }
     return innermost;
   }
 
-  /** Returns the innermost command, or the table group if none of its commands was named. */
+  /**
+   * Returns the innermost command that was parsed, the table group if none of its commands was
+   * given, or null if there is no command.
+   */
   private JCommander parsedCommand() {
     String name = commander.getParsedCommand();
     if (name == null) {
--- a/gatereel-control/src/main/java/org/gatereel/control/ExitCode.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ExitCode.java
@@ -1,12 +1,12 @@
 package org.gatereel.control;
 
-/** How a command ended, for scripts. */
+/** The exit codes of the command line tool. */
 public enum ExitCode {
   DONE(0),
-  /** The command did what it could, but not all that was asked. */
+  /** The command was executed in part, or found nothing. */
   INCOMPLETE(1),
   USAGE(2),
-  /** The host refused; its problem document was printed. */
+  /** A host rejected the request; its problem document was printed. */
   REFUSED(3),
   /** No host could be reached. */
   UNREACHABLE(4);
--- a/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/ExplainCommand.java
@@ -9,13 +9,13 @@
 import org.gatereel.control.log.LogLine;
 import org.gatereel.core.event.EventCode;
 
-/** Prints what log files of any number of hosts say of one request, target or other subject. */
+/** Prints the events of one request, target or other subject from the log files of hosts. */
 @Parameters(commandDescription = "tell from log files what became of a request: ID FILE...")
 final class ExplainCommand implements LocalCommand {
   @Parameter(description = "ID FILE...", required = true)
   private List<String> arguments = new ArrayList<>();
 
-  /** One line of a log that has the subject. */
+  /** An event of the subject. */
   record Entry(String time, String host, String name, String detail, String meaning) {}
 
   @Override
--- a/gatereel-control/src/main/java/org/gatereel/control/GlobalOptions.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/GlobalOptions.java
@@ -40,7 +40,7 @@
   /**
    * Returns the operator's key.
    *
-   * @throws ControlException if there is none
+   * @throws ControlException if there is none or the key file cannot be read
    */
   public String key() throws ControlException {
     if (keyFile != null) {
--- a/gatereel-control/src/main/java/org/gatereel/control/HostCommands.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/HostCommands.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.gatereel.core.HostStatus;
 
-/** The commands that look at and stop hosts. */
+/** The commands that inspect and drain hosts. */
 final class HostCommands {
   private HostCommands() {}
 
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Prints one ordered time line of all hosts. */
+  /** Prints the events of all hosts, ordered by time. */
   @Parameters(commandDescription = "print the events of all hosts as one ordered time line")
   static final class Timeline implements Command {
     @Parameter(names = "--request", description = "only events of one request")
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Takes one host out of the balancer. */
+  /** Makes one host report that it is not ready, so that the balancer sends it no requests. */
   @Parameters(commandDescription = "take one host out of the balancer: ip:port")
   static final class Drain implements Command {
     @Parameter(description = "ip:port", required = true)
--- a/gatereel-control/src/main/java/org/gatereel/control/LocalCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/LocalCommand.java
@@ -1,11 +1,11 @@
 package org.gatereel.control;
 
-/** A command that works on files alone, and so needs neither hosts nor a key. */
+/** A command that needs neither the administration API nor a key. */
 interface LocalCommand {
   /**
-   * Carries the command out.
+   * Executes the command.
    *
-   * @throws ControlException if it cannot be done
+   * @throws ControlException if it fails
    */
   ExitCode run(Printer printer) throws ControlException;
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/Printer.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/Printer.java
@@ -9,7 +9,7 @@
 import org.gatereel.core.table.Row;
 import org.gatereel.core.table.TableEdit;
 
-/** Prints what commands found, as text or as JSON. */
+/** Prints the results of commands as text or as JSON. */
 public final class Printer {
   private final PrintStream out;
   private final boolean json;
@@ -19,7 +19,7 @@
     this.json = json;
   }
 
-  /** Prints a value as JSON, or else some lines of text. */
+  /** Prints the value if the output is JSON, the lines otherwise. */
   public void print(Object value, List<String> lines) throws ControlException {
     if (!json) {
       lines.forEach(out::println);
@@ -28,7 +28,7 @@
     try {
       out.println(AdminClient.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(value));
     } catch (JsonProcessingException e) {
-      throw new ControlException(ExitCode.INCOMPLETE, "cannot be written as JSON", e);
+      throw new ControlException(ExitCode.INCOMPLETE, "the result cannot be serialized as JSON", e);
     }
   }
 
--- a/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
@@ -11,7 +11,7 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Prints what forwarding hosts know of a service's roll-out, and what each would decide. */
+/** Prints the state of a service's rollout on each host, with the evidence for its decision. */
 @Parameters(
     commandDescription =
         "tell how a roll-out stands: SERVICE --at IP:PORT,... (hosts' metrics addresses); for"
@@ -31,40 +31,40 @@
   @Override
   public ExitCode run(Printer printer) throws ControlException {
     List<String> lines = new ArrayList<>();
-    int silent = 0;
+    int unreachable = 0;
     for (String host : hosts) {
       try {
         linesOfService(readRollouts(host)).forEach(line -> lines.add(host + " " + line));
       } catch (IOException e) {
-        silent++;
+        unreachable++;
         lines.add(host + " does not answer: " + e.getMessage());
       }
     }
     printer.print(lines, lines);
-    if (silent == hosts.size()) {
+    if (unreachable == hosts.size()) {
       return ExitCode.UNREACHABLE;
     }
-    return silent > 0 ? ExitCode.INCOMPLETE : ExitCode.DONE;
+    return unreachable > 0 ? ExitCode.INCOMPLETE : ExitCode.DONE;
   }
 
   private List<String> readRollouts(String host) throws IOException, ControlException {
     HttpUrl page = HttpUrl.parse("http://" + host + "/rollouts");
     if (page == null) {
-      throw new ControlException(ExitCode.USAGE, "no IP:PORT: " + host);
+      throw new ControlException(ExitCode.USAGE, "not an IP:PORT address: " + host);
     }
-    try (Response answer = client.newCall(new Request.Builder().url(page).build()).execute()) {
-      return answer.body().string().lines().toList();
+    try (Response response = client.newCall(new Request.Builder().url(page).build()).execute()) {
+      return response.body().string().lines().toList();
     }
   }
 
-  /** Returns the service's line and those of its evidence, which are set in below it. */
+  /** Returns the line of the service and the indented lines of evidence that follow it. */
   private List<String> linesOfService(List<String> page) {
     List<String> found = new ArrayList<>();
-    boolean within = false;
+    boolean inService = false;
     for (String line : page) {
       boolean evidence = line.startsWith(" ");
-      within = evidence ? within : line.startsWith(service + " ");
-      if (within) {
+      inService = evidence ? inService : line.startsWith(service + " ");
+      if (inService) {
         found.add(line);
       }
     }
--- a/gatereel-control/src/main/java/org/gatereel/control/RowKeys.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/RowKeys.java
@@ -4,11 +4,15 @@
 import org.gatereel.core.table.RowKey;
 import org.gatereel.core.table.RowKind;
 
-/** Reads the names of rows as they are typed. */
+/** Parses row names given on the command line. */
 public final class RowKeys {
   private RowKeys() {}
 
-  /** Reads a name like {@code service/narrator}. */
+  /**
+   * Parses a name such as {@code service/narrator}.
+   *
+   * @throws ControlException if the name has no slash or its kind is unknown
+   */
   public static RowKey parse(String text) throws ControlException {
     int slash = text.indexOf('/');
     if (slash < 0) {
--- a/gatereel-control/src/main/java/org/gatereel/control/SummaryCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/SummaryCommand.java
@@ -8,7 +8,7 @@
 import org.gatereel.control.log.LogLine;
 import org.gatereel.control.log.LogSummary;
 
-/** Prints how all requests fared of which log files of any number of hosts tell. */
+/** Prints statistics of all requests in the log files of hosts. */
 @Parameters(commandDescription = "tell from log files how requests fared: FILE...")
 final class SummaryCommand implements LocalCommand {
   @Parameter(description = "FILE...", required = true)
--- a/gatereel-control/src/main/java/org/gatereel/control/log/AnnouncementSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/AnnouncementSummary.java
@@ -6,18 +6,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Targets that said that they leave or want rest: to whom, and what hosts sent them after. */
+/** Summarizes announcements of draining and backoff, and the requests sent despite them. */
 final class AnnouncementSummary {
   private final Map<String, Target> targets = new LinkedHashMap<>();
 
-  /** What lines say of one target. */
   private static final class Target {
     private final List<String> announcements = new ArrayList<>();
     private final Map<String, Integer> sentAfterAnnouncement = new TreeMap<>();
     private final Map<String, String> firstKnownByHost = new TreeMap<>();
   }
 
-  /** Takes in a line; lines are given in the order of time. */
+  /** Adds a line; lines must be added in order of time. */
   void add(LogLine line) {
     switch (line.name()) {
       case "LEAVING_ANNOUNCED" -> addAnnouncement(line, "leaving");
@@ -28,11 +27,11 @@
     }
   }
 
-  private void addAnnouncement(LogLine line, String what) {
+  private void addAnnouncement(LogLine line, String announcement) {
     Target target = targets.computeIfAbsent(line.subject(), any -> new Target());
     target.firstKnownByHost.putIfAbsent(line.host(), line.time());
     if (line.detailValue("source").equals("TARGET")) {
-      target.announcements.add(line.time() + " to " + line.host() + ": " + what);
+      target.announcements.add(line.time() + " to " + line.host() + ": " + announcement);
     }
   }
 
@@ -43,7 +42,7 @@
     }
   }
 
-  /** Adds lines of text, none if no target said such a thing. */
+  /** Appends the summary to {@code lines}; nothing if there was no announcement. */
   void print(List<String> lines) {
     if (targets.isEmpty()) {
       return;
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LimitSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LimitSummary.java
@@ -6,12 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Targets that took only so many requests: what they said, who sent them some and who did not. */
+/** Summarizes the announced rate limits of targets and how hosts kept to them. */
 final class LimitSummary {
   private final Map<String, Target> targets = new LinkedHashMap<>();
   private final Map<String, Map<String, Integer>> sentByHost = new TreeMap<>();
 
-  /** What lines say of one target. */
   private static final class Target {
     private final List<String> announcements = new ArrayList<>();
     private final Map<String, Long> skippedByHost = new TreeMap<>();
@@ -46,7 +45,7 @@
     return targets.computeIfAbsent(line.subject(), any -> new Target());
   }
 
-  /** Adds lines of text, none if no target named a limit. */
+  /** Appends the summary to {@code lines}; nothing if no target announced a limit. */
   void print(List<String> lines) {
     if (targets.isEmpty()) {
       return;
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogFiles.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogFiles.java
@@ -12,14 +12,14 @@
 import org.gatereel.control.ControlException;
 import org.gatereel.control.ExitCode;
 
-/** Reads log files. */
+/** Reads the events of log files. */
 public final class LogFiles {
   private LogFiles() {}
 
   /**
-   * Reads the events of files in the order of their times.
+   * Returns the events of all files, ordered by time.
    *
-   * @param wanted passes over lines before they are parsed
+   * @param wanted selects the lines to parse
    * @throws ControlException if a file cannot be read
    */
   public static List<LogLine> read(List<String> files, Predicate<String> wanted)
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogLine.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogLine.java
@@ -9,14 +9,14 @@
 import java.util.OptionalLong;
 
 /**
- * One numbered event of a host's log.
+ * An event in the log of a host.
  *
- * @param detail the inputs of the decision as they were written, pairs of the form name=value
+ * @param detail pairs of the form {@code name=value}, separated by spaces
  */
 public record LogLine(String time, String host, String name, String subject, String detail) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** Reads a line; what a collector put before the JSON is passed over. Empty if it is no event. */
+  /** Parses a line, ignoring any text before the JSON; empty if the line is not an event. */
   public static Optional<LogLine> parse(String text) {
     int start = text.indexOf('{');
     if (start < 0) {
@@ -32,12 +32,12 @@
               node.path("subject").asText(),
               node.path("detail").asText()));
     } catch (JsonProcessingException e) {
-      // Files hold other output too, as of the runtime; a line that is no event says nothing here.
+      // Log files also contain other output, such as that of the Java runtime.
       return Optional.empty();
     }
   }
 
-  /** Returns the inputs by their names. */
+  /** Returns the values in {@link #detail} by name. */
   public Map<String, String> detailValues() {
     Map<String, String> inputs = new HashMap<>();
     for (String pair : detail.split(" ")) {
@@ -49,12 +49,12 @@
     return inputs;
   }
 
-  /** Returns an input, or a dash if the line does not have it. */
+  /** Returns a value in {@link #detail}, or a dash if there is none. */
   String detailValue(String name) {
     return detailValues().getOrDefault(name, "-");
   }
 
-  /** Returns an input that is a whole number. */
+  /** Returns a value in {@link #detail} as a number; empty if it is absent or not an integer. */
   OptionalLong detailNumber(String name) {
     try {
       return OptionalLong.of(Long.parseLong(detailValue(name)));
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
@@ -7,7 +7,7 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** What the lines of a log say of all requests together; lines are given in the order of time. */
+/** Statistics of all requests in a log. */
 public final class LogSummary {
   private final LimitSummary limits = new LimitSummary();
   private final AnnouncementSummary announcements = new AnnouncementSummary();
@@ -15,7 +15,7 @@
   private final KindSummary calls = new KindSummary();
   private final Map<String, HostSummary> hosts = new TreeMap<>();
 
-  /** What the hosts knew when they chose. */
+  /** The load of targets and the age of load reports when a host chose a target. */
   private static final class HostSummary {
     private final PercentileSummary openRequests = new PercentileSummary();
     private final PercentileSummary loadAgeMillis = new PercentileSummary();
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Sums up lines. */
+  /** Returns the summary of lines, which must be ordered by time. */
   public static LogSummary of(List<LogLine> lines) {
     LogSummary summary = new LogSummary();
     Map<String, List<LogLine>> requests = new LinkedHashMap<>();
@@ -60,7 +60,7 @@
     return line.name().equals("FIRST_TOKEN") || copied;
   }
 
-  /** Returns the summary as lines of text. */
+  /** Returns the summary as text. */
   public List<String> lines() {
     List<String> lines = new ArrayList<>();
     lines.add("spreads are the 10th, 50th, 90th and 99th percentile");
@@ -70,20 +70,20 @@
     calls.print(lines);
     lines.add("hosts, when they chose a target");
     hosts.forEach(
-        (host, known) ->
+        (host, summary) ->
             lines.add(
                 "  "
                     + host
                     + ": open there "
-                    + known.openRequests
+                    + summary.openRequests
                     + "; age of loads, ms "
-                    + known.loadAgeMillis));
+                    + summary.loadAgeMillis));
     limits.print(lines);
     announcements.print(lines);
     return lines;
   }
 
-  /** Requests of one kind. */
+  /** Statistics of the requests of one kind. */
   private static final class KindSummary {
     private final PercentileSummary firstEventMillis = new PercentileSummary();
     private final PercentileSummary eventIntervalMillis = new PercentileSummary();
@@ -92,7 +92,7 @@
     private final Map<String, Integer> counts = new TreeMap<>();
 
     private void add(List<LogLine> lines) {
-      OptionalLong firstAt = OptionalLong.empty();
+      OptionalLong firstEventAt = OptionalLong.empty();
       boolean fromCopy = false;
       for (LogLine line : lines) {
         switch (line.name()) {
@@ -100,18 +100,18 @@
             fromCopy = line.detailValue("fromCopy").equals("true");
             if (fromCopy) {
               count("continued from a copy");
-            } else if (firstAt.isPresent()) {
+            } else if (firstEventAt.isPresent()) {
               count("moved without a copy");
             }
           }
           case "FIRST_TOKEN" -> {
-            if (firstAt.isEmpty()) {
-              firstAt = line.detailNumber("millis");
-              firstAt.ifPresent(firstEventMillis::add);
+            if (firstEventAt.isEmpty()) {
+              firstEventAt = line.detailNumber("millis");
+              firstEventAt.ifPresent(firstEventMillis::add);
             }
           }
           case "ATTEMPT_FAILED" -> {
-            String when = firstAt.isPresent() ? "after" : "before";
+            String when = firstEventAt.isPresent() ? "after" : "before";
             String copy = fromCopy ? ", going on from a copy" : "";
             count("failed " + when + " the first event: " + line.detailValue("failure") + copy);
           }
@@ -126,25 +126,25 @@
           case "REQUEST_REFUSED" -> count("refused: " + line.detailValue("reason"));
           case "GENERATION_INTERRUPTED" -> count("interrupted: " + line.detailValue("reason"));
           case "CALLER_GONE" -> count("caller gone");
-          case "REQUEST_ANSWERED" -> addResponse(line, firstAt);
+          case "REQUEST_ANSWERED" -> addResponse(line, firstEventAt);
           default -> {}
         }
       }
     }
 
-    private void addResponse(LogLine line, OptionalLong firstAt) {
+    private void addResponse(LogLine line, OptionalLong firstEventAt) {
       count("answered");
       line.detailNumber("tries").ifPresent(attempts::add);
       line.detailNumber("millis").ifPresent(responseMillis::add);
       long events = line.detailNumber("lastEvent").orElse(0);
-      if (firstAt.isPresent() && line.detailNumber("millis").isPresent() && events > 0) {
-        long millis = line.detailNumber("millis").getAsLong() - firstAt.getAsLong();
+      if (firstEventAt.isPresent() && line.detailNumber("millis").isPresent() && events > 0) {
+        long millis = line.detailNumber("millis").getAsLong() - firstEventAt.getAsLong();
         eventIntervalMillis.add((double) millis / events);
       }
     }
 
-    private void count(String what) {
-      counts.merge(what, 1, Integer::sum);
+    private void count(String outcome) {
+      counts.merge(outcome, 1, Integer::sum);
     }
 
     private void print(List<String> lines) {
@@ -152,7 +152,7 @@
       lines.add("  each event after it, ms: " + eventIntervalMillis);
       lines.add("  whole answer, ms: " + responseMillis);
       lines.add("  tries of an answered one: " + attempts);
-      counts.forEach((what, count) -> lines.add("  " + count + " " + what));
+      counts.forEach((outcome, count) -> lines.add("  " + count + " " + outcome));
     }
   }
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/log/PercentileSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/PercentileSummary.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** How values of one kind are spread. */
+/** The percentiles of a series of values. */
 final class PercentileSummary {
   private static final int SIGNIFICANT_DIGITS = 4;
 
-  /** Values are kept as whole tenths; a stream makes an event in 30 ms or more. */
+  /** The histogram stores integers; values are rounded to tenths. */
   private static final double UNITS_PER_VALUE = 10;
 
   private final Histogram values = new Histogram(SIGNIFICANT_DIGITS);
--- a/gatereel-control/src/main/java/org/gatereel/control/log/package-info.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/package-info.java
@@ -1,2 +1,2 @@
-/** What log files of any number of hosts say of the requests in them. */
+/** Reads and summarizes the log files of hosts. */
 package org.gatereel.control.log;
--- a/gatereel-control/src/main/java/org/gatereel/control/table/Revisions.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/Revisions.java
@@ -3,7 +3,7 @@
 import org.gatereel.control.ControlException;
 import org.gatereel.control.ExitCode;
 
-/** Reads revisions as they are typed. */
+/** Parses revisions given on the command line. */
 final class Revisions {
   private Revisions() {}
 
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableCommands.java
@@ -19,7 +19,7 @@
 import org.gatereel.core.table.RowKey;
 import org.gatereel.core.table.TableEdit;
 
-/** The commands that look at and edit single rows of the table. */
+/** The commands that read and edit rows of the table. */
 public final class TableCommands {
   private static final String ROW_DESCRIPTION = "ROW, for example service/narrator";
 
@@ -39,7 +39,7 @@
     }
   }
 
-  /** Prints one row with all its columns, set or standard. */
+  /** Prints one row with the values of all columns, including defaults. */
   @Parameters(commandDescription = "print one row with the standard values of unset cells")
   public static final class Get implements Command {
     @Parameter(description = ROW_DESCRIPTION, required = true)
@@ -122,7 +122,7 @@
     return ExitCode.DONE;
   }
 
-  /** Prints who changed what. */
+  /** Prints the accepted edits. */
   @Parameters(commandDescription = "print the accepted edits")
   public static final class History implements Command {
     @Parameter(names = "--after", description = "only edits after this revision")
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableDiff.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableDiff.java
@@ -12,7 +12,7 @@
 
 /** The cells that differ between two revisions. */
 record TableDiff(long from, long to, List<CellChange> changes) {
-  /** One cell; an empty text is a cell that was not set. */
+  /** A changed cell; an empty string means that the cell was not set. */
   record CellChange(RowKey row, String column, String before, String after) {}
 
   static TableDiff between(List<TableEdit> history, long from, long to) {
--- a/gatereel-control/src/main/java/org/gatereel/control/table/TableFiles.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/TableFiles.java
@@ -24,7 +24,7 @@
 import org.gatereel.core.table.Row;
 import org.gatereel.core.table.RowKey;
 
-/** The commands that carry the table to and from spreadsheets, as CSV. */
+/** The commands that export the table to a CSV file and import it. */
 public final class TableFiles {
   private static final String ROW = "row";
   private static final String REVISION = "revision";
@@ -65,10 +65,10 @@
   }
 
   /**
-   * Edits every row that a file has otherwise than the table.
+   * Edits every row whose cells differ between the file and the table.
    *
-   * <p>The file's revision column is what each edit is based on, so that a row which somebody else
-   * changed since the export is refused and the others go through.
+   * <p>Each edit is based on the revision in the file. An edit of a row that was changed since the
+   * export is rejected; the other edits are applied.
    */
   @Parameters(commandDescription = "edit the rows that differ from a CSV file")
   public static final class Import implements Command {
@@ -77,16 +77,16 @@
 
     @Override
     public ExitCode run(AdminClient client, Printer printer) throws ControlException {
-      int refused = 0;
+      int rejected = 0;
       for (Map<String, String> line : read()) {
         try {
           importRow(client, printer, line);
         } catch (ControlException e) {
-          refused++;
+          rejected++;
           System.err.println(line.get(ROW) + ": " + e.getMessage());
         }
       }
-      return refused == 0 ? ExitCode.DONE : ExitCode.INCOMPLETE;
+      return rejected == 0 ? ExitCode.DONE : ExitCode.INCOMPLETE;
     }
 
     private List<Map<String, String>> read() throws ControlException {
--- a/gatereel-control/src/main/java/org/gatereel/control/table/WaitCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/WaitCommand.java
@@ -13,7 +13,7 @@
 import org.gatereel.control.ExitCode;
 import org.gatereel.control.Printer;
 
-/** Waits until a revision is in force on every host that can be reached. */
+/** Waits until a revision is in force on every reachable host. */
 @Parameters(commandDescription = "wait until a revision is in force on every reachable host")
 public final class WaitCommand implements Command {
   private static final long POLL_INTERVAL_MILLIS = 50;
--- a/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
@@ -18,7 +18,7 @@
 import org.gatereel.core.forward.Refusal;
 import org.junit.jupiter.api.Test;
 
-/** Holds the walk from a request's id to its cause to the names that the code writes. */
+/** Checks that the names on the operations page exist in the code. */
 class OperationsPageTest {
   private static final Pattern NAME = Pattern.compile("\\b[A-Z]+(?:_[A-Z]+)+\\b");
   private static final Set<String> OTHER_NAMES = Set.of("GATEREEL_KEY", "LOG_DROPPED");
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
@@ -14,8 +14,8 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
-import org.gatereel.daemon.callers.CallerExchanges;
 import org.gatereel.daemon.callers.CallerServer;
+import org.gatereel.daemon.callers.CallerExchanges;
 import org.gatereel.daemon.control.ActionDispatcher;
 import org.gatereel.daemon.control.ControlLoop;
 import org.gatereel.daemon.control.HostListPoller;
@@ -59,8 +59,7 @@
     PeerLinks links = kernel.start(Services.PEERS, found -> new PeerLinks(settings.host(), inbox));
     CallerExchanges exchanges =
         kernel.start(
-            Services.EXCHANGES,
-            found -> new CallerExchanges(settings.mostWaitingBytes(), inbox::post));
+            Services.EXCHANGES, found -> new CallerExchanges(settings.mostWaitingBytes(), inbox::post));
     PlatformClient platform = new PlatformClient(clients.platform(), settings.platform());
     PeerSender peers = new PeerSender(links);
     peers.updateAddresses(settings.peers());
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
@@ -31,8 +31,7 @@
     return context.detach(
         detached -> {
           long caller = lastNumber.incrementAndGet();
-          exchanges.put(
-              caller, new CallerExchange(detached, maxBufferedBytes, () -> onDisconnect(caller)));
+          exchanges.put(caller, new CallerExchange(detached, maxBufferedBytes, () -> onDisconnect(caller)));
           eventSink.accept(event.apply(caller));
           return detached;
         });
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
@@ -93,8 +93,7 @@
           context, Problem.notRun(ProblemType.MALFORMED_EVENT_ID, e.getMessage()));
     }
     String credential = BearerKeys.credential(context);
-    return exchanges.accept(
-        context, caller -> new Event.ResumeRequested(caller, credential, after));
+    return exchanges.accept(context, caller -> new Event.ResumeRequested(caller, credential, after));
   }
 
   private Object call(Context context) throws Exception {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerServer.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerServer.java
@@ -99,8 +99,7 @@
     }
     return context.detach(
         detached -> {
-          var unused =
-              control.query(EntryHost::isReady).thenAccept(good -> sendHealth(detached, good));
+          var unused = control.query(EntryHost::isReady).thenAccept(good -> sendHealth(detached, good));
           return detached;
         });
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/EditConflict.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/EditConflict.java
@@ -11,8 +11,7 @@
 
   static void send(CallerExchange exchange, TableEdit present) {
     ProblemType type = ProblemType.LOST_RACE;
-    EditConflict body =
-        new EditConflict(type.uri(), type.title(), type.status(), Outcome.NOT_RUN, present);
+    EditConflict body = new EditConflict(type.uri(), type.title(), type.status(), Outcome.NOT_RUN, present);
     exchange.respond(type.status(), MEDIA_TYPE, ProblemDocument.json(body));
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
@@ -99,8 +99,7 @@
     return context.send(ProblemDocument.json(value));
   }
 
-  private static Object sendWhenComplete(Context context, CompletableFuture<?> answer)
-      throws Exception {
+  private static Object sendWhenComplete(Context context, CompletableFuture<?> answer) throws Exception {
     return context.detach(
         detached -> {
           var unused = answer.thenAccept(value -> json(detached, value));
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
@@ -35,9 +35,7 @@
   private void poll() {
     platform.readHostList(this::onHostList);
     // All hosts together read about as often whatever their number; news spreads among peers.
-    long interval =
-        Math.max(
-            MIN_INTERVAL_MILLIS, (long) hostCount * MILLIS_PER_SECOND / TOTAL_READS_PER_SECOND);
+    long interval = Math.max(MIN_INTERVAL_MILLIS, (long) hostCount * MILLIS_PER_SECOND / TOTAL_READS_PER_SECOND);
     var unused = timer.schedule(this::poll, interval, TimeUnit.MILLISECONDS);
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
@@ -13,8 +13,7 @@
 final class SettingsNode {
   private static final int MAX_PORT = 65_535;
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
-  private static final Pattern IP_ADDRESS =
-      Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
+  private static final Pattern IP_ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
   private final JsonNode node;
@@ -134,9 +133,7 @@
             key -> {
               if (!knownKeys.contains(key)) {
                 mistake(
-                    pathOf(key),
-                    node.get(key),
-                    "no such key; known: " + String.join(", ", knownKeys));
+                    pathOf(key), node.get(key), "no such key; known: " + String.join(", ", knownKeys));
               }
             });
   }
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -191,8 +191,7 @@
       List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
       control.query(EntryHost::open).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertEquals(
-          0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
+      assertEquals(0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
     }
     String last = written.get(written.size() - 1);
     assertTrue(last.contains("event: problem") && last.contains("slow-reader"), last);
