--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/HttpClients.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/HttpClients.java
@@ -8,7 +8,7 @@
 import okhttp3.Dispatcher;
 import okhttp3.OkHttpClient;
 
-/** The HTTP clients of one process; they share their threads. */
+/** The HTTP clients of a process. They share one thread pool. */
 public final class HttpClients implements AutoCloseable {
   private static final int MAX_REQUESTS = 10_000;
   private static final int MAX_IDLE_CONNECTIONS = 64;
@@ -49,22 +49,22 @@
             .build();
   }
 
-  /** Returns the client for streams; silence is judged elsewhere, so reads have no limit. */
+  /** Returns the client for streams; it has no read timeout. */
   public OkHttpClient streaming() {
     return streaming;
   }
 
   /**
-   * Returns the client for calls that may not be repeated.
+   * Returns the client for calls that must not be sent twice.
    *
-   * <p>Each call has a new connection: on one that was kept, the target may have closed it just
-   * now, and then nobody could say whether the call arrived.
+   * <p>Each call uses a new connection: if the target closes a reused connection while a call is
+   * sent, it is unknown whether the target received the call.
    */
   public OkHttpClient unpooled() {
     return unpooled;
   }
 
-  /** Returns the client for the platform. */
+  /** Returns the client for the platform; it limits the time of each call. */
   public OkHttpClient platform() {
     return platform;
   }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/Json.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/Json.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import okhttp3.MediaType;
 
-/** JSON as the adapters read and write it; what others add to their answers is passed over. */
+/** The JSON mapper of the adapters; it ignores unknown fields. */
 public final class Json {
   public static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/SentMarker.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/SentMarker.java
@@ -5,14 +5,15 @@
 import okhttp3.Request;
 
 /**
- * Notes whether any byte of a request left this host.
+ * Records whether this host began to send a request.
  *
- * <p>Only with this can a failed request be called "not run": which exception came says too little.
+ * <p>A request that was not sent was not executed. The exception alone does not show whether it was
+ * sent.
  */
 public final class SentMarker extends EventListener {
   private volatile boolean sent;
 
-  /** Makes every call of a client use the marker that its request is tagged with. */
+  /** Uses the marker with which the request of a call is tagged. */
   static final EventListener.Factory FROM_TAG =
       call -> {
         SentMarker marker = call.request().tag(SentMarker.class);
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformClient.java
@@ -19,7 +19,7 @@
 import org.gatereel.core.platform.TableWrite;
 import org.gatereel.core.platform.TransactionResult;
 
-/** Speaks with the platform's table, object store and host list over HTTP and JSON. */
+/** An HTTP client of the platform's table and host list. */
 public final class PlatformClient {
   private static final int CONFLICT = 409;
 
@@ -32,7 +32,7 @@
         new HttpUrl.Builder().scheme("http").host(address.ip()).port(address.port()).build();
   }
 
-  /** Asks for a transaction; {@code done} is called once, on another thread. */
+  /** Submits a transaction; calls {@code done} once, on another thread. */
   public void transact(List<TableWrite> writes, Consumer<TransactionResult> done) {
     List<PlatformMessages.Write> rows =
         writes.stream()
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Reads single rows; {@code done} is called once, on another thread. */
+  /** Reads rows by key; calls {@code done} once, on another thread. */
   public void read(List<String> keys, Consumer<ReadResult> done) {
     Request request =
         new Request.Builder()
@@ -93,7 +93,7 @@
     requestRows(request, done);
   }
 
-  /** Reads the rows with a prefix after a key; {@code done} is called once, on another thread. */
+  /** Reads the rows with a prefix after a key; calls {@code done} once, on another thread. */
   public void scan(String prefix, String after, Consumer<ReadResult> done) {
     HttpUrl url =
         url("table/scan")
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Reads the list of hosts and targets; {@code done} is not called if that fails. */
+  /** Reads the list of hosts and targets; does not call {@code done} on failure. */
   public void readHostList(Consumer<HostList> done) {
     client
         .newCall(new Request.Builder().url(url("hosts")).build())
@@ -141,7 +141,7 @@
             new Callback() {
               @Override
               public void onFailure(Call call, IOException failure) {
-                // The list that was read last stays in force; the next poll asks again.
+                // The previous list stays in force until the next poll.
               }
 
               @Override
@@ -151,7 +151,7 @@
                     done.accept(Json.MAPPER.readValue(response.body().string(), HostList.class));
                   }
                 } catch (IOException e) {
-                  // As above: a list that cannot be read changes nothing.
+                  // The previous list stays in force until the next poll.
                 }
               }
             });
@@ -165,7 +165,7 @@
     try {
       return RequestBody.create(Json.MAPPER.writeValueAsString(value), Json.TYPE);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of strings can always be written", e);
+      throw new IllegalStateException("platform message cannot be serialized as JSON", e);
     }
   }
 }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformMessages.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/platform/PlatformMessages.java
@@ -12,13 +12,13 @@
   /** A row to write; {@code expected} is null if the row must not exist. */
   public record Write(String key, String expected, String value) {}
 
-  /** Asks for a transaction. */
+  /** A request to apply writes atomically. */
   public record Transaction(List<Write> writes) {}
 
-  /** Says which conditions failed and what stands there. */
+  /** The keys whose condition failed and the present values of their rows. */
   public record Conflict(Set<String> keys, Map<String, String> present) {}
 
-  /** Asks for single rows. */
+  /** A request for rows by key. */
   public record Read(List<String> keys) {}
 
   /** Rows by key. */
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
@@ -25,15 +25,15 @@
 import org.gatereel.core.model.RequestId;
 
 /**
- * Speaks with model engines: server-sent events for tokens.
+ * An HTTP client of model engines, which send tokens as server-sent events.
  *
- * <p>An attempt is finished only by the engine's final event with the length of the answer; a
- * stream that ends in any other way has failed.
+ * <p>An attempt is complete only when the engine's final event with the length of the response is
+ * received; a stream that ends in any other way has failed.
  */
 public final class EngineClient {
   private static final String END_EVENT = "end";
 
-  /** Reads final events; without it a length that is missing would be read as 0. */
+  /** Rejects final events without a length, which would otherwise be read as 0. */
   private static final ObjectReader END_READER =
       Json.MAPPER
           .readerFor(EngineMessages.End.class)
@@ -51,7 +51,7 @@
     this.listener = listener;
   }
 
-  /** Starts an attempt. */
+  /** Starts an attempt and passes its events to the listener. */
   public void start(Action.StartAttempt start) {
     Key key = new Key(start.spec().request(), start.attempt());
     SentMarker marker = new SentMarker();
@@ -76,7 +76,10 @@
     stream.source = EventSources.createFactory(client).newEventSource(request, stream);
   }
 
-  /** Stops an attempt: closes its stream and tells the engine, which may notice late. */
+  /**
+   * Cancels an attempt: closes its stream and sends a cancellation, since the engine may detect the
+   * closed stream late.
+   */
   public void cancel(RequestId request, int attempt) {
     Stream stream = streams.remove(new Key(request, attempt));
     if (stream == null) {
@@ -95,7 +98,7 @@
       new Callback() {
         @Override
         public void onFailure(Call call, IOException failure) {
-          // The engine is gone or ends the attempt by its closed stream.
+          // Not retried: the engine is down or will detect the closed stream.
         }
 
         @Override
@@ -126,7 +129,8 @@
           }
         } else {
           EngineMessages.Token token = Json.MAPPER.readValue(data, EngineMessages.Token.class);
-          listener.onToken(key.request(), key.attempt(), token.offset(), token.token(), token.load());
+          listener.onToken(
+              key.request(), key.attempt(), token.offset(), token.token(), token.load());
         }
       } catch (JsonProcessingException e) {
         fail(TargetFailure.ERROR);
@@ -137,7 +141,8 @@
     private static int endLength(String data) throws JsonProcessingException {
       EngineMessages.End end = END_READER.readValue(data);
       if (end == null) {
-        throw MismatchedInputException.from(null, EngineMessages.End.class, "no length");
+        throw MismatchedInputException.from(
+            null, EngineMessages.End.class, "final event has no length");
       }
       return end.length();
     }
@@ -178,7 +183,7 @@
     try {
       return RequestBody.create(Json.MAPPER.writeValueAsString(value), Json.TYPE);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of strings can always be written", e);
+      throw new IllegalStateException("engine message cannot be serialized as JSON", e);
     }
   }
 }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineMessages.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineMessages.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** The JSON bodies of engines. */
+/** The JSON messages of the engines' HTTP API. */
 public final class EngineMessages {
   private EngineMessages() {}
 
   /**
-   * Asks for a generation.
+   * A request for a generation.
    *
-   * @param tokens the tokens that the answer already has; the engine goes on after them
+   * @param tokens the tokens that were already generated; the engine continues after them
    */
   public record Generate(
       String request,
@@ -19,15 +19,15 @@
       int maximumTokens,
       int priority) {}
 
-  /** One token; {@code load} is what the engine last counted as its load. */
+  /** A token at an offset in the response; {@code load} is the engine's reported load. */
   public record Token(int offset, String token, int load) {}
 
-  /** The end of a generation, with its whole length. */
+  /** The end of a generation; {@code length} is the total number of tokens. */
   public record End(int length) {}
 
-  /** Why a target did not start a request. */
+  /** The reason why a target did not start a request. */
   public record Rejection(String reason) {}
 
-  /** Asks to stop an attempt. */
+  /** A request to cancel an attempt. */
   public record Cancel(String request, int attempt) {}
 }
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ResponseFraming.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ResponseFraming.java
@@ -3,7 +3,7 @@
 import okhttp3.Headers;
 import okhttp3.Response;
 
-/** Tells by what the end of a target's answer is known. */
+/** Determines how the end of a response body is marked. */
 final class ResponseFraming {
   private static final int NO_CONTENT = 204;
   private static final int NOT_MODIFIED = 304;
@@ -11,9 +11,10 @@
   private ResponseFraming() {}
 
   /**
-   * Returns whether only the end of the connection is the end of the answer.
+   * Returns whether only the close of the connection marks the end of the body.
    *
-   * <p>That is no word of the target: the connections of a process that dies end in the same way.
+   * <p>Such a body may be truncated: the connections of a crashed process are closed in the same
+   * way.
    */
   static boolean isCloseDelimited(Response response) {
     boolean withoutBody = response.code() == NO_CONTENT || response.code() == NOT_MODIFIED;
@@ -33,7 +34,7 @@
     }
   }
 
-  /** The headers as they came: those of an answer that was unpacked no longer have its length. */
+  /** Returns the headers as received; a decompressed response lacks its Content-Length. */
   private static Headers receivedHeaders(Response response) {
     Response network = response.networkResponse();
     return network == null ? response.headers() : network.headers();
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ServiceClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/ServiceClient.java
@@ -16,13 +16,12 @@
 import org.gatereel.core.model.Address;
 
 /**
- * Speaks with plain services.
+ * An HTTP client of plain services.
  *
- * <p>An answer counts as whole only if its service ended it. One without length or chunks, whose
- * connection was closed, counts only if the service still answers after that.
+ * <p>A response whose end is marked only by the close of the connection is accepted as complete if
+ * the service can still be reached afterwards. Otherwise it may be truncated, and the call fails.
  */
 public final class ServiceClient {
-  /** Milliseconds; by so much at most an answer that may be cut is told later. */
   private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
   private static final MediaType OCTET_STREAM = MediaType.get("application/octet-stream");
@@ -36,7 +35,7 @@
     this.listener = listener;
   }
 
-  /** Sends a call once; whether to send it again is not decided here. */
+  /** Sends a call once, without retries, and passes its result to the listener. */
   public void send(Action.SendCall send) {
     SentMarker marker = new SentMarker();
     Request request =
@@ -52,7 +51,7 @@
     call.enqueue(new ResponseHandler(send.ticket(), send.target().address(), marker));
   }
 
-  /** Asks a target anything; any answer shows that its process lives. */
+  /** Returns whether a target responds to a request, with any status. */
   private boolean isReachable(Address address) {
     Request request = new Request.Builder().url(EngineClient.url(address, "")).build();
     Call probe = client.newCall(request);
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/TargetListener.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/TargetListener.java
@@ -3,7 +3,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.model.RequestId;
 
-/** Who is told of what targets send; called on the clients' threads. */
+/** Receives the events and responses of targets on the threads of the HTTP clients. */
 public interface TargetListener {
   void onToken(RequestId request, int attempt, int offset, String token, int load);
 
--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/TargetRejections.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/TargetRejections.java
@@ -5,7 +5,7 @@
 import org.gatereel.adapters.Json;
 import org.gatereel.core.event.TargetFailure;
 
-/** Reads the answers of targets that did not start a request. */
+/** Reads responses by which targets reject requests that they did not start. */
 final class TargetRejections {
   private static final int UNAVAILABLE = 503;
 
@@ -15,11 +15,12 @@
     return response.code() == UNAVAILABLE;
   }
 
-  /** Returns the failure that a refusal stands for; an unreadable one proves nothing. */
+  /** Returns the failure that a rejection reports, {@code ERROR} if its reason is not readable. */
   static TargetFailure readFailure(Response response) {
     try {
-      var refusal = Json.MAPPER.readValue(response.body().string(), EngineMessages.Rejection.class);
-      return switch (String.valueOf(refusal.reason())) {
+      var rejection =
+          Json.MAPPER.readValue(response.body().string(), EngineMessages.Rejection.class);
+      return switch (String.valueOf(rejection.reason())) {
         case "LEAVING" -> TargetFailure.GOODBYE;
         case "FULL" -> TargetFailure.FULL;
         default -> TargetFailure.ERROR;
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/RawServer.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/RawServer.java
@@ -11,9 +11,9 @@
 import org.gatereel.core.model.Address;
 
 /**
- * A server that answers every request with the same bytes and then ends the connection.
+ * A server that sends the same bytes in response to every request and then closes the connection.
  *
- * <p>It knows nothing of HTTP but where a request ends, so that it can cut an answer anywhere.
+ * <p>The bytes need not be a complete HTTP response.
  */
 public final class RawServer implements AutoCloseable {
   private static final String LENGTH = "content-length:";
@@ -22,16 +22,16 @@
   private final byte[] response;
   private final CloseMode closeMode;
 
-  /** How the connection ends after the answer. */
+  /** How the connection is closed after the response. */
   public enum CloseMode {
-    /** In order, while the server can still be reached. */
+    /** Closes the connection; the server can still be reached. */
     CLOSE {
       @Override
       void closeConnection(ServerSocket server, Socket connection) throws IOException {
         connection.close();
       }
     },
-    /** In order, as the system ends the connections of a process that died. */
+    /** Closes the connection and the server, as after a crash of its process. */
     DIE {
       @Override
       void closeConnection(ServerSocket server, Socket connection) throws IOException {
@@ -39,7 +39,7 @@
         connection.close();
       }
     },
-    /** By a reset. */
+    /** Resets the connection. */
     RESET {
       @Override
       void closeConnection(ServerSocket server, Socket connection) throws IOException {
@@ -51,10 +51,10 @@
     abstract void closeConnection(ServerSocket server, Socket connection) throws IOException;
   }
 
-  public RawServer(String answer, CloseMode ending) throws IOException {
+  public RawServer(String response, CloseMode closeMode) throws IOException {
     this.socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    this.response = answer.getBytes(StandardCharsets.ISO_8859_1);
-    this.closeMode = ending;
+    this.response = response.getBytes(StandardCharsets.ISO_8859_1);
+    this.closeMode = closeMode;
     Thread thread = new Thread(this::serve, "raw-server");
     thread.setDaemon(true);
     thread.start();
@@ -73,12 +73,12 @@
           closeMode.closeConnection(socket, connection);
         }
       } catch (IOException e) {
-        // The test ended this server, or a client its connection; the next one is served.
+        // The server was closed, or a client closed its connection.
       }
     }
   }
 
-  /** Reads a request to its end; returns whether there was one. */
+  /** Reads a request; returns whether a complete one was received. */
   private static boolean readRequest(InputStream raw) throws IOException {
     InputStream in = new BufferedInputStream(raw);
     int length = 0;
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/platform/PlatformClientTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What counts as a document of the platform, where nothing but its connection ends it. */
+/** Truncated documents of the platform must not be accepted as complete. */
 class PlatformClientTest {
   private static final long TIMEOUT_SECONDS = 30;
   private static final String UNFRAMED = "\r\nConnection: close\r\n\r\n";
@@ -31,29 +31,29 @@
   private static final String CONFLICT = "{\"keys\":[\"a\"],\"present\":{\"a\":\"1\"}}";
 
   private static <T> T send(
-      String answer, RawServer.CloseMode ending, BiConsumer<PlatformClient, Consumer<T>> question)
+      String response, RawServer.CloseMode closeMode, BiConsumer<PlatformClient, Consumer<T>> query)
       throws Exception {
     BlockingQueue<T> results = new LinkedBlockingQueue<>();
     try (HttpClients clients = new HttpClients();
-        RawServer server = new RawServer(answer, ending)) {
-      question.accept(new PlatformClient(clients.platform(), server.address()), results::add);
+        RawServer server = new RawServer(response, closeMode)) {
+      query.accept(new PlatformClient(clients.platform(), server.address()), results::add);
       T result = results.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertNotNull(result, "no result for " + answer);
+      assertNotNull(result, "no result for " + response);
       return result;
     }
   }
 
-  private static ReadResult read(String document, RawServer.CloseMode ending) throws Exception {
+  private static ReadResult read(String document, RawServer.CloseMode closeMode) throws Exception {
     return send(
         "HTTP/1.1 200 OK" + UNFRAMED + document,
-        ending,
+        closeMode,
         (client, done) -> client.read(List.of("a", "b"), done));
   }
 
-  private static TransactionResult transact(String answer, RawServer.CloseMode ending)
+  private static TransactionResult transact(String response, RawServer.CloseMode closeMode)
       throws Exception {
     TableWrite write = new TableWrite("a", Optional.of("0"), "2");
-    return send(answer, ending, (client, done) -> client.transact(List.of(write), done));
+    return send(response, closeMode, (client, done) -> client.transact(List.of(write), done));
   }
 
   private static Stream<Arguments> truncations(String document) {
@@ -62,7 +62,7 @@
         .flatMap(
             length ->
                 Stream.of(RawServer.CloseMode.values())
-                    .map(ending -> Arguments.of(document.substring(0, length), ending)));
+                    .map(closeMode -> Arguments.of(document.substring(0, length), closeMode)));
   }
 
   private static Stream<Arguments> cutRows() {
@@ -77,7 +77,9 @@
   void completeDocumentsAreRead() throws Exception {
     assertEquals(
         "1",
-        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE)).rows().get("a"));
+        assertInstanceOf(ReadResult.Rows.class, read(ROWS, RawServer.CloseMode.DIE))
+            .rows()
+            .get("a"));
     assertInstanceOf(
         TransactionResult.Conflict.class,
         transact("HTTP/1.1 409 Conflict" + UNFRAMED + CONFLICT, RawServer.CloseMode.DIE));
@@ -85,15 +87,15 @@
 
   @ParameterizedTest
   @MethodSource("cutRows")
-  void truncatedRowsAreNotRead(String part, RawServer.CloseMode ending) throws Exception {
-    assertInstanceOf(ReadResult.Failed.class, read(part, ending));
+  void truncatedRowsAreNotRead(String part, RawServer.CloseMode closeMode) throws Exception {
+    assertInstanceOf(ReadResult.Failed.class, read(part, closeMode));
   }
 
   @ParameterizedTest
   @MethodSource("cutConflicts")
-  void truncatedConflictHasUnknownOutcome(String part, RawServer.CloseMode ending)
+  void truncatedConflictHasUnknownOutcome(String part, RawServer.CloseMode closeMode)
       throws Exception {
-    String answer = "HTTP/1.1 409 Conflict" + UNFRAMED + part;
-    assertInstanceOf(TransactionResult.Unknown.class, transact(answer, ending));
+    String response = "HTTP/1.1 409 Conflict" + UNFRAMED + part;
+    assertInstanceOf(TransactionResult.Unknown.class, transact(response, closeMode));
   }
 }
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/EngineClientTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What counts as the end of an engine's stream: its final event, and nothing else. */
+/** Only the final event completes an engine's stream. */
 class EngineClientTest {
   private static final String STREAM = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
   private static final String UNFRAMED = STREAM + "Connection: close\r\n\r\n";
@@ -34,12 +34,12 @@
           + "event: token\ndata: {\"offset\":4,\"token\":\"b\",\"load\":1}\n\n";
   private static final String END = "event: end\ndata: {\"length\":5}\n\n";
 
-  /** Has an engine that gives an answer go on after three tokens, and returns how that ended. */
-  private static String run(String answer, RawServer.CloseMode ending) throws Exception {
+  /** Resumes a generation after three tokens and returns the outcome of the given response. */
+  private static String run(String response, RawServer.CloseMode closeMode) throws Exception {
     try (HttpClients clients = new HttpClients();
-        RawServer server = new RawServer(answer, ending)) {
-      RecordingTargetListener heard = new RecordingTargetListener();
-      EngineClient client = new EngineClient(clients.streaming(), heard);
+        RawServer server = new RawServer(response, closeMode)) {
+      RecordingTargetListener listener = new RecordingTargetListener();
+      EngineClient client = new EngineClient(clients.streaming(), listener);
       GenerationSpec spec =
           new GenerationSpec(
               new RequestId("1"),
@@ -50,7 +50,7 @@
               0);
       client.start(
           new Action.StartAttempt(spec, 1, target(server.address()), List.of("x", "y", "z")));
-      return heard.firstNonToken();
+      return listener.firstNonToken();
     }
   }
 
@@ -70,31 +70,32 @@
     return STREAM + "Transfer-Encoding: chunked\r\n\r\n" + length + "\r\n" + body + "\r\n";
   }
 
-  private static Stream<Arguments> cuts() {
-    // Every place in a token's event, between two events, and in the last one up to its last line.
+  private static Stream<Arguments> truncations() {
+    // Every position within and between events, up to the last line of the final event.
     return IntStream.range(0, (TOKENS + END).length())
         .boxed()
         .flatMap(
             length ->
-                Stream.of(RawServer.CloseMode.values()).map(ending -> Arguments.of(length, ending)));
+                Stream.of(RawServer.CloseMode.values())
+                    .map(closeMode -> Arguments.of(length, closeMode)));
   }
 
   @ParameterizedTest
-  @MethodSource("cuts")
-  void streamTruncatedBeforeItsFinalEventFails(int length, RawServer.CloseMode ending)
+  @MethodSource("truncations")
+  void streamTruncatedBeforeItsFinalEventFails(int length, RawServer.CloseMode closeMode)
       throws Exception {
     String part = (TOKENS + END).substring(0, length);
-    assertEquals("failed RESET", run(UNFRAMED + part, ending));
+    assertEquals("failed RESET", run(UNFRAMED + part, closeMode));
   }
 
   @ParameterizedTest
   @EnumSource(
       value = RawServer.CloseMode.class,
       names = {"CLOSE", "DIE"})
-  void streamWithFinalEventIsFinishedWithoutProperFraming(RawServer.CloseMode ending)
+  void streamWithFinalEventIsFinishedWithoutProperFraming(RawServer.CloseMode closeMode)
       throws Exception {
-    assertEquals("finished 5", run(UNFRAMED + TOKENS + END, ending));
-    assertEquals("finished 5", run(chunked(TOKENS + END), ending));
+    assertEquals("finished 5", run(UNFRAMED + TOKENS + END, closeMode));
+    assertEquals("finished 5", run(chunked(TOKENS + END), closeMode));
   }
 
   @Test
@@ -113,27 +114,25 @@
   @ParameterizedTest
   @ValueSource(strings = {"application/json", "text/plain"})
   void responseOfAnotherContentTypeFails(String type) throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Type: " + type + "\r\n";
+    String response = "HTTP/1.1 200 OK\r\nContent-Type: " + type + "\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
-    assertEquals("failed RESET", run(answer + length + END, RawServer.CloseMode.CLOSE));
+    assertEquals("failed RESET", run(response + length + END, RawServer.CloseMode.CLOSE));
   }
 
   @Test
   void errorResponseFailsEvenIfItsBodyIsAFinalEvent() throws Exception {
-    String answer = "HTTP/1.1 500 Error\r\nContent-Type: text/event-stream\r\n";
+    String response = "HTTP/1.1 500 Error\r\nContent-Type: text/event-stream\r\n";
     String length = "Content-Length: " + END.length() + "\r\n\r\n";
-    assertEquals("failed ERROR", run(answer + length + END, RawServer.CloseMode.CLOSE));
+    assertEquals("failed ERROR", run(response + length + END, RawServer.CloseMode.CLOSE));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"{}", "{\"length\":null}", "{\"size\":5}", "null", "\"\"", "", "{\"length\":"})
   void finalEventWithoutLengthFails(String data) throws Exception {
-    // An engine's final event had no length. It was taken for the end of an answer of no tokens, so
-    // that a generation which had none yet was told as finished; where the event had nothing at
-    // all, the attempt never ended.
-    String answer = UNFRAMED + "event: end\ndata: " + data + "\n\n";
-    String ended = run(answer, RawServer.CloseMode.CLOSE);
+    // A missing length must not be read as 0, and an empty event must not leave the attempt open.
+    String response = UNFRAMED + "event: end\ndata: " + data + "\n\n";
+    String ended = run(response, RawServer.CloseMode.CLOSE);
     assertEquals("failed", ended.replaceAll(" .*", ""), ended);
   }
 }
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/RecordingTargetListener.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/RecordingTargetListener.java
@@ -8,7 +8,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.model.RequestId;
 
-/** Keeps what targets were heard to say, each as one line. */
+/** Records each callback as one line. */
 final class RecordingTargetListener implements TargetListener {
   private static final long TIMEOUT_SECONDS = 30;
 
@@ -39,14 +39,14 @@
     callbacks.add("failed " + failure);
   }
 
-  /** Returns the next line, as soon as there is one. */
+  /** Waits for the next line and returns it. */
   String next() throws InterruptedException {
     String line = callbacks.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertNotNull(line, "nothing was heard");
+    assertNotNull(line, "no callback was received");
     return line;
   }
 
-  /** Returns the first line that is not about a token. */
+  /** Waits for the first line that is not about a token and returns it. */
   String firstNonToken() throws InterruptedException {
     String line = next();
     while (line.startsWith("token")) {
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What counts as the whole answer of a plain service. */
+/** Truncated responses of plain services must not be accepted as complete. */
 class ServiceClientTest {
   private static final int TIMEOUT_MILLIS = 20_000;
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-  /** Sends a call to a server that gives an answer, and returns how it ended. */
-  private static String call(String answer, RawServer.CloseMode ending) throws Exception {
+  /** Sends a call to a server with the given response and returns the outcome. */
+  private static String call(String response, RawServer.CloseMode closeMode) throws Exception {
     try (HttpClients clients = new HttpClients();
-        RawServer server = new RawServer(answer, ending)) {
-      RecordingTargetListener heard = new RecordingTargetListener();
-      ServiceClient client = new ServiceClient(clients.unpooled(), heard);
+        RawServer server = new RawServer(response, closeMode)) {
+      RecordingTargetListener listener = new RecordingTargetListener();
+      ServiceClient client = new ServiceClient(clients.unpooled(), listener);
       client.send(
           new Action.SendCall(1, target(server.address()), "call-1", "debit", TIMEOUT_MILLIS, 0));
-      return heard.next();
+      return listener.next();
     }
   }
 
@@ -47,22 +47,20 @@
 
   @Test
   void closeDelimitedResponseOfReachableServiceIsComplete() throws Exception {
-    String answer = UNFRAMED + "balance 12";
-    assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.CLOSE));
+    String response = UNFRAMED + "balance 12";
+    assertEquals("answered 200 balance 12", call(response, RawServer.CloseMode.CLOSE));
   }
 
   @Test
   void closeDelimitedResponseOfCrashedServiceFails() throws Exception {
-    // A service sent "balance 1200" without a length and died after "balance 12". Its system
-    // closed the connection in order, which is how such an answer ends, so that the part was kept
-    // under the Idempotency-Key as the answer and given to everyone who asked again.
+    // The truncated body would otherwise be stored under the Idempotency-Key as the response.
     assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.DIE));
   }
 
   @Test
   void invalidContentLengthIsIgnored() throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
-    assertEquals("failed RESET", call(answer, RawServer.CloseMode.DIE));
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
+    assertEquals("failed RESET", call(response, RawServer.CloseMode.DIE));
   }
 
   @Test
@@ -72,16 +70,16 @@
 
   @ParameterizedTest
   @EnumSource(RawServer.CloseMode.class)
-  void responseShorterThanContentLengthFails(RawServer.CloseMode ending) throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
-    assertEquals("failed RESET", call(answer, ending));
+  void responseShorterThanContentLengthFails(RawServer.CloseMode closeMode) throws Exception {
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
+    assertEquals("failed RESET", call(response, closeMode));
   }
 
   @ParameterizedTest
   @EnumSource(RawServer.CloseMode.class)
-  void responseWithoutLastChunkFails(RawServer.CloseMode ending) throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
-    assertEquals("failed RESET", call(answer, ending));
+  void responseWithoutLastChunkFails(RawServer.CloseMode closeMode) throws Exception {
+    String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
+    assertEquals("failed RESET", call(response, closeMode));
   }
 
   @ParameterizedTest
@@ -94,8 +92,8 @@
       })
   void framedResponseIsCompleteEvenIfTheServiceCrashesAfterIt(String header, String body)
       throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
-    assertEquals("answered 200 balance 12", call(answer, RawServer.CloseMode.DIE));
+    String response = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
+    assertEquals("answered 200 balance 12", call(response, RawServer.CloseMode.DIE));
   }
 
   @Test
