--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/Daemon.java
@@ -14,8 +14,8 @@
 import org.gatereel.core.action.Action;
 import org.gatereel.core.event.Event;
 import org.gatereel.core.event.EventCode;
-import org.gatereel.daemon.callers.CallerServer;
 import org.gatereel.daemon.callers.CallerExchanges;
+import org.gatereel.daemon.callers.CallerServer;
 import org.gatereel.daemon.control.ActionDispatcher;
 import org.gatereel.daemon.control.ControlLoop;
 import org.gatereel.daemon.control.HostListPoller;
@@ -26,7 +26,7 @@
 import org.gatereel.daemon.settings.Settings;
 import org.gatereel.wire.PeerLinks;
 
-/** One entry host: the services in their order, and the planned stop. */
+/** An entry host: starts its services in order and shuts them down. */
 public final class Daemon implements AutoCloseable {
   private static final long DRAIN_POLL_INTERVAL_MILLIS = 50;
   private static final long CONTROL_TIMEOUT_MILLIS = 2_000;
@@ -40,12 +40,12 @@
   /**
    * Starts all services.
    *
-   * @throws GatereelException if one cannot start; those before it are closed again
+   * @throws GatereelException if a service cannot start; the services that were started are closed
    */
   public Daemon(Settings settings) throws GatereelException {
     this.settings = settings;
     try {
-      events = kernel.start(Services.EVENTS, found -> new EventLog(settings));
+      events = kernel.start(Services.EVENTS, services -> new EventLog(settings));
       control = startTraffic();
     } catch (GatereelException e) {
       kernel.close();
@@ -55,15 +55,17 @@
 
   private ControlLoop startTraffic() throws GatereelException {
     Inbox inbox = new Inbox(events);
-    HttpClients clients = kernel.start(Services.CLIENTS, found -> new HttpClients());
-    PeerLinks links = kernel.start(Services.PEERS, found -> new PeerLinks(settings.host(), inbox));
+    HttpClients clients = kernel.start(Services.CLIENTS, services -> new HttpClients());
+    PeerLinks links =
+        kernel.start(Services.PEERS, services -> new PeerLinks(settings.host(), inbox));
     CallerExchanges exchanges =
         kernel.start(
-            Services.EXCHANGES, found -> new CallerExchanges(settings.mostWaitingBytes(), inbox::post));
+            Services.EXCHANGES,
+            services -> new CallerExchanges(settings.mostWaitingBytes(), inbox::post));
     PlatformClient platform = new PlatformClient(clients.platform(), settings.platform());
     PeerSender peers = new PeerSender(links);
     peers.updateAddresses(settings.peers());
-    ActionDispatcher runner =
+    ActionDispatcher dispatcher =
         new ActionDispatcher(
             events,
             exchanges,
@@ -76,14 +78,14 @@
         new EntryHost(
             settings.host(), settings.dataCentre(), new SecureRandom(), settings.storeLimits());
     ControlLoop loop =
-        kernel.start(Services.CONTROL, found -> new ControlLoop(core, events, runner));
+        kernel.start(Services.CONTROL, services -> new ControlLoop(core, events, dispatcher));
     inbox.connect(loop);
     links.listen(settings.peerAddress());
     loop.start(settings.peers());
-    kernel.start(Services.HOSTS, found -> new HostListPoller(platform, peers, inbox));
+    kernel.start(Services.HOSTS, services -> new HostListPoller(platform, peers, inbox));
     kernel.start(
         Services.CALLERS,
-        found ->
+        services ->
             new CallerServer(
                 settings, exchanges, loop, events, platform, () -> !stopping, this::markNotReady));
     addGauges(loop, links);
@@ -106,18 +108,24 @@
       return loop.query(EntryHost::status).get(CONTROL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted", e);
+      throw new IllegalStateException("interrupted while waiting for the host status", e);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("the control thread does not answer", e);
+      throw new IllegalStateException(
+          "the control thread did not return the host status in time", e);
     }
   }
 
-  /** Tells the balancer to send nothing new; requests that still come are served. */
+  /** Makes the readiness check fail; requests are still served. */
   public void markNotReady() {
     stopping = true;
   }
 
-  /** Stops as planned: leaves the balancer, finishes what is open, then closes. */
+  /**
+   * Shuts down gracefully.
+   *
+   * <p>Makes the readiness check fail, waits until the balancer stops sending requests, drains the
+   * open requests for a limited time and closes all services.
+   */
   public void stop() throws InterruptedException, GatereelException {
     markNotReady();
     TimeUnit.MILLISECONDS.sleep(settings.balancerMillis());
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/DaemonMain.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/DaemonMain.java
@@ -10,7 +10,7 @@
 import org.gatereel.daemon.settings.SettingsException;
 import org.gatereel.daemon.settings.SettingsReader;
 
-/** The command {@code gatereel}: runs an entry host until it is told to stop. */
+/** The command {@code gatereel}: runs an entry host until the process is terminated. */
 public final class DaemonMain {
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_USAGE = 2;
@@ -27,7 +27,7 @@
 
   private DaemonMain() {}
 
-  /** Runs the command; exits with 0, 1 (failed), 2 (usage) or 3 (settings). */
+  /** Runs the command; exits with 0, 1 (failure), 2 (usage error) or 3 (invalid settings). */
   public static void main(String[] arguments) throws InterruptedException {
     DaemonMain main = new DaemonMain();
     JCommander commander = JCommander.newBuilder().programName("gatereel").addObject(main).build();
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchange.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchange.java
@@ -10,7 +10,11 @@
 import org.gatereel.core.model.Problem;
 import org.gatereel.core.model.ProblemType;
 
-/** One open request of a caller; written to by the control thread only. */
+/**
+ * An open request of a caller and its response.
+ *
+ * <p>Only the control thread writes to it.
+ */
 final class CallerExchange {
   private static final MediaType EVENT_STREAM = MediaType.valueOf("text/event-stream");
   private static final int OK = 200;
@@ -28,10 +32,10 @@
 
   private record Length(int tokens) {}
 
-  CallerExchange(Context context, int mostWaitingBytes, Runnable gone) {
+  CallerExchange(Context context, int maxBufferedBytes, Runnable onDisconnect) {
     this.context = context;
-    this.maxBufferedBytes = mostWaitingBytes;
-    this.onDisconnect = gone;
+    this.maxBufferedBytes = maxBufferedBytes;
+    this.onDisconnect = onDisconnect;
   }
 
   void openStream(EventId id) {
@@ -59,7 +63,7 @@
     close();
   }
 
-  /** Tells of a problem: in the stream if it is open, as the answer otherwise. */
+  /** Ends the exchange with a problem, as an event if the stream is open, else as the response. */
   void sendProblem(Problem problem) {
     if (ended) {
       return;
@@ -87,13 +91,13 @@
   }
 
   /**
-   * Ends the exchange before its answer is whole; the caller connects again.
+   * Ends the exchange before its response is complete; the caller may reconnect.
    *
-   * <p>The reason goes into an open stream too: by its last chunk alone it would look whole.
+   * <p>An open stream gets the reason as an event, since its framing alone would mark it as
+   * complete.
    */
   void disconnect(ProblemType reason) {
-    // What a request that has no answer yet has come to is known to the core only, which was not
-    // asked.
+    // Without an open stream, only the core knows whether the request was executed.
     Outcome outcome = sender == null ? Outcome.UNKNOWN : Outcome.RAN;
     sendProblem(new Problem(reason, outcome, "connect again", 1));
   }
@@ -109,9 +113,9 @@
     if (ended) {
       return;
     }
-    String head = id == null ? "" : "id: " + id + "\n";
+    String idLine = id == null ? "" : "id: " + id + "\n";
     String body = new String(ProblemDocument.json(data), StandardCharsets.UTF_8);
-    String event = head + "event: " + type + "\ndata: " + body + "\n\n";
+    String event = idLine + "event: " + type + "\ndata: " + body + "\n\n";
     byte[] bytes = event.getBytes(StandardCharsets.UTF_8);
     bufferedBytes.addAndGet(bytes.length);
     sender.write(bytes, (done, failure) -> onWritten(bytes.length, failure));
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.event.Event;
 import org.gatereel.core.model.ProblemType;
 
-/** The open requests of callers and operators, by number. */
+/** The open exchanges with callers and operators, by caller number. */
 public final class CallerExchanges implements AutoCloseable {
   private static final int OK = 200;
 
@@ -21,17 +21,18 @@
   private final int maxBufferedBytes;
   private final Consumer<Event> eventSink;
 
-  public CallerExchanges(int mostWaitingBytes, Consumer<Event> inbox) {
-    this.maxBufferedBytes = mostWaitingBytes;
-    this.eventSink = inbox;
+  public CallerExchanges(int maxBufferedBytes, Consumer<Event> eventSink) {
+    this.maxBufferedBytes = maxBufferedBytes;
+    this.eventSink = eventSink;
   }
 
-  /** Takes in a request: gives it a number and passes the event for it on. */
+  /** Registers a request under a new caller number and sends the event for it to the core. */
   Context accept(Context context, LongFunction<Event> event) throws Exception {
     return context.detach(
         detached -> {
           long caller = lastNumber.incrementAndGet();
-          exchanges.put(caller, new CallerExchange(detached, maxBufferedBytes, () -> onDisconnect(caller)));
+          exchanges.put(
+              caller, new CallerExchange(detached, maxBufferedBytes, () -> onDisconnect(caller)));
           eventSink.accept(event.apply(caller));
           return detached;
         });
@@ -43,7 +44,7 @@
     }
   }
 
-  /** Carries out an action towards a caller; one that has left is passed over. */
+  /** Executes an action on the exchange of a caller, if it is still open. */
   public void execute(Action action) {
     if (action instanceof Action.OpenStream opened) {
       CallerExchange exchange = exchanges.get(opened.caller());
@@ -69,14 +70,14 @@
     }
   }
 
-  private void finish(long caller, Consumer<CallerExchange> last) {
+  private void finish(long caller, Consumer<CallerExchange> lastAction) {
     CallerExchange exchange = exchanges.remove(caller);
     if (exchange != null) {
-      last.accept(exchange);
+      lastAction.accept(exchange);
     }
   }
 
-  /** Gives a caller a token. */
+  /** Sends a token to a caller, if its exchange is still open. */
   public void sendToken(Action.SendToken send) {
     CallerExchange exchange = exchanges.get(send.caller());
     if (exchange != null) {
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Returns how many requests are open. */
+  /** Returns the number of open requests. */
   public int size() {
     return exchanges.size();
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerRoutes.java
@@ -16,7 +16,7 @@
 import org.gatereel.core.model.ProblemType;
 import org.gatereel.core.model.ServiceName;
 
-/** The paths of callers: generations and plain calls. */
+/** The routes for callers: generations and plain calls. */
 final class CallerRoutes {
   private static final List<String> FORM_MEDIA_TYPES =
       List.of("application/x-www-form-urlencoded", "multipart/form-data");
@@ -75,7 +75,7 @@
     return ProblemDocument.send(context, Problem.notRun(ProblemType.MALFORMED_BODY, detail));
   }
 
-  /** A form is taken apart before it gets here, so that its text is no longer known. */
+  /** Forms are rejected because Jooby parses them and their raw body is not available. */
   private static boolean isForm(Context context) {
     return FORM_MEDIA_TYPES.stream().anyMatch(context.header("Content-Type").value("")::startsWith);
   }
@@ -93,7 +93,8 @@
           context, Problem.notRun(ProblemType.MALFORMED_EVENT_ID, e.getMessage()));
     }
     String credential = BearerKeys.credential(context);
-    return exchanges.accept(context, caller -> new Event.ResumeRequested(caller, credential, after));
+    return exchanges.accept(
+        context, caller -> new Event.ResumeRequested(caller, credential, after));
   }
 
   private Object call(Context context) throws Exception {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerServer.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerServer.java
@@ -26,7 +26,7 @@
   private static final int WORKER_THREADS = 2;
 
   static {
-    // Jooby would close the server the moment the process is told to stop; open answers come first.
+    // Jooby's shutdown hook would close the server before the open requests are drained.
     System.setProperty("jooby.useShutdownHook", "false");
   }
 
@@ -37,10 +37,10 @@
   private record Health(String state) {}
 
   /**
-   * Starts to serve.
+   * Starts the server.
    *
-   * @param ready whether no planned stop has begun
-   * @param drain starts a planned stop
+   * @param ready whether no graceful shutdown has begun
+   * @param drain makes the readiness check fail
    * @throws HttpPortException if the address cannot be bound
    */
   public CallerServer(
@@ -87,10 +87,10 @@
     return options;
   }
 
-  private static Context sendHealth(Context context, boolean good) {
-    context.setResponseCode(good ? OK : UNAVAILABLE);
+  private static Context sendHealth(Context context, boolean healthy) {
+    context.setResponseCode(healthy ? OK : UNAVAILABLE);
     context.setResponseType(MediaType.json);
-    return context.send(ProblemDocument.json(new Health(good ? "ready" : "not ready")));
+    return context.send(ProblemDocument.json(new Health(healthy ? "ready" : "not ready")));
   }
 
   private Object sendReadiness(Context context, ControlLoop control) throws Exception {
@@ -99,7 +99,10 @@
     }
     return context.detach(
         detached -> {
-          var unused = control.query(EntryHost::isReady).thenAccept(good -> sendHealth(detached, good));
+          var unused =
+              control
+                  .query(EntryHost::isReady)
+                  .thenAccept(isReady -> sendHealth(detached, isReady));
           return detached;
         });
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/HttpPortException.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/HttpPortException.java
@@ -3,7 +3,7 @@
 import org.gatereel.core.GatereelException;
 import org.gatereel.core.model.Address;
 
-/** The address for callers cannot be bound. */
+/** Thrown when the HTTP address for callers cannot be bound. */
 public final class HttpPortException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/OperatorRoutes.java
@@ -27,7 +27,7 @@
 import org.gatereel.daemon.events.EventLog;
 import org.gatereel.daemon.settings.Settings;
 
-/** The administration API: the table, its history, the time line and the state of this host. */
+/** The routes of the administration API: the table, its history, the timeline and the status. */
 final class OperatorRoutes {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
@@ -39,9 +39,9 @@
   private final HistoryReader history;
   private final Runnable drain;
 
-  /** Reads the history rows after a revision. */
+  /** Reads the history rows after a revision from the platform. */
   interface HistoryReader {
-    void read(long after, java.util.function.Consumer<ReadResult> done);
+    void read(long after, java.util.function.Consumer<ReadResult> callback);
   }
 
   private record Change(String editId, Long basedOn, Map<String, String> cells) {}
@@ -99,10 +99,11 @@
     return context.send(ProblemDocument.json(value));
   }
 
-  private static Object sendWhenComplete(Context context, CompletableFuture<?> answer) throws Exception {
+  private static Object sendWhenComplete(Context context, CompletableFuture<?> result)
+      throws Exception {
     return context.detach(
         detached -> {
-          var unused = answer.thenAccept(value -> json(detached, value));
+          var unused = result.thenAccept(value -> json(detached, value));
           return detached;
         });
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/ProblemDocument.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/ProblemDocument.java
@@ -8,10 +8,10 @@
 import org.gatereel.core.model.Problem;
 
 /**
- * A problem as RFC 9457 has it, with the outcome.
+ * A problem document according to RFC 9457, extended by the outcome of the request.
  *
  * @param type a URI reference that is the same for every problem of this type
- * @param retryAfterMillis when to come back, 0 if that does not help
+ * @param retryAfterMillis the delay before a retry, 0 if a retry would not help
  */
 public record ProblemDocument(
     String type, String title, int status, String detail, Outcome outcome, long retryAfterMillis) {
@@ -29,7 +29,7 @@
         problem.retryAfterMillis());
   }
 
-  /** Answers an exchange with a problem. */
+  /** Sends a problem as the response, with {@code Retry-After} if a retry may help. */
   static Context send(Context context, Problem problem) {
     context.setResponseCode(problem.type().status());
     context.setResponseType(MEDIA_TYPE);
@@ -40,12 +40,11 @@
     return context.send(json(of(problem)));
   }
 
-  /** Returns a value as JSON. */
   static byte[] json(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records can always be written", e);
+      throw new IllegalStateException("response body cannot be serialized as JSON", e);
     }
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionDispatcher.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ActionDispatcher.java
@@ -9,7 +9,7 @@
 import org.gatereel.daemon.callers.CallerExchanges;
 import org.gatereel.daemon.events.EventLog;
 
-/** Carries out the core's actions through the ports. */
+/** Dispatches the core's actions to the adapters that execute them. */
 public final class ActionDispatcher implements Consumer<Action> {
   private final EventLog events;
   private final CallerExchanges callers;
@@ -26,14 +26,14 @@
       EngineClient engines,
       ServiceClient services,
       PeerSender peers,
-      Consumer<Event> inbox) {
+      Consumer<Event> eventSink) {
     this.events = events;
     this.callers = callers;
     this.platform = platform;
     this.engines = engines;
     this.services = services;
     this.peers = peers;
-    this.eventSink = inbox;
+    this.eventSink = eventSink;
   }
 
   @Override
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/ControlLoop.java
@@ -14,7 +14,11 @@
 import org.gatereel.core.model.HostDescription;
 import org.gatereel.daemon.events.EventLog;
 
-/** The one thread for control state: it feeds the core with events and carries out its actions. */
+/**
+ * Runs the core on a single thread.
+ *
+ * <p>Events are passed to the core and its actions to the action handler on that thread only.
+ */
 public final class ControlLoop implements AutoCloseable {
   private static final long MAX_WAIT_MILLIS = 1_000;
   private static final int STOP_TIMEOUT_MILLIS = 2_000;
@@ -27,14 +31,14 @@
   private final CountDownLatch started = new CountDownLatch(1);
   private volatile boolean closed;
 
-  public ControlLoop(EntryHost core, EventLog events, Consumer<Action> runner) {
+  public ControlLoop(EntryHost core, EventLog events, Consumer<Action> actionHandler) {
     this.core = core;
     this.events = events;
-    this.actionHandler = runner;
+    this.actionHandler = actionHandler;
     thread.setDaemon(true);
   }
 
-  /** Starts the thread and the core. */
+  /** Starts the thread and the core with the given hosts as its initial peers. */
   public void start(List<HostDescription> seeds) {
     tasks.add(() -> execute(core.start(nowMillis(), seeds)));
     thread.start();
@@ -42,25 +46,25 @@
   }
 
   /**
-   * Passes an event on to the core; returns at once.
+   * Queues an event for the core.
    *
-   * <p>Events are handled in their order, except that a caller who left is told of ahead of all
-   * that waits: the rest of an answer would be taken for delivered to somebody who is not there.
+   * <p>Events are handled in order, except that a disconnect of a caller is handled before all
+   * queued events. Otherwise the rest of a response would be recorded as delivered to it.
    */
   public void post(Event event) {
     Runnable handling = () -> execute(core.handle(event, nowMillis()));
     if (event instanceof Event.CallerGone) {
       tasks.addFirst(handling);
     }
-    // A caller's leaving comes again in its turn, since its request itself may still wait.
+    // Also handled in order, since the request of the caller may still be queued.
     tasks.addLast(handling);
   }
 
-  /** Asks the core something, on its thread. */
-  public <T> CompletableFuture<T> query(Function<EntryHost, T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    tasks.add(() -> answer.complete(question.apply(core)));
-    return answer;
+  /** Evaluates a function of the core on the control thread. */
+  public <T> CompletableFuture<T> query(Function<EntryHost, T> function) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    tasks.add(() -> result.complete(function.apply(core)));
+    return result;
   }
 
   private static long nowMillis() {
@@ -80,7 +84,7 @@
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        // One event must not end the service of all others; the log has it for whoever is on call.
+        // The failure of one event must not stop the loop.
         events.logFailure("an event could not be handled", e);
       }
     }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/HostListPoller.java
@@ -7,7 +7,7 @@
 import org.gatereel.core.event.Event;
 import org.gatereel.core.model.HostList;
 
-/** Reads the platform's list of hosts and targets again and again. */
+/** Reads the platform's list of hosts and targets periodically. */
 public final class HostListPoller implements AutoCloseable {
   private static final long MIN_INTERVAL_MILLIS = 1_000;
   private static final int TOTAL_READS_PER_SECOND = 18;
@@ -34,8 +34,10 @@
 
   private void poll() {
     platform.readHostList(this::onHostList);
-    // All hosts together read about as often whatever their number; news spreads among peers.
-    long interval = Math.max(MIN_INTERVAL_MILLIS, (long) hostCount * MILLIS_PER_SECOND / TOTAL_READS_PER_SECOND);
+    // Keeps the total rate of all hosts constant; peers share the list with each other.
+    long interval =
+        Math.max(
+            MIN_INTERVAL_MILLIS, (long) hostCount * MILLIS_PER_SECOND / TOTAL_READS_PER_SECOND);
     var unused = timer.schedule(this::poll, interval, TimeUnit.MILLISECONDS);
   }
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -10,7 +10,7 @@
 import org.gatereel.wire.MalformedMessageException;
 import org.gatereel.wire.PeerListener;
 
-/** Turns what targets and peers send into events of the core. */
+/** Converts the callbacks of targets and peers to events of the core. */
 public final class Inbox implements TargetListener, PeerListener {
   private final EventLog events;
   private volatile ControlLoop control;
@@ -19,12 +19,12 @@
     this.events = events;
   }
 
-  /** Names the loop that takes the events; what comes before is dropped, as before the start. */
+  /** Sets the loop that handles the events; earlier events are dropped. */
   public void connect(ControlLoop loop) {
     control = loop;
   }
 
-  /** Passes an event on. */
+  /** Passes an event to the loop. */
   public void post(Event event) {
     ControlLoop loop = control;
     if (loop != null) {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/PeerSender.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/PeerSender.java
@@ -9,7 +9,7 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.wire.PeerLinks;
 
-/** Sends messages to peers at the addresses that the settings and the platform's list name. */
+/** Sends messages to peers at their addresses in the settings and the platform's host list. */
 public final class PeerSender {
   private final PeerLinks links;
   private final Map<HostId, Address> addresses = new ConcurrentHashMap<>();
@@ -18,7 +18,7 @@
     this.links = links;
   }
 
-  /** Takes in where hosts are; a host that is no longer named keeps its address. */
+  /** Updates the addresses of the given hosts; other hosts keep theirs. */
   public void updateAddresses(List<HostDescription> hosts) {
     hosts.forEach(host -> addresses.put(host.id(), host.peerAddress()));
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventLog.java
@@ -24,7 +24,7 @@
 import org.gatereel.forward.log.JsonLogFormatter;
 import org.gatereel.forward.log.LogEvent;
 
-/** Where events go: the log, the time line and the metrics. */
+/** Records events in the log, the timeline and the metrics. */
 public final class EventLog implements AutoCloseable {
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
   private static final double[] PERCENTILES = {0.5, 0.95, 0.99};
@@ -70,7 +70,7 @@
     root.setLevel(quiet ? Level.WARNING : Level.INFO);
   }
 
-  /** Takes in an event of the core. */
+  /** Records an event of the core. */
   public void recordEvent(Action.Note note) {
     EventCode code = note.code();
     counters.get(code).increment();
@@ -83,7 +83,7 @@
             code.name(),
             note.subject(),
             note.detail()));
-    // What happens to single requests goes to the time line only, or the log would be all of it.
+    // Events of single requests are kept out of the log because of their number.
     boolean ofOneRequest = code.number() >= FIRST_REQUEST_CODE && code.number() < FIRST_TABLE_CODE;
     if (!ofOneRequest) {
       LOGGER
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Takes in a measured value. */
+  /** Records a measured value in the metrics. */
   public void recordMeasurement(Action.Measure measure) {
     MeasureKey key =
         new MeasureKey(
@@ -111,22 +111,27 @@
         .register(registry);
   }
 
-  /** Logs a failure of this process itself. */
-  public void logFailure(String what, Throwable cause) {
-    LOGGER.atSevere().withCause(cause).log("%s", what);
+  /** Logs an internal failure of this process. */
+  public void logFailure(String message, Throwable cause) {
+    LOGGER.atSevere().withCause(cause).log("%s", message);
   }
 
-  /** Adds a value that is asked for when metrics are read. */
+  /** Registers a gauge whose value is computed when the metrics are read. */
   public void addGauge(String name, Supplier<Number> value) {
     io.micrometer.core.instrument.Gauge.builder("gatereel_" + name, value).register(registry);
   }
 
-  /** Returns the metrics in Prometheus' text format. */
+  /** Returns the metrics in the text format of Prometheus. */
   public String scrape() {
     return registry.scrape();
   }
 
-  /** Returns the time line of this process. */
+  /**
+   * Returns the recent events of this process.
+   *
+   * @param sinceMillis the earliest time, in milliseconds since 1970
+   * @param subject restricts the events to one subject unless empty
+   */
   public List<TimelineEntry> timeline(long sinceMillis, String subject) {
     return ring.since(sinceMillis, subject);
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventRing.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/events/EventRing.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The latest events of this process, for the time line. */
+/** A bounded buffer of the latest events; the oldest is evicted when it is full. */
 final class EventRing {
   private final int capacity;
   private final Deque<TimelineEntry> entries = new ArrayDeque<>();
@@ -20,7 +20,7 @@
     entries.addLast(entry);
   }
 
-  /** Returns the entries at or after a time; of one subject unless {@code subject} is empty. */
+  /** Returns the entries since a time, of all subjects if {@code subject} is empty. */
   synchronized List<TimelineEntry> since(long wallClockMillis, String subject) {
     return entries.stream()
         .filter(entry -> entry.wallClockMillis() >= wallClockMillis)
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/events/TimelineEntry.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/events/TimelineEntry.java
@@ -1,10 +1,10 @@
 package org.gatereel.daemon.events;
 
 /**
- * One event of one host.
+ * An event on the timeline of a host.
  *
- * @param sequence counts the events of this process, so that those of one millisecond keep order
- * @param wallClockMillis milliseconds since 1970, by this host's clock
+ * @param sequence number of the event in this process; orders events of the same millisecond
+ * @param wallClockMillis milliseconds since 1970 by the clock of this host
  */
 public record TimelineEntry(
     long sequence,
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/Kernel.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/Kernel.java
@@ -7,12 +7,12 @@
 import org.gatereel.core.GatereelException;
 
 /**
- * Starts services in order, lets them find each other by name, and closes them in reverse.
+ * Starts services, looks them up by name and closes them in reverse order of their start.
  *
  * <pre>{@code
  * try (Kernel kernel = new Kernel()) {
- *   kernel.start(Services.EVENTS, found -> new EventLog(settings));
- *   kernel.start(Services.PEERS, found -> new Peers(found.find(Services.EVENTS)));
+ *   kernel.start(Services.EVENTS, services -> new EventLog(settings));
+ *   kernel.start(Services.PEERS, services -> new Peers(services.find(Services.EVENTS)));
  * }
  * }</pre>
  *
@@ -22,20 +22,21 @@
   private final Map<String, AutoCloseable> services = new HashMap<>();
   private final Deque<ServiceKey<?>> order = new ArrayDeque<>();
 
-  /** Makes a service; it may use every service that was started before. */
+  /** Creates a service, which may use all services that were started before it. */
   public interface Starter<T> {
     T start(Kernel kernel) throws GatereelException;
   }
 
   /**
-   * Starts a service and gives it its name.
+   * Starts a service and registers it under its name.
    *
-   * @throws GatereelException if the service cannot start; those before it stay as they are
+   * @throws GatereelException if the name is in use or the service cannot start; other services are
+   *     unaffected
    */
   public <T extends AutoCloseable> T start(ServiceKey<T> key, Starter<T> starter)
       throws GatereelException {
     if (services.containsKey(key.name())) {
-      throw new ServiceException(key.name(), "was started before");
+      throw new ServiceException(key.name(), "is already started");
     }
     T service = starter.start(this);
     services.put(key.name(), service);
@@ -46,7 +47,7 @@
   /**
    * Returns a service that was started before.
    *
-   * @throws ServiceException if there is none with this name
+   * @throws ServiceException if no service with this name was started
    */
   public <T extends AutoCloseable> T find(ServiceKey<T> key) throws ServiceException {
     AutoCloseable service = services.get(key.name());
@@ -59,7 +60,8 @@
   /**
    * Closes all services in reverse order, even if some fail to close.
    *
-   * @throws ServiceException if any failed to close; the others are attached to it
+   * @throws ServiceException if a service failed to close; further failures are suppressed
+   *     exceptions of it
    */
   @Override
   public void close() throws ServiceException {
@@ -69,7 +71,7 @@
       try {
         services.remove(name).close();
       } catch (Exception e) {
-        ServiceException next = new ServiceException(name, "did not close", e);
+        ServiceException next = new ServiceException(name, "failed to close", e);
         if (failure == null) {
           failure = next;
         } else {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/ServiceException.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/ServiceException.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.GatereelException;
 
-/** A service of the daemon that cannot be started, found or closed. */
+/** Thrown when a service cannot be started, found or closed. */
 public final class ServiceException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/ServiceKey.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/kernel/ServiceKey.java
@@ -1,9 +1,9 @@
 package org.gatereel.daemon.kernel;
 
 /**
- * The name under which a service of the daemon is found.
+ * The name and type under which a service is registered.
  *
  * @param name unique in one kernel
- * @param type what whoever finds it may use it as
+ * @param type the type that a lookup returns
  */
 public record ServiceKey<T extends AutoCloseable>(String name, Class<T> type) {}
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/Settings.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/Settings.java
@@ -8,16 +8,16 @@
 import org.gatereel.core.platform.StoreLimits;
 
 /**
- * The checked settings of one daemon.
+ * The validated settings of an entry host.
  *
- * @param storeLimits what the platform's store takes from all hosts together
- * @param peers entry hosts to talk to before the platform's list is known
- * @param operators who may use the administration API
- * @param drainMillis how long a planned stop waits for open requests
- * @param balancerMillis how long a planned stop still takes new requests after readiness ended
- * @param mostBodyBytes the largest request body
- * @param mostWaitingBytes how far a caller's reading may fall behind
- * @param eventRing how many events the time line keeps
+ * @param storeLimits limits of the platform's store for all hosts together
+ * @param peers entry hosts to contact before the platform's host list is read
+ * @param operators users of the administration API
+ * @param drainMillis maximum time for which a graceful shutdown waits for open requests
+ * @param balancerMillis time for which new requests are accepted after the readiness check fails
+ * @param mostBodyBytes maximum size of a request body
+ * @param mostWaitingBytes maximum number of response bytes that a caller has not yet read
+ * @param eventRing number of events that the timeline keeps
  */
 public record Settings(
     HostId host,
@@ -42,7 +42,7 @@
   /** An operator and the SHA-256 of the operator's bearer key, in hexadecimal digits. */
   public record Operator(String name, String keySha256) {}
 
-  /** How much is logged; the time line has every event whatever the level. */
+  /** The level of the log; it does not affect the timeline. */
   public enum LogLevel {
     /** Failures only. */
     WARNING,
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsException.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsException.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import org.gatereel.core.GatereelException;
 
-/** Settings that cannot be used; it lists every mistake. */
+/** Thrown when settings are invalid; lists all mistakes. */
 public final class SettingsException extends GatereelException {
   private static final long serialVersionUID = 1L;
   private final transient List<Mistake> mistakes;
 
   /**
-   * One mistake.
+   * An invalid setting.
    *
-   * @param key where it is, for example {@code peers[2].httpAddress.port}
-   * @param value what stands there
-   * @param allowed what may stand there
+   * @param key the path of the setting, for example {@code peers[2].httpAddress.port}
+   * @param value the invalid value
+   * @param allowed a description of the valid values
    */
   public record Mistake(String key, String value, String allowed) {
     @Override
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsNode.java
@@ -9,11 +9,12 @@
 import java.util.function.Function;
 import java.util.regex.Pattern;
 
-/** One object of the settings: reads its keys with checks and collects the mistakes. */
+/** An object of the settings; validates the values that are read and collects the mistakes. */
 final class SettingsNode {
   private static final int MAX_PORT = 65_535;
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
-  private static final Pattern IP_ADDRESS = Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
+  private static final Pattern IP_ADDRESS =
+      Pattern.compile("[0-9]{1,3}(\\.[0-9]{1,3}){3}|[0-9a-f:]{2,39}");
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
   private final JsonNode node;
@@ -70,26 +71,26 @@
     return number(key, 1, MAX_PORT, 1, true);
   }
 
-  int number(String key, int least, int most, int standard) {
-    return number(key, least, most, standard, false);
+  int number(String key, int min, int max, int defaultValue) {
+    return number(key, min, max, defaultValue, false);
   }
 
-  private int number(String key, int least, int most, int standard, boolean required) {
+  private int number(String key, int min, int max, int defaultValue, boolean required) {
     JsonNode value = take(key);
     if (value.isMissingNode() && !required) {
-      return standard;
+      return defaultValue;
     }
-    if (!value.isInt() || value.intValue() < least || value.intValue() > most) {
-      mistake(pathOf(key), value, "a whole number from " + least + " to " + most);
-      return standard;
+    if (!value.isInt() || value.intValue() < min || value.intValue() > max) {
+      mistake(pathOf(key), value, "a whole number from " + min + " to " + max);
+      return defaultValue;
     }
     return value.intValue();
   }
 
-  <E extends Enum<E>> E choice(String key, Class<E> type, E standard) {
+  <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
     JsonNode value = take(key);
     if (value.isMissingNode()) {
-      return standard;
+      return defaultValue;
     }
     for (E constant : type.getEnumConstants()) {
       if (constant.name().equals(value.asText())) {
@@ -97,7 +98,7 @@
       }
     }
     mistake(pathOf(key), value, List.of(type.getEnumConstants()).toString());
-    return standard;
+    return defaultValue;
   }
 
   <T> T object(String key, Function<SettingsNode, T> reader) {
@@ -126,14 +127,16 @@
     return read;
   }
 
-  /** Reports the keys that nobody asked for. */
+  /** Reports all keys that were not read. */
   void rejectUnknownKeys() {
     node.fieldNames()
         .forEachRemaining(
             key -> {
               if (!knownKeys.contains(key)) {
                 mistake(
-                    pathOf(key), node.get(key), "no such key; known: " + String.join(", ", knownKeys));
+                    pathOf(key),
+                    node.get(key),
+                    "no such key; known: " + String.join(", ", knownKeys));
               }
             });
   }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsReader.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/settings/SettingsReader.java
@@ -18,7 +18,7 @@
 import org.gatereel.core.model.LifeState;
 import org.gatereel.core.platform.StoreLimits;
 
-/** Reads settings, which are JSON with comments, and reports all mistakes at once. */
+/** Reads settings in JSON with comments and reports all mistakes together. */
 public final class SettingsReader {
   private static final int DEFAULT_DRAIN_MILLIS = 600_000;
   private static final int DEFAULT_BALANCER_MILLIS = 3_000;
@@ -44,7 +44,7 @@
   /**
    * Reads a settings file.
    *
-   * @throws SettingsException if the file cannot be read or has mistakes; it names all of them
+   * @throws SettingsException if the file cannot be read or has mistakes
    */
   public static Settings read(Path file) throws SettingsException {
     try {
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Reads settings from a text.
+   * Parses the text of a settings file.
    *
-   * @throws SettingsException if the text has mistakes; it names all of them
+   * @throws SettingsException if the text has mistakes
    */
   public static Settings parse(String text) throws SettingsException {
     List<SettingsException.Mistake> mistakes = new ArrayList<>();
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
@@ -21,7 +21,7 @@
 
   private final List<String> bodies = new ArrayList<>();
 
-  /** A context that only remembers what is sent. */
+  /** Returns a context that records the bodies sent to it. */
   private Context context() {
     return (Context)
         Proxy.newProxyInstance(
@@ -39,7 +39,7 @@
             });
   }
 
-  /** A sender that only remembers what is written. */
+  /** Returns a sender that records the events written to it. */
   private Sender sender() {
     return (Sender)
         Proxy.newProxyInstance(
@@ -61,8 +61,7 @@
 
   @Test
   void closeSendsAProblemOnOpenStreams() throws Exception {
-    // A host's open streams were ended in order and without any event when it was stopped, so that
-    // to their framing they were whole.
+    // Without a final event, the framing of the stream would mark it as complete.
     try (CallerExchanges exchanges = new CallerExchanges(1_000_000, event -> {})) {
       exchanges.accept(context(), caller -> new Event.CallerGone(caller));
       exchanges.execute(new Action.OpenStream(1, EventId.parse(ID)));
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -42,7 +42,7 @@
 import org.gatereel.daemon.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
-/** What the host says of a generation whose caller does not read. */
+/** A response must not be recorded as delivered to a caller that does not read it. */
 class SlowReaderTest {
   private static final String CREDENTIAL = "ab".repeat(32);
   private static final ServiceName SERVICE = new ServiceName("assistant");
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Has the whole answer of an engine wait for the control thread, which runs this. */
+  /** Queues the complete response of an engine; runs on the control thread. */
   private void queueCompleteResponse(Action.StartAttempt start) {
     for (int offset = 0; offset < TOKENS; offset++) {
       String token = "token " + offset;
@@ -105,7 +105,7 @@
     loop.post(new Event.AttemptFinished(start.spec().request(), start.attempt(), TOKENS));
   }
 
-  /** Returns the exchange of a caller who reads nothing: what is written is never said to be. */
+  /** Returns the context of a caller that reads nothing: no write is ever reported as done. */
   private Context contextThatReadsNothing() {
     Sender sender =
         proxy(
@@ -129,7 +129,7 @@
     Object with(String method, Object[] arguments) throws Exception;
   }
 
-  /** Returns an object that does what {@code call} does and returns itself where that is null. */
+  /** Returns a proxy that invokes {@code call} and returns itself where the result is null. */
   private static <T> T proxy(Class<T> type, Call call) {
     return type.cast(
         Proxy.newProxyInstance(
@@ -153,7 +153,7 @@
         LifeState.LIVE);
   }
 
-  /** Has the host run with an account, a service and an engine. */
+  /** Starts the host with a client account, a service and an engine. */
   private void startWithOneEngine(ControlLoop control) throws Exception {
     seed(1, RowKind.ACCOUNT, "ward", Map.of("key_sha256", CREDENTIAL));
     seed(2, RowKind.SERVICE, "assistant", Map.of("kind", "generation"));
@@ -165,12 +165,12 @@
     }
   }
 
-  /** Returns the events of the time line up to the end of the engine's answer. */
+  /** Returns the recorded events up to the end of the generation. */
   private List<EventCode> eventsUntilFinished() throws InterruptedException {
     List<EventCode> seen = new CopyOnWriteArrayList<>();
     while (!seen.contains(EventCode.GENERATION_FINISHED)) {
       EventCode next = recordedCodes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertTrue(next != null, "the answer did not end: " + seen);
+      assertTrue(next != null, "the generation did not end: " + seen);
       seen.add(next);
     }
     return seen;
@@ -178,10 +178,8 @@
 
   @Test
   void disconnectIsHandledBeforeQueuedEngineEvents() throws Exception {
-    // An engine was faster than the host, so that its whole answer, with its end, waited there. The
-    // caller did not read and was cut off after the first part. That it had left was put behind all
-    // that waited: the host went through the rest for nobody and noted the answer as delivered,
-    // though the caller never had its end.
+    // The disconnect must be handled before the queued rest of the response, which would otherwise
+    // be recorded as delivered.
     try (EventLog events = new EventLog(SettingsReader.parse(SETTINGS));
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
@@ -191,7 +189,8 @@
       List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
       control.query(EntryHost::open).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertEquals(0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
+      assertEquals(
+          0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
     }
     String last = written.get(written.size() - 1);
     assertTrue(last.contains("event: problem") && last.contains("slow-reader"), last);
@@ -200,9 +199,8 @@
 
   @Test
   void disconnectBeforeTheRequestIsHandledCancelsTheRequest() throws Exception {
-    // That a caller has left goes ahead of what engines send, and so also ahead of its own request
-    // where that still waits. Told of only then, it would be told of somebody unknown, and the
-    // generation would run for nobody.
+    // If the disconnect were handled only before the caller's queued request, it would be ignored
+    // and the generation would run to its end.
     try (EventLog events = new EventLog(SettingsReader.parse(SETTINGS));
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/kernel/KernelTest.java
@@ -38,11 +38,11 @@
   @Test
   void servicesAreFoundByNameAndClosedInReverseOrder() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
-      TestService first = kernel.start(key("first"), found -> new TestService("first", false));
+      TestService first = kernel.start(key("first"), services -> new TestService("first", false));
       kernel.start(
           key("second"),
-          found -> {
-            assertSame(first, found.find(key("first")));
+          services -> {
+            assertSame(first, services.find(key("first")));
             return new TestService("second", false);
           });
     }
@@ -52,8 +52,8 @@
   @Test
   void failureToCloseOneServiceDoesNotKeepOthersOpen() throws GatereelException {
     Kernel kernel = new Kernel();
-    kernel.start(key("first"), found -> new TestService("first", false));
-    kernel.start(key("second"), found -> new TestService("second", true));
+    kernel.start(key("first"), services -> new TestService("first", false));
+    kernel.start(key("second"), services -> new TestService("second", true));
     assertThrows(ServiceException.class, kernel::close);
     assertEquals(List.of("second", "first"), closed);
   }
@@ -62,10 +62,10 @@
   void unknownOrDuplicateNameThrowsServiceException() throws GatereelException {
     try (Kernel kernel = new Kernel()) {
       assertThrows(ServiceException.class, () -> kernel.find(key("nobody")));
-      kernel.start(key("one"), found -> new TestService("one", false));
+      kernel.start(key("one"), services -> new TestService("one", false));
       assertThrows(
           ServiceException.class,
-          () -> kernel.start(key("one"), found -> new TestService("other", false)));
+          () -> kernel.start(key("one"), services -> new TestService("other", false)));
     }
   }
 }
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/settings/SettingsReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/settings/SettingsReaderTest.java
@@ -48,8 +48,8 @@
   void storeLimitsAreReadFromTheSettings() throws SettingsException {
     assertEquals(StoreLimits.STANDARD, SettingsReader.parse(GOOD).storeLimits());
     String rates = "\"host\": \"entry-1\", \"storeWritesPerSecond\": 1200,";
-    String grown = GOOD.replace("\"host\": \"entry-1\",", rates);
-    assertEquals(new StoreLimits(1_200, 100), SettingsReader.parse(grown).storeLimits());
+    String changed = GOOD.replace("\"host\": \"entry-1\",", rates);
+    assertEquals(new StoreLimits(1_200, 100), SettingsReader.parse(changed).storeLimits());
     String none = GOOD.replace("\"host\": \"entry-1\",", rates.replace("1200", "0"));
     SettingsException failure =
         assertThrows(SettingsException.class, () -> SettingsReader.parse(none));
