--- a/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
+++ b/gatereel-adapters/src/main/java/org/gatereel/adapters/targets/EngineClient.java
@@ -25,15 +25,15 @@
 import org.gatereel.core.model.RequestId;
 
 /**
- * Speaks with model engines: server-sent events for tokens.
+ * An HTTP client of model engines, which send tokens as server-sent events.
  *
- * <p>An attempt is finished only by the engine's final event with the length of the answer; a
- * stream that ends in any other way has failed.
+ * <p>An attempt is complete only when the engine's final event with the length of the response is
+ * received; a stream that ends in any other way has failed.
  */
 public final class EngineClient {
-  private static final String END = "end";
+  private static final String END_EVENT = "end";
 
-  /** Reads final events; without it a length that is missing would be read as 0. */
+  /** Rejects final events without a length, which would otherwise be read as 0. */
   private static final ObjectReader END_READER =
       Json.MAPPER
           .readerFor(EngineMessages.End.class)
@@ -51,7 +51,7 @@
     this.listener = listener;
   }
 
-  /** Starts an attempt. */
+  /** Starts an attempt and passes its events to the listener. */
   public void start(Action.StartAttempt start) {
     Key key = new Key(start.spec().request(), start.attempt());
     SentMarker marker = new SentMarker();
@@ -76,7 +76,10 @@
     stream.source = EventSources.createFactory(client).newEventSource(request, stream);
   }
 
-  /** Stops an attempt: closes its stream and tells the engine, which may notice late. */
+  /**
+   * Cancels an attempt: closes its stream and sends a cancellation, since the engine may detect the
+   * closed stream late.
+   */
   public void cancel(RequestId request, int attempt) {
     Stream stream = streams.remove(new Key(request, attempt));
     if (stream == null) {
@@ -88,14 +91,14 @@
             .url(url(stream.address, "cancel"))
             .post(body(new EngineMessages.Cancel(request.value(), attempt)))
             .build();
-    client.newCall(cancel).enqueue(IGNORE);
+    client.newCall(cancel).enqueue(IGNORE_RESPONSE);
   }
 
-  private static final Callback IGNORE =
+  private static final Callback IGNORE_RESPONSE =
       new Callback() {
         @Override
         public void onFailure(Call call, IOException failure) {
-          // The engine is gone or ends the attempt by its closed stream.
+          // Not retried: the engine is down or will detect the closed stream.
         }
 
         @Override
@@ -119,14 +122,15 @@
     @Override
     public void onEvent(EventSource eventSource, String id, String type, String data) {
       try {
-        if (END.equals(type)) {
+        if (END_EVENT.equals(type)) {
           int length = endLength(data);
           if (streams.remove(key, this)) {
-            listener.finished(key.request(), key.attempt(), length);
+            listener.onFinished(key.request(), key.attempt(), length);
           }
         } else {
           EngineMessages.Token token = Json.MAPPER.readValue(data, EngineMessages.Token.class);
-          listener.token(key.request(), key.attempt(), token.offset(), token.token(), token.load());
+          listener.onToken(
+              key.request(), key.attempt(), token.offset(), token.token(), token.load());
         }
       } catch (JsonProcessingException e) {
         fail(TargetFailure.ERROR);
@@ -137,7 +141,8 @@
     private static int endLength(String data) throws JsonProcessingException {
       EngineMessages.End end = END_READER.readValue(data);
       if (end == null) {
-        throw MismatchedInputException.from(null, EngineMessages.End.class, "no length");
+        throw MismatchedInputException.from(
+            null, EngineMessages.End.class, "final event has no length");
       }
       return end.length();
     }
@@ -149,8 +154,8 @@
 
     @Override
     public void onFailure(EventSource eventSource, Throwable failure, Response response) {
-      if (response != null && Refusals.isRefusal(response)) {
-        fail(Refusals.read(response));
+      if (response != null && TargetRejections.isRejection(response)) {
+        fail(TargetRejections.readFailure(response));
       } else if (response != null && !response.isSuccessful()) {
         fail(TargetFailure.ERROR);
       } else {
@@ -160,7 +165,7 @@
 
     private void fail(TargetFailure failure) {
       if (streams.remove(key, this)) {
-        listener.failed(key.request(), key.attempt(), failure);
+        listener.onFailed(key.request(), key.attempt(), failure);
       }
     }
   }
@@ -178,7 +183,7 @@
     try {
       return RequestBody.create(Json.MAPPER.writeValueAsString(value), Json.TYPE);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("records of strings can always be written", e);
+      throw new IllegalStateException("engine message cannot be serialized as JSON", e);
     }
   }
 }
--- a/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
+++ b/gatereel-adapters/src/test/java/org/gatereel/adapters/targets/ServiceClientTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What counts as the whole answer of a plain service. */
+/** Truncated responses of plain services must not be accepted as complete. */
 class ServiceClientTest {
   private static final int TIMEOUT_MILLIS = 20_000;
   private static final String UNFRAMED = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-  /** Sends a call to a server that gives an answer, and returns how it ended. */
-  private static String call(String answer, RawServer.Ending ending) throws Exception {
+  /** Sends a call to a server with the given response and returns the outcome. */
+  private static String call(String response, RawServer.CloseMode closeMode) throws Exception {
     try (HttpClients clients = new HttpClients();
-        RawServer server = new RawServer(answer, ending)) {
-      HeardTargets heard = new HeardTargets();
-      ServiceClient client = new ServiceClient(clients.once(), heard);
+        RawServer server = new RawServer(response, closeMode)) {
+      RecordingTargetListener listener = new RecordingTargetListener();
+      ServiceClient client = new ServiceClient(clients.unpooled(), listener);
       client.send(
           new Action.SendCall(1, target(server.address()), "call-1", "debit", TIMEOUT_MILLIS, 0));
-      return heard.next();
+      return listener.next();
     }
   }
 
@@ -46,42 +46,40 @@
   }
 
   @Test
-  void anAnswerWhoseConnectionIsClosedByAServiceThatStillAnswersIsWhole() throws Exception {
-    String answer = UNFRAMED + "balance 12";
-    assertEquals("answered 200 balance 12", call(answer, RawServer.Ending.CLOSE));
+  void closeDelimitedResponseOfReachableServiceIsComplete() throws Exception {
+    String response = UNFRAMED + "balance 12";
+    assertEquals("answered 200 balance 12", call(response, RawServer.CloseMode.CLOSE));
   }
 
   @Test
-  void anAnswerWhoseConnectionWasClosedByTheDeathOfItsServiceMayBeCut() throws Exception {
-    // A service sent "balance 1200" without a length and died after "balance 12". Its system
-    // closed the connection in order, which is how such an answer ends, so that the part was kept
-    // under the Idempotency-Key as the answer and given to everyone who asked again.
-    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.Ending.DIE));
+  void closeDelimitedResponseOfCrashedServiceFails() throws Exception {
+    // The truncated body would otherwise be stored under the Idempotency-Key as the response.
+    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.DIE));
   }
 
   @Test
-  void aLengthThatCannotBeReadIsNone() throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
-    assertEquals("failed RESET", call(answer, RawServer.Ending.DIE));
+  void invalidContentLengthIsIgnored() throws Exception {
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\nbalance 12";
+    assertEquals("failed RESET", call(response, RawServer.CloseMode.DIE));
   }
 
   @Test
-  void anAnswerThatIsResetIsCut() throws Exception {
-    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.Ending.RESET));
+  void resetConnectionFailsTheCall() throws Exception {
+    assertEquals("failed RESET", call(UNFRAMED + "balance 12", RawServer.CloseMode.RESET));
   }
 
   @ParameterizedTest
-  @EnumSource(RawServer.Ending.class)
-  void anAnswerShortOfItsLengthIsCut(RawServer.Ending ending) throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
-    assertEquals("failed RESET", call(answer, ending));
+  @EnumSource(RawServer.CloseMode.class)
+  void responseShorterThanContentLengthFails(RawServer.CloseMode closeMode) throws Exception {
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nbalance 12";
+    assertEquals("failed RESET", call(response, closeMode));
   }
 
   @ParameterizedTest
-  @EnumSource(RawServer.Ending.class)
-  void anAnswerWithoutItsLastChunkIsCut(RawServer.Ending ending) throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
-    assertEquals("failed RESET", call(answer, ending));
+  @EnumSource(RawServer.CloseMode.class)
+  void responseWithoutLastChunkFails(RawServer.CloseMode closeMode) throws Exception {
+    String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nbalance 12\r\n";
+    assertEquals("failed RESET", call(response, closeMode));
   }
 
   @ParameterizedTest
@@ -92,14 +90,14 @@
         "Transfer-Encoding: chunked|a;balance 12;0;;",
         "Transfer-Encoding: Chunked|a;balance 12;0;;",
       })
-  void anAnswerThatItsServiceEndedIsWholeThoughTheServiceDiedAfterIt(String header, String body)
+  void framedResponseIsCompleteEvenIfTheServiceCrashesAfterIt(String header, String body)
       throws Exception {
-    String answer = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
-    assertEquals("answered 200 balance 12", call(answer, RawServer.Ending.DIE));
+    String response = "HTTP/1.1 200 OK\r\n" + header + "\r\n\r\n" + body.replace(";", "\r\n");
+    assertEquals("answered 200 balance 12", call(response, RawServer.CloseMode.DIE));
   }
 
   @Test
-  void anAnswerThatCanHaveNoBodyIsWhole() throws Exception {
-    assertEquals("answered 204 ", call("HTTP/1.1 204 No Content\r\n\r\n", RawServer.Ending.DIE));
+  void responseWithoutBodyIsComplete() throws Exception {
+    assertEquals("answered 204 ", call("HTTP/1.1 204 No Content\r\n\r\n", RawServer.CloseMode.DIE));
   }
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/AdminClient.java
@@ -20,18 +20,22 @@
 import org.gatereel.core.table.RowKey;
 import org.gatereel.core.table.TableEdit;
 
-/** Speaks with the administration API of entry hosts. */
+/**
+ * A client of the administration API of entry hosts.
+ *
+ * <p>A request that names no host is sent to the given hosts in order until one responds.
+ */
 public final class AdminClient implements AutoCloseable {
   static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final Duration PATIENCE = Duration.ofSeconds(8);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(8);
   private static final int NOT_FOUND = 404;
 
   private final OkHttpClient client =
       new OkHttpClient.Builder()
           .connectTimeout(Duration.ofSeconds(1))
-          .callTimeout(PATIENCE)
+          .callTimeout(CALL_TIMEOUT)
           .retryOnConnectionFailure(false)
           .build();
   private final List<String> hosts;
@@ -42,26 +46,28 @@
     this.key = key;
   }
 
-  /** Returns the table in force on the first host that answers. */
+  /** Returns the table in force on the first host that responds. */
   public AdminMessages.Table table() throws ControlException {
     return read(get("admin/table"), new TypeReference<>() {});
   }
 
-  /** Returns a row, or a row of revision 0 without cells if there is none. */
+  /** Returns a row; if there is none, a row of revision 0 without cells. */
   public Row row(RowKey row) throws ControlException {
-    Answer answer = firstAnswer(get(path(row)));
-    if (answer.status() == NOT_FOUND) {
+    ApiResponse response = firstResponse(get(rowRequest(row)));
+    if (response.status() == NOT_FOUND) {
       return new Row(row, 0, false, new java.util.TreeMap<>());
     }
-    return read(answer, new TypeReference<>() {});
+    return read(response, new TypeReference<>() {});
   }
 
   /**
-   * Has a row edited.
+   * Edits or deletes a row.
    *
-   * <p>The same edit id is sent to the next host if one does not answer; it takes effect once.
+   * <p>If a host does not respond, the edit is sent to the next one with the same edit id, so that
+   * it takes effect at most once.
    *
-   * @throws ControlException if the edit is refused; a lost race shows the row that won
+   * @throws ControlException if the edit is rejected; on a conflict with another edit, the message
+   *     shows the row in force
    */
   public TableEdit edit(RowKey row, boolean delete, AdminMessages.Change change)
       throws ControlException {
@@ -69,125 +75,135 @@
     Request.Builder request = new Request.Builder();
     RequestBody body = RequestBody.create(json, JSON);
     return read(
-        new Path(path(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
+        new ApiRequest(
+            rowRequest(row).segments(), List.of(), request.method(delete ? "DELETE" : "PUT", body)),
         new TypeReference<>() {});
   }
 
   public AdminMessages.History history(long after) throws ControlException {
     return read(
-        new Path("admin/history", List.of("after", Long.toString(after)), new Request.Builder()),
+        new ApiRequest(
+            "admin/history", List.of("after", Long.toString(after)), new Request.Builder()),
         new TypeReference<>() {});
   }
 
-  /** Returns the state of the first host that answers. */
+  /** Returns the state of the first host that responds. */
   public HostStatus status() throws ControlException {
     return read(get("admin/status"), new TypeReference<>() {});
   }
 
   /** Returns the state of one host. */
   public HostStatus statusOf(String host) throws ControlException {
-    return read(answer(host, get("admin/status")), new TypeReference<>() {});
+    return read(send(host, get("admin/status")), new TypeReference<>() {});
   }
 
-  /** Returns the time line of one host. */
+  /**
+   * Returns the timeline of one host.
+   *
+   * @param since the earliest time, in milliseconds since 1970
+   * @param subject restricts the events to one subject unless empty
+   */
   public List<AdminMessages.TimelineEntry> timelineOf(String host, long since, String subject)
       throws ControlException {
     List<String> query = List.of("since", Long.toString(since), "subject", subject);
     return read(
-        answer(host, new Path("admin/timeline", query, new Request.Builder())),
+        send(host, new ApiRequest("admin/timeline", query, new Request.Builder())),
         new TypeReference<>() {});
   }
 
-  /** Starts a planned stop of one host. */
+  /** Makes one host report that it is not ready. */
   public void drain(String host) throws ControlException {
     RequestBody body = RequestBody.create(new byte[0], JSON);
-    Path path = new Path("admin/drain", List.of(), new Request.Builder().post(body));
-    check(answer(host, path));
+    ApiRequest request = new ApiRequest("admin/drain", List.of(), new Request.Builder().post(body));
+    checkSuccess(send(host, request));
   }
 
-  /** Returns the addresses of all hosts that the first answering host knows. */
+  /** Returns the given hosts and the peers of the first host that responds. */
   public Set<String> allHosts() throws ControlException {
     Set<String> all = new LinkedHashSet<>(hosts);
     status().peers().forEach(peer -> all.add(peer.description().httpAddress().toString()));
     return all;
   }
 
-  /** What to ask; the query has names and values in turn. */
-  private record Path(String segments, List<String> query, Request.Builder request) {}
+  /** A request to any host; {@code query} alternates between names and values of parameters. */
+  private record ApiRequest(String segments, List<String> query, Request.Builder request) {}
 
-  private record Answer(int status, String body) {}
+  private record ApiResponse(int status, String body) {}
 
-  private static Path get(String segments) {
-    return new Path(segments, List.of(), new Request.Builder());
+  private static ApiRequest get(String segments) {
+    return new ApiRequest(segments, List.of(), new Request.Builder());
   }
 
-  private static Path get(Path path) {
-    return path;
+  private static ApiRequest get(ApiRequest request) {
+    return request;
   }
 
-  private static Path path(RowKey row) {
+  private static ApiRequest rowRequest(RowKey row) {
     return get("admin/table/" + row.kind().externalName() + "/" + row.name());
   }
 
-  private <T> T read(Path path, TypeReference<T> type) throws ControlException {
-    return read(firstAnswer(path), type);
+  private <T> T read(ApiRequest request, TypeReference<T> type) throws ControlException {
+    return read(firstResponse(request), type);
   }
 
-  private static <T> T read(Answer answer, TypeReference<T> type) throws ControlException {
-    check(answer);
+  private static <T> T read(ApiResponse response, TypeReference<T> type) throws ControlException {
+    checkSuccess(response);
     try {
-      return MAPPER.readValue(answer.body(), type);
+      return MAPPER.readValue(response.body(), type);
     } catch (IOException e) {
-      throw new ControlException(ExitCode.REFUSED, "the host's answer cannot be read", e);
+      throw new ControlException(
+          ExitCode.REFUSED, "the response of the host is not valid JSON for this command", e);
     }
   }
 
-  private static void check(Answer answer) throws ControlException {
-    if (answer.status() >= 200 && answer.status() < 300) {
+  private static void checkSuccess(ApiResponse response) throws ControlException {
+    if (response.status() >= 200 && response.status() < 300) {
       return;
     }
-    throw new ControlException(ExitCode.REFUSED, describe(answer));
+    throw new ControlException(ExitCode.REFUSED, describe(response));
   }
 
-  private static String describe(Answer answer) {
+  private static String describe(ApiResponse response) {
     try {
-      var problem = MAPPER.readValue(answer.body(), AdminMessages.Problem.class);
+      var problem = MAPPER.readValue(response.body(), AdminMessages.Problem.class);
       String present =
           problem.present() == null
               ? ""
-              : System.lineSeparator() + "in force: " + Printer.describe(problem.present());
+              : System.lineSeparator() + "in force: " + Printer.format(problem.present());
       String detail = problem.detail() == null ? "" : ": " + problem.detail();
       return problem.title() + detail + " (" + problem.outcome() + ")" + present;
     } catch (IOException e) {
-      return "status " + answer.status();
+      return "status " + response.status();
     }
   }
 
-  private Answer firstAnswer(Path path) throws ControlException {
-    ControlException last = null;
+  private ApiResponse firstResponse(ApiRequest request) throws ControlException {
+    ControlException lastFailure = null;
     for (String host : hosts) {
       try {
-        return answer(host, path);
+        return send(host, request);
       } catch (ControlException e) {
-        last = e;
+        lastFailure = e;
       }
     }
-    throw last == null ? new ControlException(ExitCode.USAGE, "no host was named") : last;
+    throw lastFailure == null
+        ? new ControlException(ExitCode.USAGE, "no host was given")
+        : lastFailure;
   }
 
-  private Answer answer(String host, Path path) throws ControlException {
+  private ApiResponse send(String host, ApiRequest apiRequest) throws ControlException {
     HttpUrl base = HttpUrl.parse("http://" + host);
     if (base == null) {
-      throw new ControlException(ExitCode.USAGE, "not an address: " + host);
+      throw new ControlException(ExitCode.USAGE, "not a valid host address: " + host);
     }
-    HttpUrl.Builder url = base.newBuilder().addPathSegments(path.segments());
-    for (int index = 0; index < path.query().size(); index += 2) {
-      url.addQueryParameter(path.query().get(index), path.query().get(index + 1));
+    HttpUrl.Builder url = base.newBuilder().addPathSegments(apiRequest.segments());
+    for (int index = 0; index < apiRequest.query().size(); index += 2) {
+      url.addQueryParameter(apiRequest.query().get(index), apiRequest.query().get(index + 1));
     }
     Request request =
-        path.request().url(url.build()).header("Authorization", "Bearer " + key).build();
+        apiRequest.request().url(url.build()).header("Authorization", "Bearer " + key).build();
     try (Response response = client.newCall(request).execute()) {
-      return new Answer(response.code(), response.body().string());
+      return new ApiResponse(response.code(), response.body().string());
     } catch (IOException e) {
       throw new ControlException(
           ExitCode.UNREACHABLE, host + " does not answer: " + e.getMessage(), e);
@@ -198,7 +214,7 @@
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (IOException e) {
-      throw new ControlException(ExitCode.USAGE, "cannot be written as JSON", e);
+      throw new ControlException(ExitCode.USAGE, "the edit cannot be serialized as JSON", e);
     }
   }
 
--- a/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/RolloutCommand.java
@@ -11,13 +11,13 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Prints what forwarding hosts know of a service's roll-out, and what each would decide. */
+/** Prints the state of a service's rollout on each host, with the evidence for its decision. */
 @Parameters(
     commandDescription =
         "tell how a roll-out stands: SERVICE --at IP:PORT,... (hosts' metrics addresses); for"
             + " example: rollout counters --at 10.0.0.1:7060,10.0.0.2:7060")
 final class RolloutCommand implements LocalCommand {
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
 
   @Parameter(description = "SERVICE", required = true)
   private String service;
@@ -26,45 +26,45 @@
   private List<String> hosts = new ArrayList<>();
 
   private final OkHttpClient client =
-      new OkHttpClient.Builder().callTimeout(PATIENCE).retryOnConnectionFailure(false).build();
+      new OkHttpClient.Builder().callTimeout(CALL_TIMEOUT).retryOnConnectionFailure(false).build();
 
   @Override
   public ExitCode run(Printer printer) throws ControlException {
     List<String> lines = new ArrayList<>();
-    int silent = 0;
+    int unreachable = 0;
     for (String host : hosts) {
       try {
-        about(ask(host)).forEach(line -> lines.add(host + " " + line));
+        linesOfService(readRollouts(host)).forEach(line -> lines.add(host + " " + line));
       } catch (IOException e) {
-        silent++;
+        unreachable++;
         lines.add(host + " does not answer: " + e.getMessage());
       }
     }
     printer.print(lines, lines);
-    if (silent == hosts.size()) {
+    if (unreachable == hosts.size()) {
       return ExitCode.UNREACHABLE;
     }
-    return silent > 0 ? ExitCode.INCOMPLETE : ExitCode.DONE;
+    return unreachable > 0 ? ExitCode.INCOMPLETE : ExitCode.DONE;
   }
 
-  private List<String> ask(String host) throws IOException, ControlException {
+  private List<String> readRollouts(String host) throws IOException, ControlException {
     HttpUrl page = HttpUrl.parse("http://" + host + "/rollouts");
     if (page == null) {
-      throw new ControlException(ExitCode.USAGE, "no IP:PORT: " + host);
+      throw new ControlException(ExitCode.USAGE, "not an IP:PORT address: " + host);
     }
-    try (Response answer = client.newCall(new Request.Builder().url(page).build()).execute()) {
-      return answer.body().string().lines().toList();
+    try (Response response = client.newCall(new Request.Builder().url(page).build()).execute()) {
+      return response.body().string().lines().toList();
     }
   }
 
-  /** Returns the service's line and those of its evidence, which are set in below it. */
-  private List<String> about(List<String> page) {
+  /** Returns the line of the service and the indented lines of evidence that follow it. */
+  private List<String> linesOfService(List<String> page) {
     List<String> found = new ArrayList<>();
-    boolean within = false;
+    boolean inService = false;
     for (String line : page) {
       boolean evidence = line.startsWith(" ");
-      within = evidence ? within : line.startsWith(service + " ");
-      if (within) {
+      inService = evidence ? inService : line.startsWith(service + " ");
+      if (inService) {
         found.add(line);
       }
     }
--- a/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/log/LogSummary.java
@@ -7,30 +7,30 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** What the lines of a log say of all requests together; lines are given in the order of time. */
+/** Statistics of all requests in a log. */
 public final class LogSummary {
   private final LimitSummary limits = new LimitSummary();
-  private final StatementSummary statements = new StatementSummary();
+  private final AnnouncementSummary announcements = new AnnouncementSummary();
   private final KindSummary streams = new KindSummary();
   private final KindSummary calls = new KindSummary();
   private final Map<String, HostSummary> hosts = new TreeMap<>();
 
-  /** What the hosts knew when they chose. */
+  /** The load of targets and the age of load reports when a host chose a target. */
   private static final class HostSummary {
-    private final Spread open = new Spread();
-    private final Spread age = new Spread();
+    private final PercentileSummary openRequests = new PercentileSummary();
+    private final PercentileSummary loadAgeMillis = new PercentileSummary();
 
     private void add(LogLine forwarded) {
-      for (String reason : forwarded.input("costs").split(",")) {
+      for (String reason : forwarded.detailValue("costs").split(",")) {
         if (reason.startsWith("OPEN:")) {
-          open.add(Double.parseDouble(reason.substring("OPEN:".length())));
+          openRequests.add(Double.parseDouble(reason.substring("OPEN:".length())));
         }
       }
-      forwarded.number("loadsAgeMillis").ifPresent(age::add);
+      forwarded.detailNumber("loadsAgeMillis").ifPresent(loadAgeMillis::add);
     }
   }
 
-  /** Sums up lines. */
+  /** Returns the summary of lines, which must be ordered by time. */
   public static LogSummary of(List<LogLine> lines) {
     LogSummary summary = new LogSummary();
     Map<String, List<LogLine>> requests = new LinkedHashMap<>();
@@ -39,7 +39,7 @@
     }
     requests.values().forEach(summary::addRequest);
     lines.forEach(summary.limits::add);
-    lines.forEach(summary.statements::add);
+    lines.forEach(summary.announcements::add);
     return summary;
   }
 
@@ -48,19 +48,19 @@
     if (!forwarded) {
       return;
     }
-    KindSummary kind = lines.stream().anyMatch(LogSummary::isOfStream) ? streams : calls;
+    KindSummary kind = lines.stream().anyMatch(LogSummary::belongsToStream) ? streams : calls;
     kind.add(lines);
     lines.stream()
         .filter(line -> line.name().equals("REQUEST_FORWARDED"))
         .forEach(line -> hosts.computeIfAbsent(line.host(), any -> new HostSummary()).add(line));
   }
 
-  private static boolean isOfStream(LogLine line) {
-    boolean copied = !line.input("copyAt").equals("-");
+  private static boolean belongsToStream(LogLine line) {
+    boolean copied = !line.detailValue("copyAt").equals("-");
     return line.name().equals("FIRST_TOKEN") || copied;
   }
 
-  /** Returns the summary as lines of text. */
+  /** Returns the summary as text. */
   public List<String> lines() {
     List<String> lines = new ArrayList<>();
     lines.add("spreads are the 10th, 50th, 90th and 99th percentile");
@@ -70,80 +70,89 @@
     calls.print(lines);
     lines.add("hosts, when they chose a target");
     hosts.forEach(
-        (host, known) ->
+        (host, summary) ->
             lines.add(
-                "  " + host + ": open there " + known.open + "; age of loads, ms " + known.age));
+                "  "
+                    + host
+                    + ": open there "
+                    + summary.openRequests
+                    + "; age of loads, ms "
+                    + summary.loadAgeMillis));
     limits.print(lines);
-    statements.print(lines);
+    announcements.print(lines);
     return lines;
   }
 
-  /** Requests of one kind. */
+  /** Statistics of the requests of one kind. */
   private static final class KindSummary {
-    private final Spread first = new Spread();
-    private final Spread event = new Spread();
-    private final Spread whole = new Spread();
-    private final Spread tries = new Spread();
+    private final PercentileSummary firstEventMillis = new PercentileSummary();
+    private final PercentileSummary eventIntervalMillis = new PercentileSummary();
+    private final PercentileSummary responseMillis = new PercentileSummary();
+    private final PercentileSummary attempts = new PercentileSummary();
     private final Map<String, Integer> counts = new TreeMap<>();
 
     private void add(List<LogLine> lines) {
-      OptionalLong firstAt = OptionalLong.empty();
+      OptionalLong firstEventAt = OptionalLong.empty();
       boolean fromCopy = false;
       for (LogLine line : lines) {
         switch (line.name()) {
           case "REQUEST_FORWARDED" -> {
-            fromCopy = line.input("fromCopy").equals("true");
+            fromCopy = line.detailValue("fromCopy").equals("true");
             if (fromCopy) {
               count("continued from a copy");
-            } else if (firstAt.isPresent()) {
+            } else if (firstEventAt.isPresent()) {
               count("moved without a copy");
             }
           }
           case "FIRST_TOKEN" -> {
-            if (firstAt.isEmpty()) {
-              firstAt = line.number("millis");
-              firstAt.ifPresent(first::add);
+            if (firstEventAt.isEmpty()) {
+              firstEventAt = line.detailNumber("millis");
+              firstEventAt.ifPresent(firstEventMillis::add);
             }
           }
           case "ATTEMPT_FAILED" -> {
-            String when = firstAt.isPresent() ? "after" : "before";
+            String when = firstEventAt.isPresent() ? "after" : "before";
             String copy = fromCopy ? ", going on from a copy" : "";
-            count("failed " + when + " the first event: " + line.input("failure") + copy);
+            count("failed " + when + " the first event: " + line.detailValue("failure") + copy);
           }
           case "STREAM_PAUSED" ->
-              count("paused: moved=" + line.input("moved") + " fromCopy=" + line.input("fromCopy"));
+              count(
+                  "paused: moved="
+                      + line.detailValue("moved")
+                      + " fromCopy="
+                      + line.detailValue("fromCopy"));
           case "PROMPT_LOCATED" ->
-              count(line.input("target").equals("-") ? "prompt not found" : "prompt found");
-          case "REQUEST_REFUSED" -> count("refused: " + line.input("reason"));
-          case "GENERATION_INTERRUPTED" -> count("interrupted: " + line.input("reason"));
+              count(line.detailValue("target").equals("-") ? "prompt not found" : "prompt found");
+          case "REQUEST_REFUSED" -> count("refused: " + line.detailValue("reason"));
+          case "GENERATION_INTERRUPTED" -> count("interrupted: " + line.detailValue("reason"));
           case "CALLER_GONE" -> count("caller gone");
-          case "REQUEST_ANSWERED" -> answered(line, firstAt);
+          case "REQUEST_ANSWERED" -> addResponse(line, firstEventAt);
           default -> {}
         }
       }
     }
 
-    private void answered(LogLine line, OptionalLong firstAt) {
+    private void addResponse(LogLine line, OptionalLong firstEventAt) {
       count("answered");
-      line.number("tries").ifPresent(tries::add);
-      line.number("millis").ifPresent(whole::add);
-      long events = line.number("lastEvent").orElse(0);
-      if (firstAt.isPresent() && line.number("millis").isPresent() && events > 0) {
-        long millis = line.number("millis").getAsLong() - firstAt.getAsLong();
-        event.add((double) millis / events);
+      line.detailNumber("tries").ifPresent(attempts::add);
+      line.detailNumber("millis").ifPresent(responseMillis::add);
+      long events = line.detailNumber("lastEvent").orElse(0);
+      if (firstEventAt.isPresent() && line.detailNumber("millis").isPresent() && events > 0) {
+        long millis = line.detailNumber("millis").getAsLong() - firstEventAt.getAsLong();
+        eventIntervalMillis.add((double) millis / events);
       }
     }
 
-    private void count(String what) {
-      counts.merge(what, 1, Integer::sum);
+    private void count(String outcome) {
+      counts.merge(outcome, 1, Integer::sum);
     }
 
     private void print(List<String> lines) {
-      lines.add("  first event, ms: " + first);
-      lines.add("  each event after it, ms: " + event);
-      lines.add("  whole answer, ms: " + whole);
-      lines.add("  tries of an answered one: " + tries);
-      counts.forEach((what, count) -> lines.add("  " + count + " " + what));
+      lines.add("  first event, ms: " + firstEventMillis);
+      lines.add("  each event after it, ms: " + eventIntervalMillis);
+      lines.add("  whole answer, ms: " + responseMillis);
+      lines.add("  tries of an answered one: " + attempts);
+      counts.forEach((outcome, count) -> lines.add("  " + count + " " + outcome));
     }
   }
 }
--- a/gatereel-control/src/main/java/org/gatereel/control/table/Numbers.java
+++ b/gatereel-control/src/main/java/org/gatereel/control/table/Revisions.java
@@ -3,9 +3,9 @@
 import org.gatereel.control.ControlException;
 import org.gatereel.control.ExitCode;
 
-/** Reads revisions as they are typed. */
-final class Numbers {
-  private Numbers() {}
+/** Parses revisions given on the command line. */
+final class Revisions {
+  private Revisions() {}
 
   static long parse(String text) throws ControlException {
     try {
--- a/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/ExplainCommandTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void ordersTheLinesOfAllFilesByTimeAndSaysWhatTheyMean() throws IOException {
+  void printsEventsOfAllFilesInOrderOfTimeWithTheirMeaning() throws IOException {
     Path one =
         file(
             "one",
@@ -32,7 +32,7 @@
     Path other = file("other", line("T1", "h2", "REQUEST_FORWARDED", "r1"));
 
     String text =
-        PrintedCommand.run(ExitCode.DONE, "explain", "r1", one.toString(), other.toString());
+        CommandOutput.capture(ExitCode.DONE, "explain", "r1", one.toString(), other.toString());
 
     assertTrue(text.indexOf("T1 h2") < text.indexOf("T3 h1"), text);
     assertTrue(text.contains("A request was sent to a target."), text);
@@ -40,14 +40,14 @@
   }
 
   @Test
-  void saysThatNothingWasFound() throws IOException {
+  void returnsIncompleteIfNothingWasFound() throws IOException {
     Path one = file("one", line("T1", "h1", "REQUEST_FORWARDED", "r1"));
 
-    PrintedCommand.run(ExitCode.INCOMPLETE, "explain", "other", one.toString());
+    CommandOutput.capture(ExitCode.INCOMPLETE, "explain", "other", one.toString());
   }
 
   @Test
-  void refusesAFileThatCannotBeRead() {
-    PrintedCommand.run(ExitCode.USAGE, "explain", "r1", folder.resolve("absent").toString());
+  void returnsUsageIfAFileCannotBeRead() {
+    CommandOutput.capture(ExitCode.USAGE, "explain", "r1", folder.resolve("absent").toString());
   }
 }
--- a/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/OperationsPageTest.java
@@ -18,7 +18,7 @@
 import org.gatereel.core.forward.ResponseEndVerdict;
 import org.junit.jupiter.api.Test;
 
-/** Holds the walk from a request's id to its cause to the names that the code writes. */
+/** Checks that the names on the operations page exist in the code. */
 class OperationsPageTest {
   private static final Pattern NAME = Pattern.compile("\\b[A-Z]+(?:_[A-Z]+)+\\b");
   private static final Set<String> OTHER_NAMES = Set.of("GATEREEL_KEY", "LOG_DROPPED");
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void everyNameOnThePageIsWrittenByTheCode() throws IOException {
+  void everyNameOnThePageExistsInTheCode() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
     Set<String> known =
         Stream.of(
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void everyRefusalThatInvitesARetryIsExplained() throws IOException {
+  void everyRejectionThatAllowsRetryIsExplained() throws IOException {
     String page = Files.readString(Path.of("../docs/OPERATIONS.md"));
     for (Rejection refusal : Rejection.values()) {
       assertTrue(!refusal.allowsRetry() || page.contains(refusal.name()), refusal.name());
--- a/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
+++ b/gatereel-control/src/test/java/org/gatereel/control/RolloutCommandTest.java
@@ -39,8 +39,8 @@
   }
 
   @Test
-  void printsWhatTheHostKnowsOfTheService() {
-    String text = PrintedCommand.run(ExitCode.DONE, "rollout", "counters", "--at", address);
+  void printsTheRolloutOfTheService() {
+    String text = CommandOutput.capture(ExitCode.DONE, "rollout", "counters", "--at", address);
 
     assertTrue(text.contains("counters version=v2 state=RUNNING"), text);
     assertTrue(text.contains("route=r answers=3"), text);
@@ -48,21 +48,21 @@
   }
 
   @Test
-  void saysThatAServiceHasNone() {
-    String text = PrintedCommand.run(ExitCode.DONE, "rollout", "other", "--at", address);
+  void printsThatTheServiceHasNoRollout() {
+    String text = CommandOutput.capture(ExitCode.DONE, "rollout", "other", "--at", address);
 
     assertTrue(text.contains("no roll-out of other is known"), text);
   }
 
   @Test
-  void saysWhichHostsDoNotAnswer() {
+  void returnsUnreachableIfNoHostResponds() {
     host.stop(0);
 
-    PrintedCommand.run(ExitCode.UNREACHABLE, "rollout", "counters", "--at", address);
+    CommandOutput.capture(ExitCode.UNREACHABLE, "rollout", "counters", "--at", address);
   }
 
   @Test
-  void anAddressThatIsNoneIsAMistakeOfTheCaller() {
-    PrintedCommand.run(ExitCode.USAGE, "rollout", "counters", "--at", "a b");
+  void invalidAddressIsAUsageError() {
+    CommandOutput.capture(ExitCode.USAGE, "rollout", "counters", "--at", "a b");
   }
 }
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -10,7 +10,7 @@
 import org.gatereel.wire.MalformedMessageException;
 import org.gatereel.wire.PeerListener;
 
-/** Turns what targets and peers send into events of the core. */
+/** Converts the callbacks of targets and peers to events of the core. */
 public final class Inbox implements TargetListener, PeerListener {
   private final EventLog events;
   private volatile ControlLoop control;
@@ -19,12 +19,12 @@
     this.events = events;
   }
 
-  /** Names the loop that takes the events; what comes before is dropped, as before the start. */
+  /** Sets the loop that handles the events; earlier events are dropped. */
   public void connect(ControlLoop loop) {
     control = loop;
   }
 
-  /** Passes an event on. */
+  /** Passes an event to the loop. */
   public void post(Event event) {
     ControlLoop loop = control;
     if (loop != null) {
@@ -33,27 +33,27 @@
   }
 
   @Override
-  public void token(RequestId request, int attempt, int offset, String token, int load) {
+  public void onToken(RequestId request, int attempt, int offset, String token, int load) {
     post(new Event.TokenArrived(request, attempt, offset, token, load));
   }
 
   @Override
-  public void finished(RequestId request, int attempt, int length) {
+  public void onFinished(RequestId request, int attempt, int length) {
     post(new Event.AttemptFinished(request, attempt, length));
   }
 
   @Override
-  public void failed(RequestId request, int attempt, TargetFailure failure) {
+  public void onFailed(RequestId request, int attempt, TargetFailure failure) {
     post(new Event.AttemptFailed(request, attempt, failure));
   }
 
   @Override
-  public void answered(long ticket, int status, String body, int load) {
+  public void onCallResponse(long ticket, int status, String body, int load) {
     post(new Event.CallResponseReceived(ticket, status, body, load));
   }
 
   @Override
-  public void callFailed(long ticket, TargetFailure failure) {
+  public void onCallFailed(long ticket, TargetFailure failure) {
     post(new Event.CallFailed(ticket, failure));
   }
 
@@ -69,6 +69,6 @@
 
   @Override
   public void malformed(String from, MalformedMessageException failure) {
-    events.failure("a message of peer " + from + " cannot be read", failure);
+    events.logFailure("a message of peer " + from + " cannot be read", failure);
   }
 }
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/ExchangeTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/CallerExchangeTest.java
@@ -16,12 +16,12 @@
 import org.gatereel.core.model.ProblemType;
 import org.junit.jupiter.api.Test;
 
-class ExchangeTest {
+class CallerExchangeTest {
   private static final String ID = "1~df4d7a8a0ca3c3ab~entry-1~-~none~1000~1~0~9e3779b97f4a7c15";
 
   private final List<String> bodies = new ArrayList<>();
 
-  /** A context that only remembers what is sent. */
+  /** Returns a context that records the bodies sent to it. */
   private Context context() {
     return (Context)
         Proxy.newProxyInstance(
@@ -39,7 +39,7 @@
             });
   }
 
-  /** A sender that only remembers what is written. */
+  /** Returns a sender that records the events written to it. */
   private Sender sender() {
     return (Sender)
         Proxy.newProxyInstance(
@@ -54,18 +54,17 @@
   }
 
   @Test
-  void anExchangeThatIsCutOffNeverClaimsThatItsRequestDidNotRun() {
-    new Exchange(context(), 1_000, () -> {}).disconnect(ProblemType.DRAINING);
+  void disconnectBeforeTheResponseHasUnknownOutcome() {
+    new CallerExchange(context(), 1_000, () -> {}).disconnect(ProblemType.DRAINING);
     assertTrue(bodies.get(0).contains("\"outcome\":\"UNKNOWN\""), bodies.toString());
   }
 
   @Test
-  void aHostThatEndsTellsTheReadersOfItsOpenStreams() throws Exception {
-    // A host's open streams were ended in order and without any event when it was stopped, so that
-    // to their framing they were whole.
-    try (Exchanges exchanges = new Exchanges(1_000_000, event -> {})) {
-      exchanges.take(context(), caller -> new Event.CallerDisconnected(caller));
-      exchanges.run(new Action.OpenStream(1, EventId.parse(ID)));
+  void closeSendsAProblemOnOpenStreams() throws Exception {
+    // Without a final event, the framing of the stream would mark it as complete.
+    try (CallerExchanges exchanges = new CallerExchanges(1_000_000, event -> {})) {
+      exchanges.accept(context(), caller -> new Event.CallerDisconnected(caller));
+      exchanges.execute(new Action.OpenStream(1, EventId.parse(ID)));
     }
     assertEquals(2, bodies.size(), bodies.toString());
     assertTrue(bodies.get(1).startsWith("event: problem\n"), bodies.toString());
--- a/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
+++ b/gatereel-daemon/src/test/java/org/gatereel/daemon/callers/SlowReaderTest.java
@@ -42,13 +42,13 @@
 import org.gatereel.daemon.settings.SettingsReader;
 import org.junit.jupiter.api.Test;
 
-/** What the host says of a generation whose caller does not read. */
+/** A response must not be recorded as delivered to a caller that does not read it. */
 class SlowReaderTest {
   private static final String CREDENTIAL = "ab".repeat(32);
   private static final ServiceName SERVICE = new ServiceName("assistant");
   private static final int TOKENS = 2_000;
-  private static final int MOST_WAITING_BYTES = 65_536;
-  private static final long PATIENCE_SECONDS = 30;
+  private static final int MAX_BUFFERED_BYTES = 65_536;
+  private static final long TIMEOUT_SECONDS = 30;
   private static final String SETTINGS =
       """
       {"host": "entry-1", "dataCentre": "ollur",
@@ -58,10 +58,10 @@
       """;
 
   private final TreeMap<String, String> table = new TreeMap<>();
-  private final BlockingQueue<EventCode> notes = new LinkedBlockingQueue<>();
+  private final BlockingQueue<EventCode> recordedCodes = new LinkedBlockingQueue<>();
   private final List<String> written = new CopyOnWriteArrayList<>();
-  private final Exchanges exchanges =
-      new Exchanges(MOST_WAITING_BYTES, event -> this.loop.post(event));
+  private final CallerExchanges exchanges =
+      new CallerExchanges(MAX_BUFFERED_BYTES, event -> this.loop.post(event));
   private final EntryHost core =
       new EntryHost(new HostId("entry-1"), new DataCentre("ollur"), new Random(1));
   private ControlLoop loop;
@@ -86,18 +86,18 @@
           .removeIf(key -> !key.startsWith(scan.prefix()) || key.compareTo(scan.after()) <= 0);
       loop.post(new Event.ReadEnded(scan.ticket(), new ReadResult.Rows(found)));
     } else if (action instanceof Action.StartAttempt start) {
-      answerAtOnce(start);
+      queueCompleteResponse(start);
     } else if (action instanceof Action.SendToken send) {
       exchanges.sendToken(send);
     } else if (action instanceof Action.LogEvent note) {
-      notes.add(note.code());
+      recordedCodes.add(note.code());
     } else {
-      exchanges.run(action);
+      exchanges.execute(action);
     }
   }
 
-  /** Has the whole answer of an engine wait for the control thread, which runs this. */
-  private void answerAtOnce(Action.StartAttempt start) {
+  /** Queues the complete response of an engine; runs on the control thread. */
+  private void queueCompleteResponse(Action.StartAttempt start) {
     for (int offset = 0; offset < TOKENS; offset++) {
       String token = "token " + offset;
       loop.post(new Event.TokenArrived(start.spec().request(), start.attempt(), offset, token, 1));
@@ -105,8 +105,8 @@
     loop.post(new Event.AttemptFinished(start.spec().request(), start.attempt(), TOKENS));
   }
 
-  /** Returns the exchange of a caller who reads nothing: what is written is never said to be. */
-  private Context unread() {
+  /** Returns the context of a caller that reads nothing: no write is ever reported as done. */
+  private Context contextThatReadsNothing() {
     Sender sender =
         proxy(
             Sender.class,
@@ -129,7 +129,7 @@
     Object with(String method, Object[] arguments) throws Exception;
   }
 
-  /** Returns an object that does what {@code call} does and returns itself where that is null. */
+  /** Returns a proxy that invokes {@code call} and returns itself where the result is null. */
   private static <T> T proxy(Class<T> type, Call call) {
     return type.cast(
         Proxy.newProxyInstance(
@@ -153,45 +153,44 @@
         LifeState.LIVE);
   }
 
-  /** Has the host run with an account, a service and an engine. */
+  /** Starts the host with a client account, a service and an engine. */
   private void startWithOneEngine(ControlLoop control) throws Exception {
     seed(1, RowKind.ACCOUNT, "ward", Map.of("key_sha256", CREDENTIAL));
     seed(2, RowKind.SERVICE, "assistant", Map.of("kind", "generation"));
     loop = control;
     control.start(List.of());
     control.post(new Event.HostListReceived(new HostList(1, List.of(), List.of(engine()))));
-    while (!control.ask(EntryHost::isReady).get(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+    while (!control.query(EntryHost::isReady).get(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       Thread.onSpinWait();
     }
   }
 
-  /** Returns the events of the time line up to the end of the engine's answer. */
-  private List<EventCode> untilFinished() throws InterruptedException {
+  /** Returns the recorded events up to the end of the generation. */
+  private List<EventCode> eventsUntilFinished() throws InterruptedException {
     List<EventCode> seen = new CopyOnWriteArrayList<>();
     while (!seen.contains(EventCode.GENERATION_FINISHED)) {
-      EventCode next = notes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertTrue(next != null, "the answer did not end: " + seen);
+      EventCode next = recordedCodes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertTrue(next != null, "the generation did not end: " + seen);
       seen.add(next);
     }
     return seen;
   }
 
   @Test
-  void aCallerWhoWasCutOffIsGoneBeforeWhatTheEngineSentMeanwhile() throws Exception {
-    // An engine was faster than the host, so that its whole answer, with its end, waited there. The
-    // caller did not read and was cut off after the first part. That it had left was put behind all
-    // that waited: the host went through the rest for nobody and noted the answer as delivered,
-    // though the caller never had its end.
+  void disconnectIsHandledBeforeQueuedEngineEvents() throws Exception {
+    // The disconnect must be handled before the queued rest of the response, which would otherwise
+    // be recorded as delivered.
     try (EventLog events = new EventLog(SettingsReader.parse(SETTINGS));
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
-      exchanges.take(
-          unread(),
+      exchanges.accept(
+          contextThatReadsNothing(),
           caller -> new Event.GenerationRequested(caller, CREDENTIAL, SERVICE, "long", TOKENS));
-      List<EventCode> seen = untilFinished();
+      List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
-      control.ask(EntryHost::openCount).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertEquals(0, notes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
+      control.query(EntryHost::openCount).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertEquals(
+          0, recordedCodes.stream().filter(EventCode.GENERATION_DELIVERED::equals).count());
     }
     String last = written.get(written.size() - 1);
     assertTrue(last.contains("event: problem") && last.contains("slow-reader"), last);
@@ -199,28 +198,27 @@
   }
 
   @Test
-  void aCallerWhoLeftBeforeItsRequestWasHandledIsGoneToo() throws Exception {
-    // That a caller has left goes ahead of what engines send, and so also ahead of its own request
-    // where that still waits. Told of only then, it would be told of somebody unknown, and the
-    // generation would run for nobody.
+  void disconnectBeforeTheRequestIsHandledCancelsTheRequest() throws Exception {
+    // If the disconnect were handled only before the caller's queued request, it would be ignored
+    // and the generation would run to its end.
     try (EventLog events = new EventLog(SettingsReader.parse(SETTINGS));
         ControlLoop control = new ControlLoop(core, events, this::run)) {
       startWithOneEngine(control);
       CountDownLatch posted = new CountDownLatch(1);
-      CompletableFuture<Boolean> busy = control.ask(host -> awaitQuietly(posted));
+      CompletableFuture<Boolean> busy = control.query(host -> awaitQuietly(posted));
       control.post(new Event.GenerationRequested(7, CREDENTIAL, SERVICE, "long", TOKENS));
       control.post(new Event.CallerDisconnected(7));
       posted.countDown();
-      assertTrue(busy.get(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertTrue(busy.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
 
-      List<EventCode> seen = untilFinished();
+      List<EventCode> seen = eventsUntilFinished();
       assertTrue(seen.contains(EventCode.CALLER_GONE), seen.toString());
     }
   }
 
   private static boolean awaitQuietly(CountDownLatch latch) {
     try {
-      return latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
