--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StatementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/AnnouncementForwardingTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What targets say of leaving and of rest, on each way by which a request may reach them. */
-class StatementForwardingTest {
+class AnnouncementForwardingTest {
   private static final Statements LEAVES = Statements.NONE.withLeaving(new Statement.Said<>(true));
   private static final long REST_MILLIS = 3_000;
   private static final Statements RESTS =
@@ -50,15 +50,15 @@
   }
 
   private SentCall ask(String path) {
-    int before = world.sent.size();
-    world.ask(path, new Caller());
-    assertEquals(before + 1, world.sent.size());
-    return world.last();
+    int before = world.sentCalls.size();
+    world.submit(path, new Caller());
+    assertEquals(before + 1, world.sentCalls.size());
+    return world.lastCall();
   }
 
   /** Has the first target that is chosen answer; returns its name. */
   private String told(ForwardWorld.Head head) {
-    SentCall call = ask("/safe/x").accepted();
+    SentCall call = ask("/safe/x").accept();
     call.listener.onHead(head);
     if (!head.declaresNotExecuted()) {
       call.listener.onEnd(ResponseEnd.LAST_CHUNK);
@@ -72,7 +72,7 @@
     for (int number = 0; number < REQUESTS; number++) {
       SentCall call = ask(path);
       chosen.add(call.target());
-      call.answer(200, "ok");
+      call.respond(200, "ok");
     }
     return chosen;
   }
@@ -160,7 +160,7 @@
     Set<String> others = new HashSet<>(Set.of("c1", "c2", "c3"));
     others.remove(leaving);
     listOnly(others.toArray(String[]::new));
-    world.pass(1_000);
+    world.advanceTime(1_000);
 
     world.list(all);
 
@@ -179,36 +179,36 @@
   @Test
   void aTargetThatDoesNotSayItAnyMoreGetsNothingAndIsLogged() {
     listOnly("c1");
-    SentCall early = ask("/safe/x").accepted();
-    SentCall late = ask("/safe/x").accepted();
+    SentCall early = ask("/safe/x").accept();
+    SentCall late = ask("/safe/x").accept();
     told(head(200, false, LEAVES));
     events();
-    early.answer(200, "ok");
+    early.respond(200, "ok");
     assertFalse(events().contains(EventCode.LEAVING_CONTRADICTED), "it was sent before");
     world.forwarder.announcements().receive(description("c1"), Statements.NONE, 0);
     assertFalse(
         events().contains(EventCode.LEAVING_CONTRADICTED), "nobody says whose answer it is");
-    late.answer(200, "ok");
+    late.respond(200, "ok");
 
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    assertEquals(Rejection.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
   /** Another host heard it before this request was sent. */
   @Test
   void anAnswerThatDoesNotSayWhatAnotherHostHeardIsLogged() {
     listOnly("c1");
-    world.pass(100);
-    SentCall call = ask("/safe/x").accepted();
+    world.advanceTime(100);
+    SentCall call = ask("/safe/x").accept();
     world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
     events();
 
-    call.answer(200, "ok");
+    call.respond(200, "ok");
 
     assertTrue(events().contains(EventCode.LEAVING_CONTRADICTED));
-    world.ask("/safe/x", caller);
-    assertEquals(Rejection.NO_TARGET, caller.refusal);
+    world.submit("/safe/x", caller);
+    assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
   private static LoadReport report(TargetFact fact) {
@@ -248,24 +248,24 @@
 
   @Test
   void aRequestThatWaitsForItsConnectionGoesElsewhere() {
-    world.ask("/safe/x", caller);
-    SentCall waiting = world.last();
+    world.submit("/safe/x", caller);
+    SentCall waiting = world.lastCall();
     world.targets.leaving(new TargetId(waiting.target()));
 
     assertFalse(waiting.listener.maySend());
     waiting.listener.onFailure(TargetFailure.WITHDRAWN);
 
-    assertEquals(2, world.sent.size());
-    assertNotEquals(waiting.target(), world.last().target());
-    assertTrue(world.last().listener.maySend());
-    world.last().answer(200, "ok");
+    assertEquals(2, world.sentCalls.size());
+    assertNotEquals(waiting.target(), world.lastCall().target());
+    assertTrue(world.lastCall().listener.maySend());
+    world.lastCall().respond(200, "ok");
     assertTrue(caller.finished);
   }
 
   @Test
   void aStreamGoesOnWhereItRunsAndNotFromACopyThere() {
-    world.ask("/stream/x", caller);
-    SentCall run = world.last().accepted();
+    world.submit("/stream/x", caller);
+    SentCall run = world.lastCall().accept();
     run.listener.onHead(stream(LEAVES));
     run.event(1).event(2);
     assertFalse(run.cancelled);
@@ -279,16 +279,16 @@
 
     world.fail(run, TargetFailure.RESET);
 
-    String next = world.last().target();
+    String next = world.lastCall().target();
     assertNotEquals(run.target(), next);
     assertNotEquals(holder.id().value(), next);
-    assertTrue(world.last().dispatch.continueFrom().isEmpty());
+    assertTrue(world.lastCall().dispatch.continueFrom().isEmpty());
   }
 
   @Test
   void aCallerWhoComesBackIsNotSentThere() {
-    String leaving = ask("/stream/x").accepted().target();
-    world.last().listener.onHead(stream(LEAVES));
+    String leaving = ask("/stream/x").accept().target();
+    world.lastCall().listener.onHead(stream(LEAVES));
     world.lastEventId = OptionalLong.of(7);
 
     for (int number = 0; number < REQUESTS; number++) {
@@ -301,9 +301,9 @@
     listOnly("c1");
     told(head(200, false, LEAVES));
 
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    assertEquals(Rejection.NO_TARGET, caller.refusal);
+    assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
   @Test
@@ -320,13 +320,13 @@
   void anEngineThatIsAskedForItsPromptsSaysItToo() {
     world.promptPart = Optional.of("part");
     world.lastEventId = OptionalLong.of(7);
-    world.ask("/stream/x", caller);
-    String asked = world.promptQuestions.get(0).target();
+    world.submit("/stream/x", caller);
+    String asked = world.promptQueries.get(0).target();
 
-    world.promptQuestions.get(0).heard().accept(LEAVES);
-    world.promptQuestions.forEach(question -> question.answer().accept(Optional.empty()));
+    world.promptQueries.get(0).announcements().accept(LEAVES);
+    world.promptQueries.forEach(question -> question.response().accept(Optional.empty()));
 
-    assertNotEquals(asked, world.last().target());
+    assertNotEquals(asked, world.lastCall().target());
     assertTrue(world.targets.find(new TargetId(asked)).orElseThrow().isLeaving());
   }
 
@@ -337,22 +337,22 @@
     String resting = told(head(503, true, RESTS));
     for (int passed = 0; passed < REST_MILLIS; passed += 100) {
       assertFalse(chosen("/safe/x").contains(resting));
-      world.pass(100);
+      world.advanceTime(100);
     }
-    world.pass(100);
+    world.advanceTime(100);
 
     assertTrue(chosen("/safe/x").contains(resting), "it is no emptier than the others");
   }
 
   @Test
   void theLongestOfSeveralHoldsAndALaterAnswerDoesNotEndIt() {
-    SentCall early = ask("/safe/x").accepted();
+    SentCall early = ask("/safe/x").accept();
     listOnly(early.target());
-    SentCall next = ask("/safe/x").accepted();
+    SentCall next = ask("/safe/x").accept();
     next.listener.onHead(head(503, true, RESTS));
-    early.answer(200, "ok");
+    early.respond(200, "ok");
 
-    world.pass(REST_MILLIS - 1);
+    world.advanceTime(REST_MILLIS - 1);
 
     assertTrue(world.forwarder.backoffs().isResting(new TargetId(early.target())));
   }
@@ -369,7 +369,7 @@
     SentCall first = ask("/safe/x");
     listOnly(first.target());
     SentCall second = ask("/safe/x");
-    first.accepted().listener.onHead(head(503, true, RESTS));
+    first.accept().listener.onHead(head(503, true, RESTS));
 
     assertFalse(second.listener.maySend());
   }
@@ -379,31 +379,31 @@
   void whereAllTargetsRestTheRequestIsRefusedAtOnceWithTheTimeOfTheFirstEnd() {
     listOnly("c1");
     told(head(503, true, RESTS));
-    world.pass(1_000);
+    world.advanceTime(1_000);
 
     Caller later = new Caller();
-    world.ask("/safe/x", later);
+    world.submit("/safe/x", later);
 
-    assertEquals(Rejection.OVERLOADED, later.refusal);
+    assertEquals(Rejection.OVERLOADED, later.rejection);
     assertTrue(later.retryAfterMillis >= 2_000 && later.retryAfterMillis <= 2_400);
-    world.pass(2_000);
-    int before = world.sent.size();
-    world.ask("/safe/x", caller);
-    assertNull(caller.refusal);
-    world.pass(100);
-    assertEquals(before + 1, world.sent.size());
+    world.advanceTime(2_000);
+    int before = world.sentCalls.size();
+    world.submit("/safe/x", caller);
+    assertNull(caller.rejection);
+    world.advanceTime(100);
+    assertEquals(before + 1, world.sentCalls.size());
   }
 
   /** It would wait for a target that it may not be sent to a second time. */
   @Test
   void aCallThatTheOnlyTargetRefusedForRestIsRefusedAtOnce() {
     listOnly("c1");
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
     Statements shortRest = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
 
-    world.last().accepted().listener.onHead(head(503, true, shortRest));
+    world.lastCall().accept().listener.onHead(head(503, true, shortRest));
 
-    assertEquals(Rejection.OVERLOADED, caller.refusal);
+    assertEquals(Rejection.OVERLOADED, caller.rejection);
     assertTrue(caller.retryAfterMillis >= 1);
   }
 
@@ -412,23 +412,23 @@
   void afterTheEndOneIsSentFirst() {
     listOnly("c1");
     told(head(503, true, RESTS));
-    world.pass(REST_MILLIS + 100);
-    int before = world.sent.size();
+    world.advanceTime(REST_MILLIS + 100);
+    int before = world.sentCalls.size();
 
     for (int number = 0; number < REQUESTS; number++) {
-      world.ask("/safe/x", new Caller());
+      world.submit("/safe/x", new Caller());
     }
-    assertEquals(before + 1, world.sent.size());
-    world.last().accepted().listener.onHead(head(503, true, RESTS));
-    world.pass(500);
+    assertEquals(before + 1, world.sentCalls.size());
+    world.lastCall().accept().listener.onHead(head(503, true, RESTS));
+    world.advanceTime(500);
 
-    assertEquals(before + 1, world.sent.size());
+    assertEquals(before + 1, world.sentCalls.size());
   }
 
   @Test
   void aCopyAtATargetThatRestsIsGivenUp() {
-    world.ask("/stream/x", caller);
-    SentCall run = world.last().accepted().head(200, true).event(1);
+    world.submit("/stream/x", caller);
+    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
     TargetDescription holder =
         world.targets.all().stream()
             .map(state -> state.description())
@@ -439,7 +439,7 @@
 
     world.fail(run, TargetFailure.RESET);
 
-    assertNotEquals(holder.id().value(), world.last().target());
+    assertNotEquals(holder.id().value(), world.lastCall().target());
   }
 
   /** Both at once: a token would be lost on a target that must not be sent anything. */
@@ -450,9 +450,9 @@
       world.forwarder.backoffs().hear(new TargetId(counter), REST_MILLIS);
     }
 
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    assertTrue(world.tokenQuestions.isEmpty());
-    assertEquals(Rejection.OVERLOADED, caller.refusal);
+    assertTrue(world.tokenRequests.isEmpty());
+    assertEquals(Rejection.OVERLOADED, caller.rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
@@ -8,7 +8,7 @@
 
 class ConfigurationHolderTest {
   private final ForwardWorld world = new ForwardWorld();
-  private final ConfigurationHolder keeper = world.keeper;
+  private final ConfigurationHolder keeper = world.configurationHolder;
 
   private Object refusal(String path, Optional<String> key) {
     return keeper.lookUp("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
@@ -18,17 +18,17 @@
 
   @Test
   void refusesKeysOnceTheProofIsTooOld() {
-    world.pass(4_849);
+    world.advanceTime(4_849);
     assertEquals("allowed", refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
 
-    world.pass(1);
+    world.advanceTime(1);
     assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   /** Its steady clock stood still, so that by it alone removed keys would still be taken. */
   @Test
   void refusesKeysAfterASuspensionUntilTheConfigurationIsProvedAnew() {
-    world.pass(100);
+    world.advanceTime(100);
     world.context.noteLost(4_800);
     assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
 
@@ -59,7 +59,7 @@
   @Test
   void countsTheProofFromWhenTheQuestionWasSent() {
     long askedAt = world.context.now();
-    world.pass(3_000);
+    world.advanceTime(3_000);
     keeper.confirm(1, askedAt);
 
     assertEquals(3_000, keeper.ageMillis());
@@ -75,7 +75,7 @@
 
   @Test
   void takesNoProofFromAnAnswerAboutAnotherVersion() {
-    world.pass(1_000);
+    world.advanceTime(1_000);
     keeper.confirm(0, world.context.now());
 
     assertEquals(1_000, keeper.ageMillis());
@@ -86,7 +86,7 @@
     assertEquals(Rejection.UNKNOWN_KEY, refusal("/safe/x", Optional.of("other")));
     assertEquals(Rejection.NO_ROUTE, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
 
-    world.pass(2_000);
+    world.advanceTime(2_000);
 
     assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
     assertEquals(
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
@@ -39,8 +39,8 @@
   }
 
   private ForwardWorld.SentCall askAnew() {
-    world.ask("/stream/x", new ForwardWorld.Caller());
-    return world.last();
+    world.submit("/stream/x", new ForwardWorld.Caller());
+    return world.lastCall();
   }
 
   private void failed(String name) {
@@ -51,12 +51,12 @@
   @Test
   void aTargetThatHasRestartedUnderAnotherNameCastsDoubtOnThoseBesideIt() {
     list(8, 8);
-    world.ask("/stream/x", caller);
-    assertEquals("n", world.last().target().substring(0, 1));
+    world.submit("/stream/x", caller);
+    assertEquals("n", world.lastCall().target().substring(0, 1));
 
-    world.last().notRun(421);
+    world.lastCall().rejectNotExecuted(421);
 
-    assertEquals("s", world.last().target().substring(0, 1));
+    assertEquals("s", world.lastCall().target().substring(0, 1));
   }
 
   @Test
@@ -70,26 +70,26 @@
   @Test
   void targetsThatCannotBeReachedDoNotEndARequestEarly() {
     list(14, 0);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
     for (int failure = 0; failure < 13; failure++) {
-      world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+      world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
     }
 
-    assertNull(caller.refusal);
-    assertEquals(14, world.sent.size());
+    assertNull(caller.rejection);
+    assertEquals(14, world.sentCalls.size());
   }
 
   @Test
   void targetsThatRefuseDoEndItAtLast() {
     list(14, 0);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
     for (int refusal = 0; refusal < 8; refusal++) {
-      world.last().notRun(503);
+      world.lastCall().rejectNotExecuted(503);
     }
 
-    assertTrue(caller.isOver());
-    assertEquals(8, world.sent.size());
+    assertTrue(caller.isFinal());
+    assertEquals(8, world.sentCalls.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -44,13 +44,13 @@
 
   final CoreContext context;
   final HostDirectory directory;
-  final List<IntConsumer> borrowing = new ArrayList<>();
-  final List<TokenQuestion> tokenQuestions = new ArrayList<>();
-  final ConfigurationHolder keeper;
+  final List<IntConsumer> retryLoanRequests = new ArrayList<>();
+  final List<TokenRequest> tokenRequests = new ArrayList<>();
+  final ConfigurationHolder configurationHolder;
   final TargetRegistry targets;
-  final List<SentCall> sent = new ArrayList<>();
+  final List<SentCall> sentCalls = new ArrayList<>();
   final List<SentProbe> probes = new ArrayList<>();
-  final List<PromptQuestion> promptQuestions = new ArrayList<>();
+  final List<PromptQuery> promptQueries = new ArrayList<>();
   final LoadExchange loads;
   final RolloutControl rollouts;
   final PoisonControl poison;
@@ -59,7 +59,7 @@
   OptionalLong lastEventId = OptionalLong.empty();
 
   /** The body of the requests that are asked next. */
-  String content = "";
+  String requestContent = "";
 
   private long listVersion;
 
@@ -78,18 +78,18 @@
       return dispatch.target().id().value();
     }
 
-    SentCall accepted() {
+    SentCall accept() {
       listener.onSent();
       return this;
     }
 
-    SentCall head(int status, boolean stream) {
+    SentCall respondHead(int status, boolean stream) {
       listener.onHead(new Head(status, false, true, stream));
       return this;
     }
 
-    SentCall notRun(int status) {
-      accepted();
+    SentCall rejectNotExecuted(int status) {
+      accept();
       listener.onHead(new Head(status, true, true, false));
       return this;
     }
@@ -103,9 +103,9 @@
       return this;
     }
 
-    SentCall answer(int status, String body) {
-      accepted();
-      head(status, false);
+    SentCall respond(int status, String body) {
+      accept();
+      respondHead(status, false);
       listener.onBody(body.getBytes(StandardCharsets.UTF_8));
       listener.onEnd(ResponseEnd.LAST_CHUNK);
       return this;
@@ -116,12 +116,12 @@
   record SentProbe(TargetDescription target, TargetPort.ProbeListener listener) {}
 
   /** A question to an engine which parts of prompts it keeps. */
-  record PromptQuestion(
-      String target, Consumer<Statements> heard, Consumer<Optional<Set<String>>> answer) {}
+  record PromptQuery(
+      String target, Consumer<Statements> announcements, Consumer<Optional<Set<String>>> response) {}
 
   /** A question to another host for requests to a target that takes only so many. */
-  record TokenQuestion(
-      Address lender, LoanSubject.Requests asked, int count, Consumer<Optional<Loan>> answer) {}
+  record TokenRequest(
+      Address issuer, LoanSubject.Requests requested, int count, Consumer<Optional<Loan>> response) {}
 
   record Head(
       int status,
@@ -159,15 +159,15 @@
     boolean hasStream;
     boolean finished;
     boolean aborted;
-    Rejection refusal;
+    Rejection rejection;
     long retryAfterMillis;
 
-    boolean isOver() {
-      return finished || aborted || refusal != null;
+    boolean isFinal() {
+      return finished || aborted || rejection != null;
     }
 
     private void checkOpen() {
-      if (isOver()) {
+      if (isFinal()) {
         throw new AssertionError("a second final answer");
       }
     }
@@ -203,7 +203,7 @@
     @Override
     public void reject(Rejection reason, long retryAfterMillis) {
       checkOpen();
-      refusal = reason;
+      rejection = reason;
       this.retryAfterMillis = retryAfterMillis;
     }
   }
@@ -216,7 +216,7 @@
     context =
         new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(seed));
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
-    keeper = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
+    configurationHolder = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
     context.moveTo(START);
     TargetPort port =
@@ -224,7 +224,7 @@
           @Override
           public Call send(Dispatch dispatch, Listener listener) {
             SentCall call = new SentCall(dispatch, listener);
-            sent.add(call);
+            sentCalls.add(call);
             return () -> call.cancelled = true;
           }
 
@@ -239,7 +239,7 @@
               long millis,
               Consumer<Statements> heard,
               Consumer<Optional<Set<String>>> answer) {
-            promptQuestions.add(new PromptQuestion(target.id().value(), heard, answer));
+            promptQueries.add(new PromptQuery(target.id().value(), heard, answer));
           }
         };
     Address address = new Address("10.0.1.1", 7_215);
@@ -251,16 +251,16 @@
         new Forwarder(
             context,
             targets,
-            keeper,
+            configurationHolder,
             ForwardPolicy.STANDARD,
             port,
             new IgnoringObserver(),
             directory,
-            this::borrow,
+            this::requestLoan,
             loads,
             rollouts,
             poison);
-    keeper.update(configuration(1).build(), context.now());
+    configurationHolder.update(configuration(1).build(), context.now());
     list(
         target("e1", ENGINES, "north"),
         target("e2", ENGINES, "south"),
@@ -270,12 +270,12 @@
         target("c3", COUNTERS, "west"));
   }
 
-  private void borrow(
+  private void requestLoan(
       Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
     if (subject instanceof LoanSubject.Requests requests) {
-      tokenQuestions.add(new TokenQuestion(lender, requests, count, answer));
+      tokenRequests.add(new TokenRequest(lender, requests, count, answer));
     } else {
-      borrowing.add(given -> answer.accept(Optional.of(new Loan(given, 0))));
+      retryLoanRequests.add(given -> answer.accept(Optional.of(new Loan(given, 0))));
     }
   }
 
@@ -355,7 +355,7 @@
     targets.see(new HostList(listVersion++, List.of(), List.of(descriptions)));
   }
 
-  Optional<Exchange> ask(String path, Caller caller) {
+  Optional<Exchange> submit(String path, Caller caller) {
     return forwarder.accept(
         new Request(
             "r1",
@@ -366,12 +366,12 @@
             lastEventId,
             8_000,
             promptPart,
-            content),
+            requestContent),
         caller);
   }
 
-  SentCall last() {
-    return sent.get(sent.size() - 1);
+  SentCall lastCall() {
+    return sentCalls.get(sentCalls.size() - 1);
   }
 
   SentProbe lastProbe() {
@@ -379,7 +379,7 @@
   }
 
   /** Lets time pass, step by step, so that timers run in their order. */
-  void pass(long millis) {
+  void advanceTime(long millis) {
     long end = context.now() + millis;
     while (context.now() < end) {
       context.moveTo(context.now() + 1);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingFuzzTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingFuzzTest.java
@@ -15,18 +15,18 @@
  */
 class ForwardingFuzzTest {
   @Provide
-  Arbitrary<List<Tuple.Tuple2<ForwardingScenario.Happening, Integer>>> sequences() {
-    Arbitrary<ForwardingScenario.Happening> happenings =
+  Arbitrary<List<Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer>>> sequences() {
+    Arbitrary<ForwardingScenario.ScenarioStep> happenings =
         Arbitraries.frequency(
-                Tuple.of(6, ForwardingScenario.Happening.ASK),
-                Tuple.of(8, ForwardingScenario.Happening.ACCEPT),
-                Tuple.of(12, ForwardingScenario.Happening.NEXT_EVENT),
-                Tuple.of(5, ForwardingScenario.Happening.END))
+                Tuple.of(6, ForwardingScenario.ScenarioStep.ASK),
+                Tuple.of(8, ForwardingScenario.ScenarioStep.ACCEPT),
+                Tuple.of(12, ForwardingScenario.ScenarioStep.NEXT_EVENT),
+                Tuple.of(5, ForwardingScenario.ScenarioStep.END))
             .flatMap(
                 common ->
                     Arbitraries.frequencyOf(
                         Tuple.of(3, Arbitraries.just(common)),
-                        Tuple.of(2, Arbitraries.of(ForwardingScenario.Happening.class))));
+                        Tuple.of(2, Arbitraries.of(ForwardingScenario.ScenarioStep.class))));
     return happenings
         .flatMap(h -> Arbitraries.integers().between(0, 999).map(n -> Tuple.of(h, n)))
         .list()
@@ -36,10 +36,10 @@
 
   @Property(tries = 1_500, seed = "20261202")
   void keepsItsPromisesWhateverHappens(
-      @ForAll("sequences") List<Tuple.Tuple2<ForwardingScenario.Happening, Integer>> sequence) {
+      @ForAll("sequences") List<Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer>> sequence) {
     ForwardingScenario scenario = new ForwardingScenario();
-    for (Tuple.Tuple2<ForwardingScenario.Happening, Integer> step : sequence) {
-      scenario.happen(step.get1(), step.get2());
+    for (Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer> step : sequence) {
+      scenario.perform(step.get1(), step.get2());
     }
     scenario.finish();
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingMatrixTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingMatrixTest.java
@@ -6,53 +6,53 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import org.gatereel.core.forward.ForwardingScenario.Happening;
+import org.gatereel.core.forward.ForwardingScenario.ScenarioStep;
 import org.junit.jupiter.api.Test;
 
 /** The fault matrix over forwarding: every fault, and every ordered pair, at every step. */
 class ForwardingMatrixTest {
-  private static final Set<Happening> FAULTS =
-      EnumSet.complementOf(EnumSet.of(Happening.ASK, Happening.ACCEPT, Happening.NEXT_EVENT));
+  private static final Set<ScenarioStep> FAULTS =
+      EnumSet.complementOf(EnumSet.of(ScenarioStep.ASK, ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT));
   private static final int BETWEEN_MILLIS = 150;
 
   /** How far a request has come when the first fault strikes. */
   private enum Step {
     ASKED,
-    ACCEPTED(Happening.ACCEPT),
-    FIRST_EVENT(Happening.ACCEPT, Happening.NEXT_EVENT),
-    MIDWAY(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.NEXT_EVENT, Happening.NEXT_EVENT),
-    MOVED_ONCE(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.RESET),
-    ACCEPTED_AGAIN(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.RESET, Happening.ACCEPT),
+    ACCEPTED(ScenarioStep.ACCEPT),
+    FIRST_EVENT(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT),
+    MIDWAY(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT, ScenarioStep.NEXT_EVENT, ScenarioStep.NEXT_EVENT),
+    MOVED_ONCE(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT, ScenarioStep.RESET),
+    ACCEPTED_AGAIN(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT, ScenarioStep.RESET, ScenarioStep.ACCEPT),
     RUNNING_AGAIN(
-        Happening.ACCEPT,
-        Happening.NEXT_EVENT,
-        Happening.RESET,
-        Happening.ACCEPT,
-        Happening.NEXT_EVENT);
+        ScenarioStep.ACCEPT,
+        ScenarioStep.NEXT_EVENT,
+        ScenarioStep.RESET,
+        ScenarioStep.ACCEPT,
+        ScenarioStep.NEXT_EVENT);
 
-    private final List<Happening> before;
+    private final List<ScenarioStep> before;
 
-    Step(Happening... before) {
+    Step(ScenarioStep... before) {
       this.before = List.of(before);
     }
   }
 
-  private static void play(int path, Step step, List<Happening> faults) {
+  private static void play(int path, Step step, List<ScenarioStep> faults) {
     ForwardingScenario scenario = new ForwardingScenario();
-    scenario.happen(Happening.ASK, path);
-    step.before.forEach(happening -> scenario.happen(happening, 0));
-    for (Happening fault : faults) {
-      scenario.happen(fault, 0);
-      scenario.happen(Happening.TIME_PASSES, BETWEEN_MILLIS);
+    scenario.perform(ScenarioStep.ASK, path);
+    step.before.forEach(happening -> scenario.perform(happening, 0));
+    for (ScenarioStep fault : faults) {
+      scenario.perform(fault, 0);
+      scenario.perform(ScenarioStep.TIME_PASSES, BETWEEN_MILLIS);
     }
-    scenario.happen(Happening.END, 0);
+    scenario.perform(ScenarioStep.END, 0);
     scenario.finish();
   }
 
-  private static int playAll(Step step, List<List<Happening>> cases) {
+  private static int playAll(Step step, List<List<ScenarioStep>> cases) {
     List<String> failed = new ArrayList<>();
     for (int path = 0; path < ForwardingScenario.PATHS.length; path++) {
-      for (List<Happening> faults : cases) {
+      for (List<ScenarioStep> faults : cases) {
         try {
           play(path, step, faults);
         } catch (AssertionError e) {
@@ -67,7 +67,7 @@
   @Test
   void everyFaultAtEveryStep() {
     int played = 0;
-    List<List<Happening>> single = FAULTS.stream().map(List::of).toList();
+    List<List<ScenarioStep>> single = FAULTS.stream().map(List::of).toList();
     for (Step step : Step.values()) {
       played += playAll(step, single);
     }
@@ -76,8 +76,8 @@
 
   @Test
   void everyOrderedPairOfFaultsAtEveryStep() {
-    List<List<Happening>> pairs = new ArrayList<>();
-    for (Happening first : FAULTS) {
+    List<List<ScenarioStep>> pairs = new ArrayList<>();
+    for (ScenarioStep first : FAULTS) {
       FAULTS.forEach(second -> pairs.add(List.of(first, second)));
     }
     int played = 0;
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
@@ -29,7 +29,7 @@
 
   private static final Pattern ID = Pattern.compile("(?m)^id: ([0-9]+)$");
   private static final int LAST_EVENT = 12;
-  private static final String WHOLE_BODY = "body";
+  private static final String COMPLETE_BODY = "body";
   private static final String WITHOUT_ID = "data: without id ";
   private static final String COMMENT = ": still here\n\n";
   private static final ForwardWorld.Head ERROR_HEAD =
@@ -40,16 +40,16 @@
       new ForwardWorld.Head(200, false, false, false);
 
   private final ForwardWorld world = new ForwardWorld();
-  private final List<Told> requests = new ArrayList<>();
-  private final Map<ForwardWorld.SentCall, Work> works = new HashMap<>();
-  private final Map<ForwardWorld.SentCall, Told> owners = new HashMap<>();
-  private final Set<TargetId> gone = new HashSet<>();
-  private final Map<ForwardWorld.SentProbe, Boolean> reaching = new IdentityHashMap<>();
-  private int names;
-  private int unnumbered;
+  private final List<TrackedRequest> requests = new ArrayList<>();
+  private final Map<ForwardWorld.SentCall, CallState> callStates = new HashMap<>();
+  private final Map<ForwardWorld.SentCall, TrackedRequest> owners = new HashMap<>();
+  private final Set<TargetId> stoppedTargets = new HashSet<>();
+  private final Map<ForwardWorld.SentProbe, Boolean> targetReachable = new IdentityHashMap<>();
+  private int replacementCount;
+  private int eventsWithoutId;
 
   /** What may happen next. */
-  enum Happening {
+  enum ScenarioStep {
     ASK,
     ACCEPT,
     REFUSE_FULL,
@@ -86,26 +86,26 @@
   }
 
   /** One request with what its targets did. */
-  private static final class Told {
+  private static final class TrackedRequest {
     final String path;
     final ForwardWorld.Caller caller = new ForwardWorld.Caller();
     Optional<Exchange> exchange = Optional.empty();
-    int runs;
-    boolean gone;
+    int executions;
+    boolean callerDisconnected;
 
-    Told(String path) {
+    TrackedRequest(String path) {
       this.path = path;
     }
 
     boolean isOver() {
-      return gone || caller.isOver();
+      return callerDisconnected || caller.isFinal();
     }
   }
 
   /** What a target has done with a call. */
-  private static final class Work {
+  private static final class CallState {
     boolean accepted;
-    boolean over;
+    boolean ended;
 
     /** Where the run stands; it may not have sent any event yet. */
     long lastEvent;
@@ -114,42 +114,42 @@
   }
 
   /** Has something happen, and checks what every caller has seen so far. */
-  void happen(Happening happening, int number) {
+  void perform(ScenarioStep happening, int number) {
     step(happening, number);
     adoptNewCalls();
-    world.probes.forEach(probe -> reaching.putIfAbsent(probe, !isGone(probe.target())));
-    requests.forEach(this::checkSoFar);
+    world.probes.forEach(probe -> targetReachable.putIfAbsent(probe, !isGone(probe.target())));
+    requests.forEach(this::checkInvariants);
   }
 
   /** Lets all time-outs pass; every request must have its answer then, and nothing be left open. */
   void finish() {
-    world.pass(2 * ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(2 * ForwardWorld.TIMEOUT_MILLIS);
     adoptNewCalls();
     while (!world.probes.isEmpty()) {
       answerProbe(true);
     }
     adoptNewCalls();
-    requests.forEach(this::checkSoFar);
-    for (Told told : requests) {
+    requests.forEach(this::checkInvariants);
+    for (TrackedRequest told : requests) {
       assertTrue(told.isOver(), "a request was never answered");
     }
     assertEquals(0, world.forwarder.openExchangeCount());
-    for (ForwardWorld.SentCall call : works.keySet()) {
-      assertTrue(call.cancelled || works.get(call).over, "a connection was left open");
+    for (ForwardWorld.SentCall call : callStates.keySet()) {
+      assertTrue(call.cancelled || callStates.get(call).ended, "a connection was left open");
     }
   }
 
-  private void step(Happening happening, int number) {
+  private void step(ScenarioStep happening, int number) {
     Optional<ForwardWorld.SentCall> call = openCall(number);
     switch (happening) {
-      case ASK -> ask(PATHS[number % PATHS.length]);
+      case ASK -> submit(PATHS[number % PATHS.length]);
       case ACCEPT -> call.ifPresent(this::accept);
-      case REFUSE_FULL -> call.ifPresent(open -> refuse(open, 503));
-      case REFUSE_MISDIRECTED -> call.ifPresent(open -> refuse(open, 421));
+      case REFUSE_FULL -> call.ifPresent(open -> reject(open, 503));
+      case REFUSE_MISDIRECTED -> call.ifPresent(open -> reject(open, 421));
       case NEXT_EVENT -> call.ifPresent(open -> event(open, 1));
       case SKIP_EVENT -> call.ifPresent(open -> event(open, 2));
-      case REPEAT_EVENT -> call.ifPresent(open -> eventAgain(open, works.get(open).lastEvent));
-      case EARLIER_EVENT -> call.ifPresent(open -> eventAgain(open, works.get(open).lastEvent - 1));
+      case REPEAT_EVENT -> call.ifPresent(open -> eventAgain(open, callStates.get(open).lastEvent));
+      case EARLIER_EVENT -> call.ifPresent(open -> eventAgain(open, callStates.get(open).lastEvent - 1));
       case START_ANEW -> call.ifPresent(open -> eventAgain(open, 1));
       case EVENT_WITHOUT_ID -> call.ifPresent(this::eventWithoutId);
       case COMMENT -> call.ifPresent(this::comment);
@@ -159,23 +159,23 @@
           call.ifPresent(open -> halfEvent(open, ResponseEnd.CONNECTION_CLOSED));
       case END -> call.ifPresent(open -> end(open, ResponseEnd.LAST_CHUNK));
       case END_BY_CLOSE -> call.ifPresent(open -> end(open, ResponseEnd.CONNECTION_CLOSED));
-      case DIE_BY_CLOSE -> call.ifPresent(this::dieByClose);
-      case ERROR -> call.ifPresent(open -> answer(open, ERROR_HEAD, ResponseEnd.LAST_CHUNK));
+      case DIE_BY_CLOSE -> call.ifPresent(this::closeAndStop);
+      case ERROR -> call.ifPresent(open -> respond(open, ERROR_HEAD, ResponseEnd.LAST_CHUNK));
       case ERROR_BY_CLOSE ->
-          call.ifPresent(open -> answer(open, ERROR_HEAD, ResponseEnd.CONNECTION_CLOSED));
-      case OTHER_TYPE -> call.ifPresent(open -> answer(open, PLAIN_HEAD, ResponseEnd.LAST_CHUNK));
-      case UNSIGNED -> call.ifPresent(open -> answer(open, UNSIGNED_HEAD, ResponseEnd.LAST_CHUNK));
+          call.ifPresent(open -> respond(open, ERROR_HEAD, ResponseEnd.CONNECTION_CLOSED));
+      case OTHER_TYPE -> call.ifPresent(open -> respond(open, PLAIN_HEAD, ResponseEnd.LAST_CHUNK));
+      case UNSIGNED -> call.ifPresent(open -> respond(open, UNSIGNED_HEAD, ResponseEnd.LAST_CHUNK));
       case LATE_CALLBACKS -> lateCallbacks();
       case RESET -> call.ifPresent(open -> fail(open, TargetFailure.RESET));
       case NOT_CONNECTED -> call.ifPresent(this::notConnected);
-      case CALLER_GOES -> callerGoes(number);
+      case CALLER_GOES -> disconnectCaller(number);
       case PROBE_FAILS -> answerProbe(false);
       case PROBE_ANSWERS -> answerProbe(true);
-      case TIME_PASSES -> world.pass(number);
-      case MUCH_TIME_PASSES -> world.pass(10L * number);
+      case TIME_PASSES -> world.advanceTime(number);
+      case MUCH_TIME_PASSES -> world.advanceTime(10L * number);
       case TARGET_RESTARTS -> restart(number);
       case TARGETS_LEAVE -> world.list(ForwardWorld.target("e1", ForwardWorld.ENGINES, "north"));
-      case STORE_ANSWERS -> world.keeper.confirm(1, world.context.now());
+      case STORE_ANSWERS -> world.configurationHolder.confirm(1, world.context.now());
       case STOP -> {
         if (number < 100) {
           world.forwarder.stopAll();
@@ -184,89 +184,89 @@
     }
   }
 
-  private void ask(String path) {
-    Told told = new Told(path);
+  private void submit(String path) {
+    TrackedRequest told = new TrackedRequest(path);
     requests.add(told);
-    int before = world.sent.size();
-    told.exchange = world.ask(path, told.caller);
-    for (ForwardWorld.SentCall call : world.sent.subList(before, world.sent.size())) {
-      own(call, told);
+    int before = world.sentCalls.size();
+    told.exchange = world.submit(path, told.caller);
+    for (ForwardWorld.SentCall call : world.sentCalls.subList(before, world.sentCalls.size())) {
+      assignCall(call, told);
     }
   }
 
-  private void own(ForwardWorld.SentCall call, Told told) {
+  private void assignCall(ForwardWorld.SentCall call, TrackedRequest told) {
     assertFalse(
         told.caller.body.toString().contains(WITHOUT_ID),
         "a stream went on elsewhere after an event without an id");
-    works.put(call, new Work());
+    callStates.put(call, new CallState());
     owners.put(call, told);
   }
 
   /** A call that appeared belongs to the request whose exchange has it. */
   private void adoptNewCalls() {
-    for (ForwardWorld.SentCall call : world.sent) {
-      if (!works.containsKey(call)) {
-        Told told =
+    for (ForwardWorld.SentCall call : world.sentCalls) {
+      if (!callStates.containsKey(call)) {
+        TrackedRequest told =
             requests.stream()
                 .filter(each -> each.exchange.isPresent() && isCurrent(each, call))
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("a call of no request"));
-        own(call, told);
+        assignCall(call, told);
       }
     }
   }
 
-  private static boolean isCurrent(Told told, ForwardWorld.SentCall call) {
+  private static boolean isCurrent(TrackedRequest told, ForwardWorld.SentCall call) {
     Attempt attempt = told.exchange.orElseThrow().attempt();
     return attempt == call.listener;
   }
 
   private Optional<ForwardWorld.SentCall> openCall(int number) {
     List<ForwardWorld.SentCall> open =
-        works.keySet().stream().filter(call -> !call.cancelled && !works.get(call).over).toList();
-    List<ForwardWorld.SentCall> ordered = world.sent.stream().filter(open::contains).toList();
+        callStates.keySet().stream().filter(call -> !call.cancelled && !callStates.get(call).ended).toList();
+    List<ForwardWorld.SentCall> ordered = world.sentCalls.stream().filter(open::contains).toList();
     return ordered.isEmpty() ? Optional.empty() : Optional.of(ordered.get(number % ordered.size()));
   }
 
   private void accept(ForwardWorld.SentCall call) {
-    if (!works.get(call).accepted) {
-      take(call);
+    if (!callStates.get(call).accepted) {
+      acceptRequest(call);
       if (isStream(call)) {
-        call.head(200, true);
+        call.respondHead(200, true);
       }
     }
   }
 
   /** The target has the request, and has not answered yet. */
-  private void take(ForwardWorld.SentCall call) {
-    Work work = works.get(call);
+  private void acceptRequest(ForwardWorld.SentCall call) {
+    CallState work = callStates.get(call);
     work.accepted = true;
     work.lastEvent = call.dispatch.lastEventId().orElse(0);
-    owners.get(call).runs++;
-    call.accepted();
+    owners.get(call).executions++;
+    call.accept();
   }
 
   private boolean isGone(TargetDescription target) {
-    return gone.contains(target.id());
+    return stoppedTargets.contains(target.id());
   }
 
   private boolean isStream(ForwardWorld.SentCall call) {
     return owners.get(call).path.startsWith("/stream/");
   }
 
-  private void refuse(ForwardWorld.SentCall call, int status) {
-    if (!works.get(call).accepted) {
-      works.get(call).over = true;
-      call.notRun(status);
+  private void reject(ForwardWorld.SentCall call, int status) {
+    if (!callStates.get(call).accepted) {
+      callStates.get(call).ended = true;
+      call.rejectNotExecuted(status);
     }
   }
 
   private boolean isStreaming(ForwardWorld.SentCall call) {
-    return works.get(call).accepted && isStream(call);
+    return callStates.get(call).accepted && isStream(call);
   }
 
   private void event(ForwardWorld.SentCall call, int step) {
-    Work work = works.get(call);
+    CallState work = callStates.get(call);
     // Where the ids of a stream begin is nowhere said, so that no host can miss its first event.
     int taken = work.lastEvent == 0 ? 1 : step;
     if (isStreaming(call) && work.lastEvent + taken <= LAST_EVENT) {
@@ -278,7 +278,7 @@
 
   /** A run may begin with what the caller has, but must never go back. */
   private void eventAgain(ForwardWorld.SentCall call, long id) {
-    Work work = works.get(call);
+    CallState work = callStates.get(call);
     if (!isStreaming(call) || id < 1 || id > work.lastEvent) {
       return;
     }
@@ -297,9 +297,9 @@
     ForwardWorld.Caller caller = owners.get(call).caller;
     long callerStandsAt = lastId(caller.body);
     int before = caller.body.length();
-    call.text(WITHOUT_ID + ++unnumbered + "\n\n");
+    call.text(WITHOUT_ID + ++eventsWithoutId + "\n\n");
     if (caller.body.length() > before) {
-      Work work = works.get(call);
+      CallState work = callStates.get(call);
       assertEquals(callerStandsAt, work.lastEvent, "an event without an id was misplaced");
       assertTrue(work.hasEvents || callerStandsAt == 0, "a run had not shown where it stands");
     }
@@ -314,7 +314,7 @@
 
   private void halfEvent(ForwardWorld.SentCall call, ResponseEnd end) {
     if (isStreaming(call)) {
-      works.get(call).over = true;
+      callStates.get(call).ended = true;
       call.text("id: 9");
       call.listener.onEnd(end);
     }
@@ -329,96 +329,96 @@
 
   private void end(ForwardWorld.SentCall call, ResponseEnd end) {
     if (!isStream(call)) {
-      answer(call, PLAIN_HEAD, end);
+      respond(call, PLAIN_HEAD, end);
       return;
     }
     accept(call);
-    Work work = works.get(call);
+    CallState work = callStates.get(call);
     while (work.lastEvent < LAST_EVENT && !call.cancelled) {
       event(call, 1);
     }
     if (!call.cancelled) {
-      work.over = true;
+      work.ended = true;
       call.listener.onEnd(end);
     }
   }
 
   /** The target's process ends, which closes its connections in order; no probe reaches it then. */
-  private void dieByClose(ForwardWorld.SentCall call) {
+  private void closeAndStop(ForwardWorld.SentCall call) {
     accept(call);
     if (call.cancelled) {
       return;
     }
-    works.get(call).over = true;
-    gone.add(call.dispatch.target().id());
+    callStates.get(call).ended = true;
+    stoppedTargets.add(call.dispatch.target().id());
     if (!isStream(call)) {
       call.listener.onHead(PLAIN_HEAD);
-      call.text(WHOLE_BODY.substring(1));
+      call.text(COMPLETE_BODY.substring(1));
     }
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /** Answers without a stream; a target that has begun one can't any more. */
-  private void answer(ForwardWorld.SentCall call, ForwardWorld.Head head, ResponseEnd end) {
+  private void respond(ForwardWorld.SentCall call, ForwardWorld.Head head, ResponseEnd end) {
     if (isStreaming(call)) {
       return;
     }
-    if (!works.get(call).accepted) {
-      take(call);
+    if (!callStates.get(call).accepted) {
+      acceptRequest(call);
     }
-    works.get(call).over = true;
+    callStates.get(call).ended = true;
     call.listener.onHead(head);
-    call.text(WHOLE_BODY);
+    call.text(COMPLETE_BODY);
     call.listener.onEnd(end);
   }
 
   /** What still comes of attempts that were given up, or have ended, must change nothing. */
   private void lateCallbacks() {
-    String before = seen();
-    for (ForwardWorld.SentCall call : List.copyOf(world.sent)) {
-      if (call.cancelled || works.get(call).over) {
-        call.accepted();
-        call.head(200, true);
-        call.event(works.get(call).lastEvent + 1);
-        call.head(500, false);
-        call.text(WHOLE_BODY);
+    String before = describeObservations();
+    for (ForwardWorld.SentCall call : List.copyOf(world.sentCalls)) {
+      if (call.cancelled || callStates.get(call).ended) {
+        call.accept();
+        call.respondHead(200, true);
+        call.event(callStates.get(call).lastEvent + 1);
+        call.respondHead(500, false);
+        call.text(COMPLETE_BODY);
         call.listener.onEnd(ResponseEnd.LAST_CHUNK);
         call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
         call.listener.onFailure(TargetFailure.RESET);
       }
     }
-    assertEquals(before, seen(), "something late of a given-up attempt was taken in");
+    assertEquals(before, describeObservations(), "something late of a given-up attempt was taken in");
   }
 
   /** What all callers and targets have seen so far. */
-  private String seen() {
+  private String describeObservations() {
     StringBuilder seen = new StringBuilder();
-    for (Told told : requests) {
+    for (TrackedRequest told : requests) {
       ForwardWorld.Caller caller = told.caller;
-      seen.append(caller.status).append(caller.isOver()).append(caller.body).append('|');
+      seen.append(caller.status).append(caller.isFinal()).append(caller.body).append('|');
     }
-    world.sent.forEach(call -> seen.append(call.target()).append(call.cancelled));
+    world.sentCalls.forEach(call -> seen.append(call.target()).append(call.cancelled));
     return seen.append(world.probes.size()).toString();
   }
 
   private void fail(ForwardWorld.SentCall call, TargetFailure failure) {
-    works.get(call).over = true;
+    callStates.get(call).ended = true;
     world.fail(call, failure);
   }
 
   private void notConnected(ForwardWorld.SentCall call) {
-    if (!works.get(call).accepted) {
+    if (!callStates.get(call).accepted) {
       fail(call, TargetFailure.NOT_CONNECTED);
     }
   }
 
-  private void callerGoes(int number) {
+  private void disconnectCaller(int number) {
     if (requests.isEmpty()) {
       return;
     }
-    Told told = requests.get(number % requests.size());
+    TrackedRequest told = requests.get(number % requests.size());
     if (!told.isOver() && told.exchange.isPresent()) {
-      told.gone = true;
+      told.callerDisconnected = true;
       told.exchange.get().onCallerDisconnected();
     }
   }
@@ -427,7 +427,7 @@
   private void answerProbe(boolean alive) {
     if (!world.probes.isEmpty()) {
       ForwardWorld.SentProbe probe = world.probes.remove(0);
-      boolean reached = reaching.getOrDefault(probe, !isGone(probe.target()));
+      boolean reached = targetReachable.getOrDefault(probe, !isGone(probe.target()));
       ProbeResult ofTheLiving = alive ? ProbeResult.ALIVE : ProbeResult.UNKNOWN;
       probe.listener().onResult(reached ? ofTheLiving : ProbeResult.GONE);
     }
@@ -437,18 +437,18 @@
     List<String> ids =
         world.targets.all().stream().map(state -> state.description().id().value()).toList();
     if (!ids.isEmpty()) {
-      world.restart(ids.get(number % ids.size()), "n" + ++names);
+      world.restart(ids.get(number % ids.size()), "n" + ++replacementCount);
     }
   }
 
-  private void checkSoFar(Told told) {
+  private void checkInvariants(TrackedRequest told) {
     ForwardWorld.Caller caller = told.caller;
     if (told.path.startsWith("/once/")) {
-      assertTrue(told.runs <= 1, "a request that may run once ran " + told.runs + " times");
+      assertTrue(told.executions <= 1, "a request that may run once ran " + told.executions + " times");
     }
-    if (caller.refusal != null && caller.refusal.status() == 503) {
+    if (caller.rejection != null && caller.rejection.status() == 503) {
       boolean mayRunTwice = !told.path.startsWith("/once/");
-      assertTrue(mayRunTwice || told.runs == 0, "not run was said of a request that ran");
+      assertTrue(mayRunTwice || told.executions == 0, "not run was said of a request that ran");
     }
     if (caller.hasStream) {
       checkStream(caller);
@@ -459,7 +459,7 @@
 
   private static void checkPlain(ForwardWorld.Caller caller) {
     if (caller.finished) {
-      assertEquals(WHOLE_BODY, caller.body.toString(), "an answer ended as complete and is not");
+      assertEquals(COMPLETE_BODY, caller.body.toString(), "an answer ended as complete and is not");
     } else {
       assertEquals("", caller.body.toString());
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
@@ -30,10 +30,10 @@
   /** All that may still come of a call that was given up, alone and in this order. */
   private static final List<Consumer<SentCall>> LATE =
       List.of(
-          SentCall::accepted,
-          call -> call.head(200, true),
-          call -> call.head(500, false),
-          call -> call.notRun(421),
+          SentCall::accept,
+          call -> call.respondHead(200, true),
+          call -> call.respondHead(500, false),
+          call -> call.rejectNotExecuted(421),
           call -> call.event(2),
           call -> call.text("data: without id\n\n"),
           call -> call.text("id: 2\ndata: half"),
@@ -56,9 +56,9 @@
   private static final List<Consumer<SentCall>> NEXT =
       List.of(
           next -> {},
-          SentCall::accepted,
-          next -> next.accepted().head(200, true),
-          next -> next.accepted().head(200, true).event(1));
+          SentCall::accept,
+          next -> next.accept().respondHead(200, true),
+          next -> next.accept().respondHead(200, true).event(1));
 
   @Test
   void nothingOfAnAttemptThatWasGivenUpReachesTheCaller() {
@@ -66,22 +66,22 @@
       for (Consumer<SentCall> next : NEXT) {
         ForwardWorld fresh = new ForwardWorld();
         Caller asking = new Caller();
-        Exchange exchange = fresh.ask("/stream/x", asking).orElseThrow();
-        SentCall first = fresh.last().accepted().head(200, true).event(1);
+        Exchange exchange = fresh.submit("/stream/x", asking).orElseThrow();
+        SentCall first = fresh.lastCall().accept().respondHead(200, true).event(1);
         giveUp.accept(exchange, first);
-        SentCall second = fresh.last();
+        SentCall second = fresh.lastCall();
         next.accept(second);
 
         LATE.forEach(late -> late.accept(first));
 
         assertTrue(first.cancelled);
         assertFalse(second.cancelled);
-        assertEquals(2, fresh.sent.size());
-        assertFalse(asking.isOver());
+        assertEquals(2, fresh.sentCalls.size());
+        assertFalse(asking.isFinal());
         assertEquals(ForwardWorld.eventText(1), asking.body.toString());
         assertEquals(second.target(), targetOf(exchange));
         if (next == NEXT.get(0) || next == NEXT.get(1)) {
-          second.accepted().head(200, true);
+          second.accept().respondHead(200, true);
         }
         second.event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
         assertTrue(asking.finished);
@@ -97,7 +97,7 @@
   /** How a request may be over while an attempt is open. */
   private static final List<BiConsumer<ForwardWorld, Exchange>> OVER =
       List.of(
-          (fresh, exchange) -> fresh.pass(ForwardWorld.TIMEOUT_MILLIS),
+          (fresh, exchange) -> fresh.advanceTime(ForwardWorld.TIMEOUT_MILLIS),
           (fresh, exchange) -> exchange.onCallerDisconnected(),
           (fresh, exchange) -> fresh.forwarder.stopAll());
 
@@ -107,15 +107,15 @@
       for (String path : ForwardingScenario.PATHS) {
         ForwardWorld fresh = new ForwardWorld();
         Caller asking = new Caller();
-        Exchange exchange = fresh.ask(path, asking).orElseThrow();
-        SentCall first = fresh.last().accepted();
+        Exchange exchange = fresh.submit(path, asking).orElseThrow();
+        SentCall first = fresh.lastCall().accept();
         over.accept(fresh, exchange);
-        int sent = fresh.sent.size();
+        int sent = fresh.sentCalls.size();
         String body = asking.body.toString();
 
         LATE.forEach(late -> late.accept(first));
 
-        assertEquals(sent, fresh.sent.size());
+        assertEquals(sent, fresh.sentCalls.size());
         assertEquals(body, asking.body.toString());
         assertFalse(asking.finished);
         assertEquals(0, fresh.forwarder.openExchangeCount());
@@ -126,14 +126,14 @@
   /** An end is the last word of an attempt, also while it is not known what it is worth. */
   @Test
   void nothingIsHeardOfAnAttemptWhoseEndIsInDoubt() {
-    world.ask("/stream/x", caller);
-    SentCall call = world.last().accepted().head(200, true).event(1);
+    world.submit("/stream/x", caller);
+    SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
 
     LATE.forEach(late -> late.accept(call));
 
-    assertFalse(caller.isOver());
-    assertEquals(1, world.sent.size());
+    assertFalse(caller.isFinal());
+    assertEquals(1, world.sentCalls.size());
     assertEquals(1, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     assertTrue(caller.finished);
@@ -143,8 +143,8 @@
   /** A probe is answered once; a second answer would end an answer that has its end. */
   @Test
   void aSecondAnswerOfAProbeChangesNothing() {
-    world.ask("/stream/x", caller);
-    SentCall first = world.last().accepted().head(200, true).event(1);
+    world.submit("/stream/x", caller);
+    SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
     first.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     ForwardWorld.SentProbe probe = world.lastProbe();
 
@@ -152,9 +152,9 @@
     probe.listener().onResult(ProbeResult.ALIVE);
     probe.listener().onResult(ProbeResult.GONE);
 
-    assertEquals(2, world.sent.size());
-    assertFalse(caller.isOver());
-    assertFalse(world.last().cancelled);
+    assertEquals(2, world.sentCalls.size());
+    assertFalse(caller.isFinal());
+    assertFalse(world.lastCall().cancelled);
   }
 
   private Exchange waitingForRepeat() {
@@ -169,33 +169,33 @@
     }
     while (true) {
       Caller asking = new Caller();
-      Exchange exchange = world.ask("/stream/x", asking).orElseThrow();
-      SentCall first = world.last().accepted().head(200, true).event(1);
+      Exchange exchange = world.submit("/stream/x", asking).orElseThrow();
+      SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
       world.fail(first, TargetFailure.RESET);
-      if (!world.borrowing.isEmpty()) {
+      if (!world.retryLoanRequests.isEmpty()) {
         waiting = asking;
         return exchange;
       }
-      world.last().accepted().head(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
-      assertTrue(world.sent.size() < 100, "the own part never ends");
+      world.lastCall().accept().respondHead(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
+      assertTrue(world.sentCalls.size() < 100, "the own part never ends");
     }
   }
 
   @Test
   void aRepeatThatIsWaitedForIsSentOnceWhateverIsHeardMeanwhile() {
     waitingForRepeat();
-    SentCall first = world.last();
-    int before = world.sent.size();
+    SentCall first = world.lastCall();
+    int before = world.sentCalls.size();
 
     LATE.forEach(late -> late.accept(first));
-    assertEquals(before, world.sent.size());
-    world.borrowing.get(0).accept(1);
+    assertEquals(before, world.sentCalls.size());
+    world.retryLoanRequests.get(0).accept(1);
     LATE.forEach(late -> late.accept(first));
 
-    assertEquals(before + 1, world.sent.size());
-    assertEquals(OptionalLong.of(1), world.last().dispatch.lastEventId());
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals(OptionalLong.of(1), world.lastCall().dispatch.lastEventId());
     assertEquals(ForwardWorld.eventText(1), waiting.body.toString());
-    assertFalse(waiting.isOver());
+    assertFalse(waiting.isFinal());
   }
 
   @Test
@@ -204,11 +204,11 @@
       LateCallbackTest fresh = new LateCallbackTest();
       Exchange exchange = fresh.waitingForRepeat();
       over.accept(fresh.world, exchange);
-      int sent = fresh.world.sent.size();
+      int sent = fresh.world.sentCalls.size();
 
-      fresh.world.borrowing.get(0).accept(1);
+      fresh.world.retryLoanRequests.get(0).accept(1);
 
-      assertEquals(sent, fresh.world.sent.size());
+      assertEquals(sent, fresh.world.sentCalls.size());
       assertFalse(fresh.waiting.finished);
       assertEquals(0, fresh.world.forwarder.openExchangeCount());
     }
@@ -220,13 +220,13 @@
       ForwardWorld fresh = new ForwardWorld();
       fresh.promptPart = Optional.of("part");
       fresh.lastEventId = OptionalLong.of(3);
-      Exchange exchange = fresh.ask("/stream/x", new Caller()).orElseThrow();
-      assertFalse(fresh.promptQuestions.isEmpty());
+      Exchange exchange = fresh.submit("/stream/x", new Caller()).orElseThrow();
+      assertFalse(fresh.promptQueries.isEmpty());
       over.accept(fresh, exchange);
 
-      fresh.promptQuestions.forEach(question -> question.answer().accept(Optional.of(Set.of())));
+      fresh.promptQueries.forEach(question -> question.response().accept(Optional.of(Set.of())));
 
-      assertTrue(fresh.sent.isEmpty());
+      assertTrue(fresh.sentCalls.isEmpty());
       assertEquals(0, fresh.forwarder.openExchangeCount());
     }
   }
@@ -242,8 +242,8 @@
             latest.onCallerDisconnected();
           }
         };
-    latest = world.ask("/stream/x", leaving).orElseThrow();
-    SentCall call = world.last().accepted().head(200, true);
+    latest = world.submit("/stream/x", leaving).orElseThrow();
+    SentCall call = world.lastCall().accept().respondHead(200, true);
 
     call.text(ForwardWorld.eventText(1) + ForwardWorld.eventText(2));
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.gatereel.core.forward.ForwardWorld.SentCall;
-import org.gatereel.core.forward.ForwardWorld.TokenQuestion;
+import org.gatereel.core.forward.ForwardWorld.TokenRequest;
 import org.gatereel.core.limit.Loan;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -53,48 +53,48 @@
   }
 
   private void ask(String path) {
-    exchange = world.ask(path, caller).orElseThrow();
+    exchange = world.submit(path, caller).orElseThrow();
   }
 
-  private TokenQuestion question() {
-    return world.tokenQuestions.get(world.tokenQuestions.size() - 1);
+  private TokenRequest question() {
+    return world.tokenRequests.get(world.tokenRequests.size() - 1);
   }
 
   private String questioned() {
-    return question().asked().limit().target().value();
+    return question().requested().limit().target().value();
   }
 
   private void answer(Loan loan) {
-    question().answer().accept(Optional.of(loan));
+    question().response().accept(Optional.of(loan));
   }
 
   @Test
   void aTargetWithoutALimitIsSentRequestsWithoutAQuestion() {
     ask("/safe/x");
 
-    assertEquals(1, world.sent.size());
-    assertTrue(world.tokenQuestions.isEmpty());
+    assertEquals(1, world.sentCalls.size());
+    assertTrue(world.tokenRequests.isEmpty());
   }
 
   @Test
   void aLimitedTargetIsSentNothingBeforeThereIsAToken() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     String asked = questioned();
 
     answer(ONE);
 
-    assertEquals(asked, world.last().target());
-    world.last().answer(200, "whole");
+    assertEquals(asked, world.lastCall().target());
+    world.lastCall().respond(200, "whole");
     assertEquals("whole", caller.body.toString());
   }
 
   @Test
   void whatAnAnswerSaysHoldsFromTheNextRequestOn() {
     ask("/safe/x");
-    String target = world.last().target();
-    SentCall call = world.last().accepted();
+    String target = world.lastCall().target();
+    SentCall call = world.lastCall().accept();
     call.listener.onHead(
         new ForwardWorld.Head(
             200, false, true, false, Statements.NONE.withLimit(Statement.number(0.5))));
@@ -104,13 +104,13 @@
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
     ask("/safe/x");
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void aRefusalOfTheTargetsOwnNamesItsLimitToo() {
     ask("/safe/x");
-    SentCall call = world.last().accepted();
+    SentCall call = world.lastCall().accept();
 
     call.listener.onHead(
         new ForwardWorld.Head(
@@ -123,14 +123,14 @@
   @Test
   void anAnswerThatIsNotTheTargetsOwnLiftsNoLimit() {
     limit(5, COUNTERS);
-    world.pass(10);
+    world.advanceTime(10);
     ask("/safe/x");
     String target = questioned();
     answer(ONE);
 
     world
-        .last()
-        .accepted()
+        .lastCall()
+        .accept()
         .listener
         .onHead(new ForwardWorld.Head(500, false, false, false, Statements.NONE));
 
@@ -142,48 +142,48 @@
     limit(5, "c1");
     List<String> targets = new ArrayList<>();
     for (int request = 0; request < 20; request++) {
-      int asked = world.tokenQuestions.size();
-      world.ask("/safe/x", new Caller());
-      if (world.tokenQuestions.size() > asked) {
+      int asked = world.tokenRequests.size();
+      world.submit("/safe/x", new Caller());
+      if (world.tokenRequests.size() > asked) {
         answer(LATER);
       }
-      targets.add(world.last().target());
+      targets.add(world.lastCall().target());
     }
 
-    assertEquals(20, world.sent.size());
+    assertEquals(20, world.sentCalls.size());
     assertFalse(targets.contains("c1"));
-    assertEquals(1, world.tokenQuestions.size(), "it is not asked for again until then");
+    assertEquals(1, world.tokenRequests.size(), "it is not asked for again until then");
   }
 
   @Test
   void whereNoTargetHasATokenTheRequestIsRefusedLongBeforeItsDeadline() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    while (world.tokenQuestions.size() < COUNTERS.length) {
+    while (world.tokenRequests.size() < COUNTERS.length) {
       answer(LATER);
     }
     answer(LATER);
-    assertNull(caller.refusal, "a token may come in a moment");
+    assertNull(caller.rejection, "a token may come in a moment");
 
-    world.pass(101);
+    world.advanceTime(101);
 
-    assertEquals(Rejection.OVERLOADED, caller.refusal);
-    assertTrue(world.sent.isEmpty());
+    assertEquals(Rejection.OVERLOADED, caller.rejection);
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
   void aTokenThatComesWhileTheRequestWaitsServesIt() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    while (world.tokenQuestions.size() < COUNTERS.length) {
+    while (world.tokenRequests.size() < COUNTERS.length) {
       answer(new Loan(0, 20));
     }
     answer(new Loan(0, 20));
 
-    world.pass(70);
+    world.advanceTime(70);
     answer(ONE);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
@@ -195,12 +195,12 @@
 
     answer(ONE);
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    int asked = world.tokenQuestions.size();
+    int asked = world.tokenRequests.size();
     ask("/safe/x");
-    assertEquals(asked, world.tokenQuestions.size());
-    assertEquals(target, world.last().target());
+    assertEquals(asked, world.tokenRequests.size());
+    assertEquals(target, world.lastCall().target());
   }
 
   @Test
@@ -211,11 +211,11 @@
     exchange.onCallerDisconnected();
     answer(ONE);
 
-    world.pass(501);
+    world.advanceTime(501);
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
     ask("/safe/x");
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
@@ -223,11 +223,11 @@
     limit(5, COUNTERS);
     ask("/safe/x");
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.rejection);
     answer(ONE);
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
@@ -237,9 +237,9 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Rejection.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.rejection);
     answer(ONE);
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
@@ -248,39 +248,39 @@
     world.list(
         ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"),
         ForwardWorld.target("c2", ForwardWorld.COUNTERS, "south"));
-    while (world.tokenQuestions.isEmpty()) {
+    while (world.tokenRequests.isEmpty()) {
       ask("/safe/x");
     }
-    int before = world.sent.size();
-    world.pass(5);
+    int before = world.sentCalls.size();
+    world.advanceTime(5);
     world.targets.leaving(new TargetId("c1"));
 
     answer(ONE);
 
-    assertEquals(before + 1, world.sent.size());
-    assertEquals("c2", world.last().target());
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals("c2", world.lastCall().target());
   }
 
   @Test
   void aLenderThatDoesNotAnswerIsFollowedByTheNextAndThenTheTargetIsPassedOver() {
     limit(5, "c1");
-    while (world.tokenQuestions.isEmpty()) {
-      world.ask("/safe/x", new Caller());
+    while (world.tokenRequests.isEmpty()) {
+      world.submit("/safe/x", new Caller());
     }
-    int before = world.sent.size();
-    Address first = question().lender();
+    int before = world.sentCalls.size();
+    Address first = question().issuer();
 
-    question().answer().accept(Optional.empty());
-    Address second = question().lender();
+    question().response().accept(Optional.empty());
+    Address second = question().issuer();
     assertFalse(first.equals(second));
-    assertEquals(before, world.sent.size());
-    question().answer().accept(Optional.empty());
-    Address elsewhere = question().lender();
+    assertEquals(before, world.sentCalls.size());
+    question().response().accept(Optional.empty());
+    Address elsewhere = question().issuer();
     assertFalse(second.equals(elsewhere));
-    question().answer().accept(Optional.empty());
+    question().response().accept(Optional.empty());
 
-    assertEquals(before + 1, world.sent.size());
-    assertFalse(world.last().target().equals("c1"));
+    assertEquals(before + 1, world.sentCalls.size());
+    assertFalse(world.lastCall().target().equals("c1"));
   }
 
   @Test
@@ -288,45 +288,45 @@
     limit(5, COUNTERS);
     ask("/safe/x");
     answer(ONE);
-    int asked = world.tokenQuestions.size();
+    int asked = world.tokenRequests.size();
 
-    world.fail(world.last().accepted(), TargetFailure.RESET);
+    world.fail(world.lastCall().accept(), TargetFailure.RESET);
 
-    assertEquals(asked + 1, world.tokenQuestions.size());
-    assertEquals(1, world.sent.size());
+    assertEquals(asked + 1, world.tokenRequests.size());
+    assertEquals(1, world.sentCalls.size());
     answer(ONE);
-    assertEquals(2, world.sent.size());
+    assertEquals(2, world.sentCalls.size());
   }
 
   /** The holder of a copy may be limited as well; the caller cannot wait, so it goes first. */
   @Test
   void aRunFromACopyTakesATokenAndIsUrgent() {
     ask("/stream/x");
-    SentCall run = world.last().accepted().head(200, true).event(1);
+    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
 
     world.fail(run, TargetFailure.RESET);
 
-    assertTrue(question().asked().urgent());
-    assertEquals(1, world.sent.size());
+    assertTrue(question().requested().urgent());
+    assertEquals(1, world.sentCalls.size());
     answer(ONE);
-    assertEquals(2, world.sent.size());
-    assertTrue(world.last().dispatch.continueFrom().isPresent());
+    assertEquals(2, world.sentCalls.size());
+    assertTrue(world.lastCall().dispatch.continueFrom().isPresent());
   }
 
   @Test
   void aStreamThatHasBegunWaitsLongerForATokenThanOneThatHasNot() {
     ask("/stream/x");
-    SentCall run = world.last().accepted().head(200, true).event(1);
+    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
     world.fail(run, TargetFailure.RESET);
     for (int denied = 0; denied < ENGINES.length; denied++) {
       answer(LATER);
     }
 
-    world.pass(1_500);
+    world.advanceTime(1_500);
     assertFalse(caller.aborted);
-    world.pass(600);
+    world.advanceTime(600);
 
     assertTrue(caller.aborted);
   }
@@ -338,7 +338,7 @@
 
     ask("/stream/x");
 
-    assertTrue(question().asked().urgent());
+    assertTrue(question().requested().urgent());
   }
 
   @Test
@@ -348,17 +348,17 @@
     List<Caller> callers = new ArrayList<>();
     for (int number = 0; number < 4; number++) {
       callers.add(new Caller());
-      world.ask("/safe/x", callers.get(number));
+      world.submit("/safe/x", callers.get(number));
     }
-    assertEquals(1, world.tokenQuestions.size());
+    assertEquals(1, world.tokenRequests.size());
     answer(ONE);
-    assertEquals(2, world.tokenQuestions.size());
+    assertEquals(2, world.tokenRequests.size());
     assertEquals(3, question().count());
 
     answer(new Loan(2, 5_000));
 
-    assertEquals(3, world.sent.size());
-    world.pass(101);
-    assertEquals(Rejection.OVERLOADED, callers.get(3).refusal);
+    assertEquals(3, world.sentCalls.size());
+    world.advanceTime(101);
+    assertEquals(Rejection.OVERLOADED, callers.get(3).rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
@@ -16,9 +16,9 @@
 
   @Test
   void passesAWholeAnswerOn() {
-    world.ask("/once/x", caller);
+    world.submit("/once/x", caller);
 
-    world.last().answer(200, "body");
+    world.lastCall().respond(200, "body");
 
     assertEquals(200, caller.status);
     assertEquals("body", caller.body.toString());
@@ -27,81 +27,81 @@
 
   @Test
   void saysOfARunningRequestThatItMayHaveRunWhenTheHostStops() {
-    world.ask("/once/x", caller);
-    world.last().accepted();
+    world.submit("/once/x", caller);
+    world.lastCall().accept();
 
     world.forwarder.stopAll();
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void saysOfARequestThatIsNotSentThatItDidNotRunWhenTheHostStops() {
-    world.ask("/once/x", caller);
+    world.submit("/once/x", caller);
 
     world.forwarder.stopAll();
 
-    assertEquals(Rejection.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.rejection);
   }
 
   @Test
   void refusesNewRequestsOnceTheBalancerHasHadTimeToTurnAway() {
     world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_500);
-    assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
+    assertTrue(world.submit("/safe/x", new ForwardWorld.Caller()).isPresent());
 
-    world.pass(2_600);
+    world.advanceTime(2_600);
 
-    assertEquals(Optional.empty(), world.ask("/safe/x", caller));
-    assertEquals(Rejection.STOPPING, caller.refusal);
+    assertEquals(Optional.empty(), world.submit("/safe/x", caller));
+    assertEquals(Rejection.STOPPING, caller.rejection);
   }
 
   @Test
   void takesNoStreamWhileStoppingIfItIsNotKnownHowLongStreamsLast() {
     world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_100);
 
-    world.ask("/stream/x", caller);
-    assertEquals(Rejection.STOPPING, caller.refusal);
-    assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
+    world.submit("/stream/x", caller);
+    assertEquals(Rejection.STOPPING, caller.rejection);
+    assertTrue(world.submit("/safe/x", new ForwardWorld.Caller()).isPresent());
   }
 
   @Test
   void takesNoStreamWhileStoppingThatWouldBeCutOff() {
-    world.ask("/stream/x", new ForwardWorld.Caller());
-    ForwardWorld.SentCall stream = world.last().accepted().head(200, true);
+    world.submit("/stream/x", new ForwardWorld.Caller());
+    ForwardWorld.SentCall stream = world.lastCall().accept().respondHead(200, true);
     for (int id = 1; id <= 50; id++) {
       stream.event(id);
-      world.pass(100);
+      world.advanceTime(100);
     }
     stream.listener.onEnd(ResponseEnd.LAST_CHUNK);
-    world.keeper.confirm(1, world.context.now());
+    world.configurationHolder.confirm(1, world.context.now());
 
     world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_499);
 
-    world.ask("/stream/x", caller);
-    assertEquals(Rejection.STOPPING, caller.refusal);
-    assertTrue(world.ask("/safe/x", new ForwardWorld.Caller()).isPresent());
+    world.submit("/stream/x", caller);
+    assertEquals(Rejection.STOPPING, caller.rejection);
+    assertTrue(world.submit("/safe/x", new ForwardWorld.Caller()).isPresent());
   }
 
   @Test
   void sendsAnUnsafeRequestElsewhereOnlyIfItCertainlyDidNotRun() {
-    world.ask("/once/x", caller);
+    world.submit("/once/x", caller);
 
-    world.fail(world.last(), TargetFailure.NOT_CONNECTED);
-    world.last().notRun(503);
-    world.last().accepted();
-    world.fail(world.last(), TargetFailure.RESET);
+    world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
+    world.lastCall().rejectNotExecuted(503);
+    world.lastCall().accept();
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
-    assertEquals(3, world.sent.size());
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(3, world.sentCalls.size());
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void triesASafeRequestAgainAtAnotherTargetAfterAnError() {
-    world.ask("/safe/x", caller);
-    ForwardWorld.SentCall first = world.last().answer(500, "no");
+    world.submit("/safe/x", caller);
+    ForwardWorld.SentCall first = world.lastCall().respond(500, "no");
 
-    assertNotEquals(first.target(), world.last().target());
-    world.last().answer(200, "yes");
+    assertNotEquals(first.target(), world.lastCall().target());
+    world.lastCall().respond(200, "yes");
 
     assertEquals(200, caller.status);
     assertEquals("yes", caller.body.toString());
@@ -109,11 +109,11 @@
 
   @Test
   void passesTheFirstErrorOnUnchangedWhenTheSecondTargetBreaks() {
-    world.ask("/safe/x", caller);
-    world.last().answer(500, "no");
-    world.last().accepted();
+    world.submit("/safe/x", caller);
+    world.lastCall().respond(500, "no");
+    world.lastCall().accept();
 
-    world.fail(world.last(), TargetFailure.RESET);
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
     assertEquals(500, caller.status);
     assertEquals("no", caller.body.toString());
@@ -121,38 +121,38 @@
 
   @Test
   void takesNoPromiseFromATargetThatMadeNone() {
-    world.ask("/once/x", caller);
+    world.submit("/once/x", caller);
 
-    world.last().answer(503, "full");
+    world.lastCall().respond(503, "full");
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void refusesAtTheDeadlineByWhatMayHaveRun() {
-    world.ask("/once/x", caller);
-    world.last().accepted();
+    world.submit("/once/x", caller);
+    world.lastCall().accept();
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.rejection);
   }
 
   @Test
   void promisesNotRunAtTheDeadlineOfARequestThatNeverLeft() {
-    world.ask("/once/x", caller);
+    world.submit("/once/x", caller);
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.rejection);
   }
 
   @Test
   void passesAnErrorOnWhenNoOtherTargetIsLeft() {
     world.list(ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"));
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    world.last().answer(500, "no");
+    world.lastCall().respond(500, "no");
 
     assertEquals(500, caller.status);
     assertEquals("no", caller.body.toString());
@@ -164,12 +164,12 @@
     int repeats = 0;
     for (int i = 0; i < 100; i++) {
       latest = new ForwardWorld.Caller();
-      world.ask("/safe/x", latest);
-      int before = world.sent.size();
-      world.last().answer(500, "no");
-      if (world.sent.size() > before) {
+      world.submit("/safe/x", latest);
+      int before = world.sentCalls.size();
+      world.lastCall().respond(500, "no");
+      if (world.sentCalls.size() > before) {
         repeats++;
-        world.last().answer(200, "yes");
+        world.lastCall().respond(200, "yes");
       }
     }
 
@@ -180,22 +180,22 @@
 
   @Test
   void passesALongAnswerOnBeforeItIsWholeAndThenNeverStartsAnother() {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, false);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, false);
     call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     world.fail(call, TargetFailure.RESET);
 
     assertTrue(caller.aborted);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   private ForwardWorld.SentCall closedAfter(String path, int status) {
-    world.ask(path, caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(status, false);
+    world.submit(path, caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(status, false);
     call.listener.onBody("part".getBytes(StandardCharsets.UTF_8));
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     return call;
   }
 
@@ -209,8 +209,8 @@
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    assertNotEquals(first.target(), world.last().target());
-    world.last().answer(200, "whole");
+    assertNotEquals(first.target(), world.lastCall().target());
+    world.lastCall().respond(200, "whole");
     assertEquals("whole", caller.body.toString());
   }
 
@@ -220,8 +220,8 @@
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
-    assertEquals(1, world.sent.size());
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
@@ -241,7 +241,7 @@
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
@@ -249,19 +249,19 @@
     closedAfter("/safe/x", 500);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    world.last().accepted();
-    world.fail(world.last(), TargetFailure.RESET);
+    world.lastCall().accept();
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void saysAtTheDeadlineThatARequestRanWhoseEndIsInDoubt() {
     closedAfter("/once/x", 200);
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.TIMED_OUT, caller.refusal);
+    assertEquals(Rejection.TIMED_OUT, caller.rejection);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     assertFalse(caller.finished);
   }
@@ -274,11 +274,11 @@
   void asksABusyTargetUntilItAnswers() {
     closedAfter("/once/x", 200);
     for (int unanswered = 0; unanswered < 4; unanswered++) {
-      world.pass(ForwardPolicy.STANDARD.probeTimeoutMillis() << unanswered);
+      world.advanceTime(ForwardPolicy.STANDARD.probeTimeoutMillis() << unanswered);
       world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
-      assertFalse(caller.isOver());
+      assertFalse(caller.isFinal());
     }
-    world.pass(1);
+    world.advanceTime(1);
 
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
@@ -299,7 +299,7 @@
       world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
       assertEquals(before, world.probes.size());
       while (world.probes.size() == before) {
-        world.pass(1);
+        world.advanceTime(1);
       }
     }
 
@@ -310,12 +310,12 @@
   void repeatsASafeRequestWhoseTargetLeavesTwoProbesUnanswered() {
     closedAfter("/safe/x", 200);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
-    assertEquals(1, world.sent.size());
-    world.pass(ForwardPolicy.STANDARD.probeTimeoutMillis());
+    assertEquals(1, world.sentCalls.size());
+    world.advanceTime(ForwardPolicy.STANDARD.probeTimeoutMillis());
 
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
 
-    assertEquals(2, world.sent.size());
+    assertEquals(2, world.sentCalls.size());
     assertEquals(2, world.probes.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -48,9 +48,9 @@
 
   private SentCall ask(String path, String content) {
     caller = new Caller();
-    world.content = content;
-    world.ask(path, caller);
-    return world.sent.isEmpty() ? null : world.last();
+    world.requestContent = content;
+    world.submit(path, caller);
+    return world.sentCalls.isEmpty() ? null : world.lastCall();
   }
 
   /** The connection to a target breaks, and what a probe then shows is this. */
@@ -63,28 +63,28 @@
   }
 
   private void endsTarget(SentCall call) {
-    breaks(call.accepted().head(200, true), ProbeResult.GONE);
+    breaks(call.accept().respondHead(200, true), ProbeResult.GONE);
   }
 
   /** Has a stream end as many targets as its caller needs for the verdict. */
   private void convict(String content) {
     endsTarget(ask("/stream/x", content));
-    endsTarget(world.last());
-    endsTarget(world.last());
+    endsTarget(world.lastCall());
+    endsTarget(world.lastCall());
   }
 
   private int sentFor(String path, String content) {
-    int before = world.sent.size();
+    int before = world.sentCalls.size();
     ask(path, content);
-    return world.sent.size() - before;
+    return world.sentCalls.size() - before;
   }
 
   @Test
   void afterTheThirdEndTheRequestIsTriedNoMore() {
     convict("fatal");
 
-    assertEquals(3, world.sent.size());
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(3, world.sentCalls.size());
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
@@ -92,7 +92,7 @@
     convict("fatal");
 
     assertEquals(0, sentFor("/stream/x", "fatal"));
-    assertEquals(Rejection.HELD_BACK, caller.refusal);
+    assertEquals(Rejection.HELD_BACK, caller.rejection);
     assertTrue(Rejection.HELD_BACK.allowsRetry());
     assertEquals(60_000, Rejection.HELD_BACK.retryAfterMillis(700));
   }
@@ -108,43 +108,43 @@
   @Test
   void endsOfSeveralTriesOfItsCallerAddUp() {
     for (int again = 0; again < 3; again++) {
-      SentCall call = ask("/once/x", "fatal").accepted();
+      SentCall call = ask("/once/x", "fatal").accept();
       breaks(call, ProbeResult.GONE);
-      assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+      assertEquals(Rejection.TARGET_FAILED, caller.rejection);
     }
 
     assertEquals(0, sentFor("/once/x", "fatal"));
-    assertEquals(Rejection.HELD_BACK, caller.refusal);
+    assertEquals(Rejection.HELD_BACK, caller.rejection);
   }
 
   @Test
   void aRepeatablePlainCallIsHeldBackAsWell() {
     endsPlain(ask("/safe/x", "fatal"));
-    endsPlain(world.last());
+    endsPlain(world.lastCall());
     endsPlain(ask("/safe/x", "fatal"));
 
-    assertEquals(3, world.sent.size());
+    assertEquals(3, world.sentCalls.size());
     assertEquals(0, sentFor("/safe/x", "fatal"));
   }
 
   private void endsPlain(SentCall call) {
-    breaks(call.accepted(), ProbeResult.GONE);
+    breaks(call.accept(), ProbeResult.GONE);
   }
 
   @Test
   void aTargetThatLivesAfterItsConnectionBrokeDoesNotCount() {
-    breaks(ask("/stream/x", "sound").accepted(), ProbeResult.ALIVE);
-    breaks(world.last().accepted(), ProbeResult.ALIVE);
-    breaks(world.last().accepted(), ProbeResult.ALIVE);
+    breaks(ask("/stream/x", "sound").accept(), ProbeResult.ALIVE);
+    breaks(world.lastCall().accept(), ProbeResult.ALIVE);
+    breaks(world.lastCall().accept(), ProbeResult.ALIVE);
 
-    assertEquals(4, world.sent.size());
+    assertEquals(4, world.sentCalls.size());
     assertEquals(1, sentFor("/stream/x", "sound"));
   }
 
   /** Its connection closed in order, as that of a process that ends does. */
   @Test
   void aTargetThatIsGoneAfterItsAnswerWithoutALengthHasEnded() {
-    SentCall call = ask("/once/x", "fatal").accepted().head(200, false);
+    SentCall call = ask("/once/x", "fatal").accept().respondHead(200, false);
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     int probes = world.probes.size();
     world.lastProbe().listener().onResult(ProbeResult.GONE);
@@ -157,7 +157,7 @@
   void aConnectionThatDoesNotComeAboutDoesNotCount() {
     ask("/stream/x", "sound");
     for (int failure = 0; failure < 10; failure++) {
-      world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+      world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
     }
 
     assertEquals(0, world.poison.suspected());
@@ -169,75 +169,75 @@
     SentCall call = ask("/stream/x", "sound");
     long last = 0;
     for (int end = 0; end < 4; end++) {
-      call = world.last().accepted().head(200, true);
+      call = world.lastCall().accept().respondHead(200, true);
       for (int event = 0; event < 3; event++) {
         call.event(++last);
-        world.pass(SHORT_PAUSE_MILLIS);
+        world.advanceTime(SHORT_PAUSE_MILLIS);
       }
       breaks(call, ProbeResult.GONE);
     }
 
     assertEquals(0, world.poison.suspected());
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
   }
 
   @Test
   void aRunThatLastsClearsItsRequest() {
     endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.last());
+    endsTarget(world.lastCall());
     assertEquals(1, world.poison.suspected());
-    SentCall third = world.last().accepted().head(200, true).event(1);
+    SentCall third = world.lastCall().accept().respondHead(200, true).event(1);
     for (long id = 2; id <= 9; id++) {
-      world.pass(150);
+      world.advanceTime(150);
       third.event(id);
     }
 
     assertEquals(0, world.poison.suspected());
     breaks(third, ProbeResult.GONE);
-    endsTarget(world.last());
-    assertFalse(caller.isOver());
+    endsTarget(world.lastCall());
+    assertFalse(caller.isFinal());
     assertEquals(0, world.poison.held());
   }
 
   @Test
   void theThirdEndIsWaitedForBeforeAnotherTargetIsTried() {
     endsTarget(ask("/stream/x", "fatal"));
-    endsTarget(world.last());
-    world.fail(world.last().accepted().head(200, true), TargetFailure.RESET);
-    assertEquals(3, world.sent.size());
+    endsTarget(world.lastCall());
+    world.fail(world.lastCall().accept().respondHead(200, true), TargetFailure.RESET);
+    assertEquals(3, world.sentCalls.size());
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    assertEquals(3, world.sent.size());
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(3, world.sentCalls.size());
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void aRequestInDoubtGoesOnWhenTheProbeShowsThatTheTargetLives() {
     endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.last());
-    world.fail(world.last().accepted(), TargetFailure.RESET);
+    endsTarget(world.lastCall());
+    world.fail(world.lastCall().accept(), TargetFailure.RESET);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
-    assertEquals(4, world.sent.size());
+    assertEquals(4, world.sentCalls.size());
   }
 
   @Test
   void aRequestInDoubtWaitsForOneProbeAlone() {
     endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.last());
-    world.fail(world.last().accepted(), TargetFailure.RESET);
+    endsTarget(world.lastCall());
+    world.fail(world.lastCall().accept(), TargetFailure.RESET);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
 
-    assertEquals(4, world.sent.size());
+    assertEquals(4, world.sentCalls.size());
   }
 
   @Test
   void aSilentTargetThatIsAnotherRunLaterHadEnded() {
-    world.fail(ask("/stream/x", "fatal").accepted(), TargetFailure.TIMEOUT);
+    world.fail(ask("/stream/x", "fatal").accept(), TargetFailure.TIMEOUT);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
     int probes = world.probes.size();
-    world.pass(200);
+    world.advanceTime(200);
     assertEquals(probes + 1, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -248,38 +248,38 @@
   @Test
   void whatWaitsAtATargetWhenTheVerdictFallsIsCalledBack() {
     Caller other = new Caller();
-    world.content = "fatal";
-    world.ask("/stream/x", other);
-    SentCall waiting = world.last().accepted();
+    world.requestContent = "fatal";
+    world.submit("/stream/x", other);
+    SentCall waiting = world.lastCall().accept();
 
     convict("fatal");
 
     assertTrue(waiting.cancelled);
-    assertEquals(Rejection.TARGET_FAILED, other.refusal);
+    assertEquals(Rejection.TARGET_FAILED, other.rejection);
   }
 
   @Test
   void whatWaitsForAConnectionIsRefusedAsNotRun() {
     Caller other = new Caller();
-    world.content = "fatal";
-    world.ask("/stream/x", other);
+    world.requestContent = "fatal";
+    world.submit("/stream/x", other);
 
     convict("fatal");
 
-    assertTrue(world.sent.get(0).cancelled);
-    assertEquals(Rejection.HELD_BACK, other.refusal);
+    assertTrue(world.sentCalls.get(0).cancelled);
+    assertEquals(Rejection.HELD_BACK, other.rejection);
   }
 
   @Test
   void aRunThatGoesOnWhenTheVerdictFallsMayClearItsRequest() {
     Caller other = new Caller();
-    world.content = "same";
-    world.ask("/stream/x", other);
-    SentCall running = world.last().accepted().head(200, true).event(1);
+    world.requestContent = "same";
+    world.submit("/stream/x", other);
+    SentCall running = world.lastCall().accept().respondHead(200, true).event(1);
     convict("same");
-    assertFalse(other.isOver());
+    assertFalse(other.isFinal());
     for (long id = 2; id <= 9; id++) {
-      world.pass(150);
+      world.advanceTime(150);
       running.event(id);
     }
 
@@ -292,17 +292,17 @@
   void whoIsAtTheSameTargetsIsNotHeldBack() {
     Caller fellow = new Caller();
     endsTarget(ask("/stream/x", "fatal"));
-    SentCall fatal = world.last();
-    world.content = "sound";
-    world.ask("/stream/x", fellow);
-    SentCall sound = world.last();
+    SentCall fatal = world.lastCall();
+    world.requestContent = "sound";
+    world.submit("/stream/x", fellow);
+    SentCall sound = world.lastCall();
     TargetId shared = fatal.dispatch.target().id();
     endsTarget(fatal);
     world.poison.learn(
         List.of(
             PoisonFact.end(
                 fingerprint("sound"), shared, world.context.now(), world.context.now())));
-    fatal = world.last();
+    fatal = world.lastCall();
     TargetId third = fatal.dispatch.target().id();
     endsTarget(fatal);
     world.poison.learn(
@@ -311,7 +311,7 @@
 
     assertEquals(1, world.poison.held());
     assertFalse(sound.cancelled);
-    assertFalse(fellow.isOver());
+    assertFalse(fellow.isFinal());
   }
 
   private Fingerprint fingerprint(String content) {
@@ -331,6 +331,6 @@
             PoisonFact.end(fingerprint("fatal"), new TargetId("c"), now, now)));
 
     assertEquals(0, sentFor("/stream/x", "fatal"));
-    assertEquals(Rejection.HELD_BACK, caller.refusal);
+    assertEquals(Rejection.HELD_BACK, caller.rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
@@ -19,16 +19,16 @@
     world.promptPart = Optional.of(PART);
     world.lastEventId = OptionalLong.of(7);
     for (int index = 0; index < callers; index++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
+      world.submit("/stream/x", new ForwardWorld.Caller());
     }
     return world;
   }
 
   private static void answer(ForwardWorld world, String target, Optional<Set<String>> kept) {
-    for (ForwardWorld.PromptQuestion question : List.copyOf(world.promptQuestions)) {
+    for (ForwardWorld.PromptQuery question : List.copyOf(world.promptQueries)) {
       if (question.target().equals(target)) {
-        world.promptQuestions.remove(question);
-        question.answer().accept(kept);
+        world.promptQueries.remove(question);
+        question.response().accept(kept);
       }
     }
   }
@@ -36,12 +36,12 @@
   @Test
   void aResumedStreamGoesToTheEngineThatKeepsItsPrompt() {
     ForwardWorld world = resumed(1);
-    assertEquals(3, world.promptQuestions.size());
+    assertEquals(3, world.promptQueries.size());
     answer(world, "e1", Optional.of(Set.of("another")));
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     answer(world, "e3", Optional.of(Set.of(PART)));
 
-    assertEquals("e3", world.last().target());
+    assertEquals("e3", world.lastCall().target());
   }
 
   @Test
@@ -51,28 +51,28 @@
     answer(world, "e2", Optional.empty());
     answer(world, "e3", Optional.of(Set.of("another")));
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void streamsThatReturnTogetherShareOneRoundOfQuestions() {
     ForwardWorld world = resumed(4);
-    assertEquals(3, world.promptQuestions.size());
+    assertEquals(3, world.promptQueries.size());
     answer(world, "e2", Optional.of(Set.of(PART)));
 
-    assertEquals(4, world.sent.size());
-    assertTrue(world.sent.stream().allMatch(call -> call.target().equals("e2")));
+    assertEquals(4, world.sentCalls.size());
+    assertTrue(world.sentCalls.stream().allMatch(call -> call.target().equals("e2")));
   }
 
   @Test
   void whatEnginesKeptAWhileAgoIsAskedAgain() {
     ForwardWorld world = resumed(1);
     answer(world, "e2", Optional.of(Set.of(PART)));
-    world.promptQuestions.clear();
-    world.pass(1_000);
-    world.ask("/stream/x", new ForwardWorld.Caller());
+    world.promptQueries.clear();
+    world.advanceTime(1_000);
+    world.submit("/stream/x", new ForwardWorld.Caller());
 
-    assertEquals(3, world.promptQuestions.size());
+    assertEquals(3, world.promptQueries.size());
   }
 
   @Test
@@ -80,20 +80,20 @@
     ForwardWorld world = new ForwardWorld();
     world.promptPart = Optional.of(PART);
     world.lastEventId = OptionalLong.of(7);
-    Exchange exchange = world.ask("/stream/x", new ForwardWorld.Caller()).orElseThrow();
+    Exchange exchange = world.submit("/stream/x", new ForwardWorld.Caller()).orElseThrow();
     exchange.onCallerDisconnected();
     answer(world, "e2", Optional.of(Set.of(PART)));
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
   void aNewStreamAsksNobody() {
     ForwardWorld world = new ForwardWorld();
     world.promptPart = Optional.of(PART);
-    world.ask("/stream/x", new ForwardWorld.Caller());
+    world.submit("/stream/x", new ForwardWorld.Caller());
 
-    assertTrue(world.promptQuestions.isEmpty());
-    assertFalse(world.sent.isEmpty());
+    assertTrue(world.promptQueries.isEmpty());
+    assertFalse(world.sentCalls.isEmpty());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
@@ -120,14 +120,14 @@
   @Test
   void aStreamMayGoToTheNextRunOfATargetThatItWasAt() {
     world.list(run("e1", FIRST, "north"));
-    world.ask("/stream/x", caller);
-    world.last().accepted();
+    world.submit("/stream/x", caller);
+    world.lastCall().accept();
 
     world.list(run("e1", SECOND, "north"));
-    world.fail(world.sent.get(0), TargetFailure.RESET);
+    world.fail(world.sentCalls.get(0), TargetFailure.RESET);
 
-    assertEquals(2, world.sent.size());
-    assertEquals(SECOND, world.last().dispatch.target().id().born());
+    assertEquals(2, world.sentCalls.size());
+    assertEquals(SECOND, world.lastCall().dispatch.target().id().born());
   }
 
   @Test
@@ -138,12 +138,12 @@
     String zone = holder.equals("e1") ? "north" : "south";
     String other = first.target();
     String otherZone = other.equals("e1") ? "north" : "south";
-    world.pass(10);
+    world.advanceTime(10);
     world.list(run(holder, SECOND, zone), run(other, FIRST, otherZone));
 
     world.fail(first, TargetFailure.RESET);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
@@ -155,18 +155,18 @@
     world.list(
         run(holder, SECOND, holder.equals("e1") ? "north" : "south"),
         run(other, FIRST, other.equals("e1") ? "north" : "south"));
-    world.pass(10);
+    world.advanceTime(10);
     first.event(3);
 
     world.fail(first, TargetFailure.RESET);
 
-    assertTrue(world.last().dispatch.continueFrom().isPresent());
+    assertTrue(world.lastCall().dispatch.continueFrom().isPresent());
   }
 
   /** Starts a stream that has two events and is about to break. */
   private ForwardWorld.SentCall broken() {
-    world.ask("/stream/x", caller);
-    return world.last().accepted().head(200, true).event(1).event(2);
+    world.submit("/stream/x", caller);
+    return world.lastCall().accept().respondHead(200, true).event(1).event(2);
   }
 
   @Test
@@ -174,19 +174,19 @@
     world.list(run("e1", FIRST, "north"), run("e2", FIRST, "north"));
     world.lastEventId = OptionalLong.of(4);
     world.promptPart = Optional.of("p");
-    world.ask("/stream/x", caller);
-    for (ForwardWorld.PromptQuestion question : List.copyOf(world.promptQuestions)) {
+    world.submit("/stream/x", caller);
+    for (ForwardWorld.PromptQuery question : List.copyOf(world.promptQueries)) {
       boolean keeps = question.target().equals("e1");
       if (keeps) {
         world.list(run("e1", SECOND, "north"), run("e2", FIRST, "north"));
-        question.answer().accept(Optional.of(Set.of("p")));
+        question.response().accept(Optional.of(Set.of("p")));
       }
     }
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
     assertEquals(
         1,
-        world.targets.find(world.last().dispatch.target().id()).orElseThrow().readingHere(),
+        world.targets.find(world.lastCall().dispatch.target().id()).orElseThrow().readingHere(),
         "the prompt is read anew, wherever the stream went");
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RepeatBorrowingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBorrowingTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests that wait until another host has lent a repeat, or has not. */
-class RepeatBorrowingTest {
+class RetryBorrowingTest {
   private static final int HOSTS = 60;
 
   private final ForwardWorld world = new ForwardWorld();
   private ForwardWorld.Caller caller;
   private Exchange exchange;
 
-  RepeatBorrowingTest() {
+  RetryBorrowingTest() {
     List<HostDirectory.Entry> entries = new ArrayList<>();
     for (int number = 0; number < HOSTS; number++) {
       entries.add(
@@ -34,27 +34,27 @@
 
   /** Has requests fail at their first targets until one waits for a repeat. */
   private void waitForRepeat() {
-    while (world.borrowing.isEmpty()) {
+    while (world.retryLoanRequests.isEmpty()) {
       caller = new ForwardWorld.Caller();
-      exchange = world.ask("/safe/x", caller).orElseThrow();
-      world.fail(world.last().accepted(), TargetFailure.RESET);
-      if (world.borrowing.isEmpty()) {
-        world.last().answer(200, "whole");
+      exchange = world.submit("/safe/x", caller).orElseThrow();
+      world.fail(world.lastCall().accept(), TargetFailure.RESET);
+      if (world.retryLoanRequests.isEmpty()) {
+        world.lastCall().respond(200, "whole");
         assertTrue(caller.finished);
       }
-      assertTrue(world.sent.size() < 100, "the own part never ends");
+      assertTrue(world.sentCalls.size() < 100, "the own part never ends");
     }
   }
 
   @Test
   void goesOnWithALentRepeat() {
     waitForRepeat();
-    int before = world.sent.size();
+    int before = world.sentCalls.size();
 
-    world.borrowing.get(0).accept(1);
+    world.retryLoanRequests.get(0).accept(1);
 
-    assertEquals(before + 1, world.sent.size());
-    world.last().answer(200, "whole");
+    assertEquals(before + 1, world.sentCalls.size());
+    world.lastCall().respond(200, "whole");
     assertEquals("whole", caller.body.toString());
   }
 
@@ -62,31 +62,31 @@
   void endsAtOnceWhenNoneIsLent() {
     waitForRepeat();
 
-    world.borrowing.get(0).accept(0);
+    world.retryLoanRequests.get(0).accept(0);
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
   void sendsNothingForACallerWhoLeftMeanwhile() {
     waitForRepeat();
-    int before = world.sent.size();
+    int before = world.sentCalls.size();
     exchange.onCallerDisconnected();
 
-    world.borrowing.get(0).accept(1);
+    world.retryLoanRequests.get(0).accept(1);
 
-    assertEquals(before, world.sent.size());
-    assertNull(caller.refusal);
+    assertEquals(before, world.sentCalls.size());
+    assertNull(caller.rejection);
   }
 
   @Test
   void endsAtTheDeadlineWhileItWaits() {
     waitForRepeat();
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.TIMED_OUT, caller.refusal);
-    world.borrowing.get(0).accept(1);
+    assertEquals(Rejection.TIMED_OUT, caller.rejection);
+    world.retryLoanRequests.get(0).accept(1);
     assertFalse(caller.finished);
   }
 
@@ -96,6 +96,6 @@
 
     world.forwarder.stopAll();
 
-    assertEquals(Rejection.TARGET_FAILED, caller.refusal);
+    assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -67,7 +67,7 @@
 
   private int sentToNew(int from) {
     return (int)
-        world.sent.subList(from, world.sent.size()).stream()
+        world.sentCalls.subList(from, world.sentCalls.size()).stream()
             .filter(call -> call.target().startsWith("new"))
             .count();
   }
@@ -81,7 +81,7 @@
     world.context.noteLost(3_000);
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
     assertEquals(0, sentToNew(0));
@@ -97,17 +97,17 @@
     for (String target : new String[] {"new1", "new2", "new3"}) {
       world.forwarder.limits().book().hear(new TargetId(target), 5, 0);
     }
-    while (world.tokenQuestions.isEmpty()) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+    while (world.tokenRequests.isEmpty()) {
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
-    int before = world.sent.size();
-    world.pass(5);
+    int before = world.sentCalls.size();
+    world.advanceTime(5);
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
 
-    world.tokenQuestions.get(0).answer().accept(Optional.of(new Loan(1, 0)));
+    world.tokenRequests.get(0).response().accept(Optional.of(new Loan(1, 0)));
 
-    assertEquals(before + 1, world.sent.size());
-    assertEquals("old1", world.last().target());
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals("old1", world.lastCall().target());
   }
 
   private void knowAnotherHost() {
@@ -125,8 +125,8 @@
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
-      world.last().answer(200, "ok");
+      world.submit("/safe/x", new ForwardWorld.Caller());
+      world.lastCall().respond(200, "ok");
     }
 
     int fresh = sentToNew(0);
@@ -140,12 +140,12 @@
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
 
     for (int request = 0; request < REQUESTS; request++) {
-      int before = world.sent.size();
-      world.ask("/safe/x", new ForwardWorld.Caller());
-      world.last().answer(500, "error");
-      if (world.sent.size() > before + 1) {
+      int before = world.sentCalls.size();
+      world.submit("/safe/x", new ForwardWorld.Caller());
+      world.lastCall().respond(500, "error");
+      if (world.sentCalls.size() > before + 1) {
         assertEquals(0, sentToNew(before + 1));
-        world.last().answer(200, "ok");
+        world.lastCall().respond(200, "ok");
       }
     }
   }
@@ -158,13 +158,13 @@
 
     int broken = 0;
     for (int request = 0; request < REQUESTS; request++) {
-      Optional<Exchange> exchange = world.ask("/stream/x", new ForwardWorld.Caller());
-      ForwardWorld.SentCall first = world.last();
+      Optional<Exchange> exchange = world.submit("/stream/x", new ForwardWorld.Caller());
+      ForwardWorld.SentCall first = world.lastCall();
       if (first.target().startsWith("new")) {
-        int before = world.sent.size();
-        first.accepted().head(200, true).event(1);
+        int before = world.sentCalls.size();
+        first.accept().respondHead(200, true).event(1);
         world.fail(first, TargetFailure.RESET);
-        assertEquals(before + 1, world.sent.size());
+        assertEquals(before + 1, world.sentCalls.size());
         assertEquals(0, sentToNew(before));
         broken++;
       }
@@ -181,7 +181,7 @@
     world.lastEventId = OptionalLong.of(3);
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
+      world.submit("/stream/x", new ForwardWorld.Caller());
     }
 
     assertEquals(0, sentToNew(0));
@@ -194,10 +194,10 @@
     list(ForwardWorld.COUNTERS, "new1");
 
     ForwardWorld.Caller caller = new ForwardWorld.Caller();
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    assertEquals(0, world.sent.size());
-    assertEquals(Rejection.NO_TARGET, caller.refusal);
+    assertEquals(0, world.sentCalls.size());
+    assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
   /** Held back until somebody completes it, the whole service would be refused. */
@@ -206,7 +206,7 @@
     list(ForwardWorld.COUNTERS, "new1", "new2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
 
-    world.ask("/safe/x", new ForwardWorld.Caller());
+    world.submit("/safe/x", new ForwardWorld.Caller());
 
     assertEquals(1, sentToNew(0));
   }
@@ -238,9 +238,9 @@
           List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION, 10)), now);
 
       for (int request = 0; request < 20; request++) {
-        fresh.ask("/safe/x", new ForwardWorld.Caller());
-        assertEquals("old1", fresh.last().target(), state.name());
-        fresh.last().answer(200, "ok");
+        fresh.submit("/safe/x", new ForwardWorld.Caller());
+        assertEquals("old1", fresh.lastCall().target(), state.name());
+        fresh.lastCall().respond(200, "ok");
       }
     }
   }
@@ -252,7 +252,7 @@
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1");
 
     for (int request = 0; request < 20; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
     assertEquals(20, sentToNew(0));
@@ -262,10 +262,10 @@
   void whatAnswersShowIsCountedOnceForEachSignal() {
     list(ForwardWorld.ENGINES, "old1");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
-    world.ask("/stream/x", new ForwardWorld.Caller());
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+    world.submit("/stream/x", new ForwardWorld.Caller());
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (int event = 1; event <= 40; event++) {
-      world.pass(10);
+      world.advanceTime(10);
       call.event(event);
       call.text("");
     }
@@ -281,9 +281,9 @@
   void connectionsThatBreakAreNoEvidenceAgainstAVersion() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
-    world.ask("/safe/x", new ForwardWorld.Caller());
-    world.last().accepted();
-    world.fail(world.last(), TargetFailure.RESET);
+    world.submit("/safe/x", new ForwardWorld.Caller());
+    world.lastCall().accept();
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
     assertTrue(
         world.rollouts.ownEvidence().keySet().stream()
@@ -294,15 +294,15 @@
   void aVersionThatNobodyOrderedWaitsUntilTheOrdersWereReadAgain() {
     list(ForwardWorld.COUNTERS, "old1");
     world.rollouts.confirmOrders(world.context.now());
-    world.pass(10);
+    world.advanceTime(10);
     list(ForwardWorld.COUNTERS, "new1");
     ForwardWorld.Caller early = new ForwardWorld.Caller();
-    world.ask("/safe/x", early);
-    assertEquals(0, world.sent.size());
+    world.submit("/safe/x", early);
+    assertEquals(0, world.sentCalls.size());
 
-    world.pass(10);
+    world.advanceTime(10);
     world.rollouts.confirmOrders(world.context.now());
-    world.ask("/safe/x", new ForwardWorld.Caller());
+    world.submit("/safe/x", new ForwardWorld.Caller());
 
     assertEquals(1, sentToNew(0));
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamJoinTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamContinuationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How the runs of several targets are joined to one stream. */
-class StreamJoinTest {
+class StreamContinuationTest {
   private static final String WITHOUT_ID = "data: x\n\n";
   private static final String COMMENT = ": still here\n\n";
 
@@ -19,8 +19,8 @@
   private final Caller caller = new Caller();
 
   private ForwardWorld.SentCall running(long lastEvent) {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
       call.event(id);
     }
@@ -29,7 +29,7 @@
 
   private ForwardWorld.SentCall goingOnAfter(long lastEvent) {
     world.fail(running(lastEvent), TargetFailure.RESET);
-    return world.last().accepted().head(200, true);
+    return world.lastCall().accept().respondHead(200, true);
   }
 
   private static String eventsUpTo(long last) {
@@ -52,7 +52,7 @@
     world.fail(call, TargetFailure.RESET);
 
     assertTrue(caller.aborted);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
     assertEquals(eventsUpTo(2) + WITHOUT_ID, caller.body.toString());
   }
 
@@ -63,7 +63,7 @@
     world.fail(call, TargetFailure.RESET);
 
     assertTrue(caller.aborted);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
@@ -88,9 +88,9 @@
     world.fail(running(1).text(COMMENT), TargetFailure.RESET);
 
     world
-        .last()
-        .accepted()
-        .head(200, true)
+        .lastCall()
+        .accept()
+        .respondHead(200, true)
         .text(COMMENT)
         .event(2)
         .listener
@@ -105,8 +105,8 @@
   void startsAStreamAnewOfWhichTheCallerHasOnlyComments() {
     world.fail(running(0).text(COMMENT), TargetFailure.RESET);
 
-    assertEquals(OptionalLong.empty(), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(1).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    assertEquals(OptionalLong.empty(), world.lastCall().dispatch.lastEventId());
+    world.lastCall().accept().respondHead(200, true).event(1).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertEquals(COMMENT + eventsUpTo(1), caller.body.toString());
   }
@@ -119,7 +119,7 @@
     second.text(WITHOUT_ID);
 
     assertTrue(second.cancelled);
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     assertEquals(eventsUpTo(2), caller.body.toString());
   }
 
@@ -127,7 +127,7 @@
   void passesAnEventWithoutIdOnOnceItsRunStandsWhereTheCallerDoes() {
     goingOnAfter(2).event(2).text(WITHOUT_ID);
 
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     assertEquals(eventsUpTo(2) + WITHOUT_ID, caller.body.toString());
   }
 
@@ -140,15 +140,15 @@
     for (long again : new long[] {1, 2, 3}) {
       ForwardWorld fresh = new ForwardWorld();
       Caller asking = new Caller();
-      fresh.ask("/stream/x", asking);
-      ForwardWorld.SentCall call = fresh.last().accepted().head(200, true);
+      fresh.submit("/stream/x", asking);
+      ForwardWorld.SentCall call = fresh.lastCall().accept().respondHead(200, true);
       call.event(1).event(2).event(3);
 
       call.event(again);
 
       assertTrue(call.cancelled, "again " + again);
-      assertEquals(2, fresh.sent.size());
-      assertEquals(OptionalLong.of(3), fresh.last().dispatch.lastEventId());
+      assertEquals(2, fresh.sentCalls.size());
+      assertEquals(OptionalLong.of(3), fresh.lastCall().dispatch.lastEventId());
       assertEquals(eventsUpTo(3), asking.body.toString());
     }
   }
@@ -160,7 +160,7 @@
     second.event(1);
 
     assertTrue(second.cancelled);
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -21,8 +21,8 @@
   private Exchange latest;
 
   private ForwardWorld.SentCall running(long lastEvent) {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
       call.event(id);
     }
@@ -31,7 +31,7 @@
 
   private ForwardWorld.SentCall resumedAfterABreak() {
     world.fail(running(2), TargetFailure.RESET);
-    return world.last();
+    return world.lastCall();
   }
 
   private static String eventsUpTo(long last) {
@@ -57,23 +57,23 @@
    */
   @Test
   void goesOnAfterAnErrorOfTheEngineThatHadTheCopyOfADarkOnesRun() {
-    world.ask("/stream/x", caller);
-    world.last().answer(500, "error");
-    ForwardWorld.SentCall second = world.last().accepted().head(200, true);
+    world.submit("/stream/x", caller);
+    world.lastCall().respond(500, "error");
+    ForwardWorld.SentCall second = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= 110; id++) {
       second.event(id);
     }
-    world.pass(250);
+    world.advanceTime(250);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
-    ForwardWorld.SentCall third = world.last();
+    ForwardWorld.SentCall third = world.lastCall();
     assertTrue(third.dispatch.continueFrom().isPresent());
 
-    third.answer(500, "error");
+    third.respond(500, "error");
 
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     assertEquals(eventsUpTo(110), caller.body.toString());
-    assertEquals(OptionalLong.of(110), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(111).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    assertEquals(OptionalLong.of(110), world.lastCall().dispatch.lastEventId());
+    world.lastCall().accept().respondHead(200, true).event(111).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(111), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -83,16 +83,16 @@
     for (int status : new int[] {500, 504, 400, 404, 200}) {
       ForwardWorld fresh = new ForwardWorld();
       Caller asking = new Caller();
-      fresh.ask("/stream/x", asking);
-      fresh.last().accepted().head(200, true).event(1);
-      fresh.fail(fresh.last(), TargetFailure.RESET);
+      fresh.submit("/stream/x", asking);
+      fresh.lastCall().accept().respondHead(200, true).event(1);
+      fresh.fail(fresh.lastCall(), TargetFailure.RESET);
 
-      fresh.last().answer(status, "no event stream");
+      fresh.lastCall().respond(status, "no event stream");
 
-      assertFalse(asking.isOver(), "status " + status);
-      assertEquals(3, fresh.sent.size());
-      assertEquals(OptionalLong.of(1), fresh.last().dispatch.lastEventId());
-      fresh.last().accepted().head(200, true).event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
+      assertFalse(asking.isFinal(), "status " + status);
+      assertEquals(3, fresh.sentCalls.size());
+      assertEquals(OptionalLong.of(1), fresh.lastCall().dispatch.lastEventId());
+      fresh.lastCall().accept().respondHead(200, true).event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
       assertEquals(eventsUpTo(2), asking.body.toString());
       assertTrue(asking.finished);
     }
@@ -100,22 +100,22 @@
 
   @Test
   void passesNoLongBodyOfAnotherKindOnInsideABegunStream() {
-    ForwardWorld.SentCall second = resumedAfterABreak().accepted().head(200, false);
+    ForwardWorld.SentCall second = resumedAfterABreak().accept().respondHead(200, false);
 
     second.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     assertEquals(eventsUpTo(2), caller.body.toString());
     assertTrue(second.cancelled);
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
   }
 
   @Test
   void breaksABegunStreamOffWhenEachTargetAnswersWithAnError() {
     running(2);
-    world.fail(world.last(), TargetFailure.RESET);
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
-    while (!caller.isOver()) {
-      world.last().answer(500, "error");
+    while (!caller.isFinal()) {
+      world.lastCall().respond(500, "error");
     }
 
     assertTrue(caller.aborted);
@@ -124,13 +124,13 @@
 
   @Test
   void breaksABegunStreamOffWhereAnEarlierErrorWasKeptBack() {
-    world.ask("/stream/x", caller);
-    world.last().answer(500, "kept back");
-    world.last().accepted().head(200, true).event(1);
-    world.fail(world.last(), TargetFailure.RESET);
+    world.submit("/stream/x", caller);
+    world.lastCall().respond(500, "kept back");
+    world.lastCall().accept().respondHead(200, true).event(1);
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
-    while (!caller.isOver()) {
-      world.last().answer(500, "error");
+    while (!caller.isFinal()) {
+      world.lastCall().respond(500, "error");
     }
 
     assertTrue(caller.aborted);
@@ -151,14 +151,14 @@
     ForwardWorld.SentCall first = running(2);
 
     close(first);
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     assertEquals(first.target(), world.lastProbe().target().id().value());
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
-    assertFalse(caller.isOver());
-    assertEquals(2, world.sent.size());
-    assertEquals(OptionalLong.of(2), world.last().dispatch.lastEventId());
-    world.last().accepted().head(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    assertFalse(caller.isFinal());
+    assertEquals(2, world.sentCalls.size());
+    assertEquals(OptionalLong.of(2), world.lastCall().dispatch.lastEventId());
+    world.lastCall().accept().respondHead(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(3), caller.body.toString());
     assertTrue(caller.finished);
   }
@@ -166,12 +166,12 @@
   @Test
   void takesAStreamForWholeWhoseTargetAnswersAfterItClosedTheConnection() {
     close(running(2));
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
 
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     assertTrue(caller.finished);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
     assertEquals(0, world.forwarder.openExchangeCount());
   }
 
@@ -179,39 +179,39 @@
   @Test
   void believesNoProbeThatWasSentBeforeTheEnd() {
     ForwardWorld.SentCall first = running(2);
-    world.pass(250);
+    world.advanceTime(250);
     ForwardWorld.SentProbe early = world.lastProbe();
 
     close(first);
     early.listener().onResult(ProbeResult.ALIVE);
 
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
     assertEquals(2, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.GONE);
-    assertEquals(2, world.sent.size());
+    assertEquals(2, world.sentCalls.size());
   }
 
   @Test
   void breaksAStreamOffThatNobodyCanGoOnWithWhenTheTargetOfAClosedConnectionIsGone() {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, false);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, false);
     call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
     close(call);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertTrue(caller.aborted);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void givesOneFinalAnswerWhateverComesWhileAnEndIsInDoubt() {
     for (Runnable event : whatMayComeWhileAnEndIsInDoubt()) {
-      world.keeper.confirm(1, world.context.now());
+      world.configurationHolder.confirm(1, world.context.now());
       Caller asking = new Caller();
-      latest = world.ask("/stream/x", asking).orElseThrow();
-      int before = world.sent.size();
-      ForwardWorld.SentCall call = world.last().accepted().head(200, true).event(1);
+      latest = world.submit("/stream/x", asking).orElseThrow();
+      int before = world.sentCalls.size();
+      ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
       close(call);
       ForwardWorld.SentProbe probe = world.lastProbe();
 
@@ -219,13 +219,13 @@
 
       assertTrue(call.cancelled);
       String body = asking.body.toString();
-      boolean wasOver = asking.isOver();
+      boolean wasOver = asking.isFinal();
       probe.listener().onResult(ProbeResult.ALIVE);
       probe.listener().onResult(ProbeResult.GONE);
       assertEquals(body, asking.body.toString());
       assertFalse(asking.finished);
-      assertEquals(wasOver, asking.isOver());
-      assertTrue(world.sent.size() <= before + 1);
+      assertEquals(wasOver, asking.isFinal());
+      assertTrue(world.sentCalls.size() <= before + 1);
       latest.onCallerDisconnected();
     }
     assertEquals(0, world.forwarder.openExchangeCount());
@@ -233,7 +233,7 @@
 
   private List<Runnable> whatMayComeWhileAnEndIsInDoubt() {
     return List.of(
-        () -> world.pass(ForwardWorld.TIMEOUT_MILLIS),
+        () -> world.advanceTime(ForwardWorld.TIMEOUT_MILLIS),
         () -> latest.onCallerDisconnected(),
         () -> world.forwarder.stopAll(),
         () -> latest.onTargetLost(TargetFailure.TIMEOUT));
@@ -242,7 +242,7 @@
   @Test
   void logsAnEndInDoubtAndWhatBecameOfIt() {
     close(running(2));
-    world.pass(3);
+    world.advanceTime(3);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
     List<String> logged = logged(EventCode.ANSWER_ENDED);
@@ -277,16 +277,16 @@
     if (start == Start.RESUMED) {
       fresh.lastEventId = OptionalLong.of(HAD_BY_CALLER);
     }
-    fresh.ask("/stream/x", asking);
+    fresh.submit("/stream/x", asking);
     if (start == Start.CONTINUED || start == Start.FROM_COPY) {
-      fresh.last().accepted().head(200, true).event(1).event(HAD_BY_CALLER);
-      fresh.fail(fresh.last(), TargetFailure.RESET);
+      fresh.lastCall().accept().respondHead(200, true).event(1).event(HAD_BY_CALLER);
+      fresh.fail(fresh.lastCall(), TargetFailure.RESET);
     }
     if (start == Start.CONTINUED) {
-      fresh.last().notRun(503);
+      fresh.lastCall().rejectNotExecuted(503);
     }
-    assertEquals(start == Start.FROM_COPY, fresh.last().dispatch.continueFrom().isPresent());
-    return fresh.last().accepted().head(200, true);
+    assertEquals(start == Start.FROM_COPY, fresh.lastCall().dispatch.continueFrom().isPresent());
+    return fresh.lastCall().accept().respondHead(200, true);
   }
 
   /**
@@ -306,7 +306,7 @@
         fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
         assertEquals(end.isConfirmedByTarget(), asking.finished, start + " " + end);
-        assertEquals(!end.isConfirmedByTarget(), fresh.last() != call, start + " " + end);
+        assertEquals(!end.isConfirmedByTarget(), fresh.lastCall() != call, start + " " + end);
         assertFalse(asking.aborted);
       }
     }
@@ -323,8 +323,8 @@
       call.text(": still here\n\n").listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
       fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-      assertFalse(asking.isOver(), start.toString());
-      assertTrue(fresh.last() != call, start.toString());
+      assertFalse(asking.isFinal(), start.toString());
+      assertTrue(fresh.lastCall() != call, start.toString());
     }
   }
 
@@ -338,7 +338,7 @@
 
       call.event(start == Start.FRESH ? 1 : HAD_BY_CALLER);
       call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
-      assertFalse(asking.isOver());
+      assertFalse(asking.isFinal());
       fresh.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
       assertTrue(asking.finished, start.toString());
@@ -357,8 +357,8 @@
         call.event(1).listener.onEnd(end);
         fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-        assertFalse(asking.isOver(), start + " " + end);
-        assertTrue(fresh.last() != call, start + " " + end);
+        assertFalse(asking.isFinal(), start + " " + end);
+        assertTrue(fresh.lastCall() != call, start + " " + end);
       }
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -27,8 +27,8 @@
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
 
   private ForwardWorld.SentCall running(long lastEvent) {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
       call.event(id);
     }
@@ -50,12 +50,12 @@
 
     world.fail(first, TargetFailure.RESET);
 
-    ForwardWorld.SentCall second = world.last();
+    ForwardWorld.SentCall second = world.lastCall();
     assertTrue(first.cancelled);
     assertEquals(copyTo, Optional.of(second.dispatch.target().address()));
     assertEquals(Optional.of("r1"), second.dispatch.continueFrom());
     assertEquals(OptionalLong.of(2), second.dispatch.lastEventId());
-    second.accepted().head(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    second.accept().respondHead(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertTrue(caller.body.toString().endsWith(ForwardWorld.eventText(3)));
   }
@@ -64,7 +64,7 @@
   void repeatsNoEventThatTheCallerHas() {
     world.fail(running(2), TargetFailure.RESET);
 
-    world.last().accepted().head(200, true).event(2).event(3);
+    world.lastCall().accept().respondHead(200, true).event(2).event(3);
 
     assertEquals(
         ForwardWorld.eventText(1) + ForwardWorld.eventText(2) + ForwardWorld.eventText(3),
@@ -78,7 +78,7 @@
     call.event(4);
 
     assertTrue(call.cancelled);
-    assertEquals(2, world.sent.size());
+    assertEquals(2, world.sentCalls.size());
     assertFalse(caller.body.toString().contains("id: 4"));
   }
 
@@ -91,68 +91,68 @@
 
     assertFalse(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
-    assertEquals(OptionalLong.of(1), world.last().dispatch.lastEventId());
+    assertEquals(OptionalLong.of(1), world.lastCall().dispatch.lastEventId());
   }
 
   @Test
   void looksForNoCopyWhereNothingRan() {
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+    world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
   void looksForNoCopyAfterATargetThatDeclaredNotRun() {
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    world.last().notRun(421);
+    world.lastCall().rejectNotExecuted(421);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
   void readsAnewWhereTheCopyIsMissing() {
     world.fail(running(2), TargetFailure.RESET);
 
-    world.last().notRun(503);
+    world.lastCall().rejectNotExecuted(503);
 
-    assertEquals(3, world.sent.size());
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
-    assertEquals(OptionalLong.of(2), world.last().dispatch.lastEventId());
+    assertEquals(3, world.sentCalls.size());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
+    assertEquals(OptionalLong.of(2), world.lastCall().dispatch.lastEventId());
   }
 
   @Test
   void movesAwayFromASilentTargetThatDoesNotAnswerProbes() {
     ForwardWorld.SentCall first = running(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     assertEquals(1, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertTrue(first.cancelled);
-    assertEquals(2, world.sent.size());
-    assertNotEquals(first.target(), world.last().target());
+    assertEquals(2, world.sentCalls.size());
+    assertNotEquals(first.target(), world.lastCall().target());
   }
 
   @Test
   void staysWithASilentTargetThatAnswersProbes() {
     ForwardWorld.SentCall first = running(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
-    world.pass(100);
+    world.advanceTime(100);
 
     assertFalse(first.cancelled);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void doesNotMoveAStreamThatSpokeWhileTheProbeWasOut() {
     ForwardWorld.SentCall first = running(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     first.event(3);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -161,8 +161,8 @@
 
   @Test
   void closesTheConnectionToTheTargetWhenTheCallerGoes() {
-    Exchange exchange = world.ask("/stream/x", caller).orElseThrow();
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true).event(1);
+    Exchange exchange = world.submit("/stream/x", caller).orElseThrow();
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
 
     exchange.onCallerDisconnected();
 
@@ -174,7 +174,7 @@
   void breaksOffAtTheDeadlineWithoutLookingComplete() {
     running(1);
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS + 1);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS + 1);
 
     assertTrue(caller.aborted);
   }
@@ -186,19 +186,19 @@
 
     world.fail(first, TargetFailure.RESET);
 
-    assertEquals("e9", world.last().target());
-    assertEquals(Optional.of("r1"), world.last().dispatch.continueFrom());
+    assertEquals("e9", world.lastCall().target());
+    assertEquals(Optional.of("r1"), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
   void looksForNoCopyAfterARunThatMadeNoEvent() {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall first = world.last().accepted().head(200, true);
-    world.pass(390);
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall first = world.lastCall().accept().respondHead(200, true);
+    world.advanceTime(390);
 
     world.fail(first, TargetFailure.RESET);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
@@ -206,8 +206,8 @@
     world.restart("e1", "e9");
 
     for (int i = 0; i < 20; i++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
-      assertNotEquals("e1", world.last().target());
+      world.submit("/stream/x", new ForwardWorld.Caller());
+      assertNotEquals("e1", world.lastCall().target());
     }
   }
 
@@ -217,14 +217,14 @@
         ForwardWorld.target("e1", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e2", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e3", ForwardWorld.ENGINES, "south"));
-    world.ask("/stream/x", caller);
-    while (world.last().target().equals("e3")) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
+    world.submit("/stream/x", caller);
+    while (world.lastCall().target().equals("e3")) {
+      world.submit("/stream/x", new ForwardWorld.Caller());
     }
 
-    world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+    world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
 
-    assertEquals("e3", world.last().target());
+    assertEquals("e3", world.lastCall().target());
   }
 
   private void loseHolderOf(ForwardWorld.SentCall call) {
@@ -237,8 +237,8 @@
   @Test
   void hasTheRunOrItsCopyInThisHostsDataCentre() {
     for (int i = 0; i < 20; i++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
-      Dispatch dispatch = world.last().dispatch;
+      world.submit("/stream/x", new ForwardWorld.Caller());
+      Dispatch dispatch = world.lastCall().dispatch;
       Address holder = dispatch.copyTo().orElseThrow();
       String runsAt = dispatch.target().dataCentre().value();
       String heldAt =
@@ -256,21 +256,21 @@
 
   @Test
   void countsATargetThatDeclaredNotRunAsNoAttempt() {
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
     for (int i = 0; i < 2; i++) {
-      world.last().notRun(421);
+      world.lastCall().rejectNotExecuted(421);
     }
-    ForwardWorld.SentCall running = world.last().accepted().head(200, true).event(1);
+    ForwardWorld.SentCall running = world.lastCall().accept().respondHead(200, true).event(1);
     world.list(
         ForwardWorld.target("e7", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e8", ForwardWorld.ENGINES, "south"));
 
     for (int i = 0; i < 4; i++) {
       world.fail(running, TargetFailure.RESET);
-      running = world.last().accepted().head(200, true).event(2 + i);
+      running = world.lastCall().accept().respondHead(200, true).event(2 + i);
     }
 
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
   }
 
   /** Has others tell that engines have more prompts to read than callers want to wait for. */
@@ -295,44 +295,44 @@
   @Test
   void aStreamBeyondItsAccountsShareWaitsAndIsSentWhenTheLoadIsOver() {
     overload();
-    world.ask("/stream/x", caller);
-    world.pass(1_000);
-    assertTrue(world.sent.isEmpty());
-    assertFalse(caller.isOver());
+    world.submit("/stream/x", caller);
+    world.advanceTime(1_000);
+    assertTrue(world.sentCalls.isEmpty());
+    assertFalse(caller.isFinal());
 
-    world.pass(2_500);
+    world.advanceTime(2_500);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void nothingOfAStreamIsSentWhoseCallerLeftWhileItWaited() {
     overload();
-    world.ask("/stream/x", caller).orElseThrow().onCallerDisconnected();
+    world.submit("/stream/x", caller).orElseThrow().onCallerDisconnected();
 
-    world.pass(5_000);
+    world.advanceTime(5_000);
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   @Test
   void whatWaitsAtAHostThatStopsIsRefusedAtOnce() {
     overload();
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
     world.forwarder.beginShutdown(world.context.now() + 1, world.context.now() + 8_000);
 
-    world.pass(500);
+    world.advanceTime(500);
 
-    assertEquals(Rejection.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.rejection);
   }
 
   @Test
   void aCallerWhoHasPartOfAStreamDoesNotWait() {
     overload();
     world.lastEventId = OptionalLong.of(7);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/CallerReturnTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamResumptionTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a caller is given that comes back for the rest of a stream. */
-class CallerReturnTest {
+class StreamResumptionTest {
   private static final String WITHOUT_ID = "data: x\n\n";
 
   private final ForwardWorld world = new ForwardWorld();
@@ -20,9 +20,9 @@
   @Test
   void getsNoEventWithoutIdOfARunThatIsStillBehindIt() {
     world.lastEventId = OptionalLong.of(5);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    world.last().accepted().head(200, true).event(1).text(WITHOUT_ID);
+    world.lastCall().accept().respondHead(200, true).event(1).text(WITHOUT_ID);
 
     assertEquals("", caller.body.toString());
   }
