--- a/gatereel-core/src/test/java/org/gatereel/core/forward/AnnouncementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/AnnouncementForwardingTest.java
@@ -30,35 +30,41 @@
 import org.gatereel.core.statement.TargetFact;
 import org.junit.jupiter.api.Test;
 
-/** What targets say of leaving and of rest, on each way by which a request may reach them. */
+/**
+ * Effects of announcements that a target is leaving or requests backoff, on each path by which a
+ * request may reach it.
+ */
 class AnnouncementForwardingTest {
-  private static final Statements LEAVES = Statements.NONE.withLeaving(new Statement.Said<>(true));
-  private static final long REST_MILLIS = 3_000;
-  private static final Statements RESTS =
-      Statements.NONE.withRestMillis(new Statement.Said<>(REST_MILLIS));
+  private static final Statements LEAVING = Statements.NONE.withLeaving(new Statement.Said<>(true));
+  private static final long BACKOFF_MILLIS = 3_000;
+  private static final Statements BACKING_OFF =
+      Statements.NONE.withRestMillis(new Statement.Said<>(BACKOFF_MILLIS));
   private static final int REQUESTS = 40;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
 
-  private static ForwardWorld.Head head(int status, boolean notRun, Statements said) {
-    return new ForwardWorld.Head(status, notRun, !notRun, false, said);
+  private static ForwardWorld.Head head(int status, boolean notExecuted, Statements announcements) {
+    return new ForwardWorld.Head(status, notExecuted, !notExecuted, false, announcements);
   }
 
-  private static ForwardWorld.Head stream(Statements said) {
-    return new ForwardWorld.Head(200, false, true, true, said);
+  private static ForwardWorld.Head stream(Statements announcements) {
+    return new ForwardWorld.Head(200, false, true, true, announcements);
   }
 
-  private SentCall ask(String path) {
+  private SentCall submit(String path) {
     int before = world.sentCalls.size();
     world.submit(path, new Caller());
     assertEquals(before + 1, world.sentCalls.size());
     return world.lastCall();
   }
 
-  /** Has the first target that is chosen answer; returns its name. */
-  private String told(ForwardWorld.Head head) {
-    SentCall call = ask("/safe/x").accept();
+  /**
+   * Submits a request, sends the given head from the chosen target, and returns the name of the
+   * target.
+   */
+  private String respondWith(ForwardWorld.Head head) {
+    SentCall call = submit("/safe/x").accept();
     call.listener.onHead(head);
     if (!head.declaresNotExecuted()) {
       call.listener.onEnd(ResponseEnd.LAST_CHUNK);
@@ -66,11 +72,11 @@
     return call.target();
   }
 
-  /** Returns who gets requests that are answered at once. */
+  /** Returns the targets that are chosen for requests which succeed at once. */
   private Set<String> chosen(String path) {
     Set<String> chosen = new HashSet<>();
     for (int number = 0; number < REQUESTS; number++) {
-      SentCall call = ask(path);
+      SentCall call = submit(path);
       chosen.add(call.target());
       call.respond(200, "ok");
     }
@@ -99,35 +105,35 @@
   // Leaving.
 
   @Test
-  void aTargetThatSaysItLeavesGetsNothingNew() {
-    String leaving = told(head(200, false, LEAVES));
+  void leavingTargetReceivesNoNewRequests() {
+    String leaving = respondWith(head(200, false, LEAVING));
 
     assertEquals(2, chosen("/safe/x").size());
     assertFalse(chosen("/safe/x").contains(leaving));
   }
 
-  /** Whatever the answer is, it comes from the target that was meant. */
+  /** Any authentic response can carry announcements, whatever its status. */
   @Test
-  void errorsAndRefusalsSayItToo() {
-    String first = told(head(500, false, LEAVES));
+  void errorsAndRejectionsCanAnnounceLeaving() {
+    String first = respondWith(head(500, false, LEAVING));
     assertFalse(chosen("/safe/x").contains(first));
 
-    String second = told(head(503, true, LEAVES));
+    String second = respondWith(head(503, true, LEAVING));
     assertNotEquals(first, second);
     assertFalse(chosen("/safe/x").contains(second));
   }
 
-  /** At its address is another target, which may leave while the one that was meant has gone. */
+  /** A response with status 421 comes from another target at the same address. */
   @Test
-  void whoeverAnswersInPlaceOfTheTargetSaysNothingOfItsRest() {
-    String gone = told(head(421, true, RESTS));
+  void misdirectedResponseDoesNotSetBackoffOfTarget() {
+    String gone = respondWith(head(421, true, BACKING_OFF));
 
     assertEquals(0, world.forwarder.backoffs().millisTo(new TargetId(gone)));
   }
 
   @Test
-  void whatCannotBeReadIsLoggedOnceASecondAndChangesNothing() {
-    Statements odd =
+  void unreadableAnnouncementsAreIgnoredAndLoggedOncePerSecond() {
+    Statements unreadable =
         new Statements(
             new Statement.Unreadable<>("many"),
             new Statement.Unreadable<>("soon"),
@@ -136,27 +142,27 @@
     events();
     Set<String> chosen = new HashSet<>();
     for (int number = 0; number < 50; number++) {
-      chosen.add(told(head(200, false, odd)));
+      chosen.add(respondWith(head(200, false, unreadable)));
     }
 
-    assertEquals(Set.of(told(head(200, false, Statements.NONE))), chosen);
+    assertEquals(Set.of(respondWith(head(200, false, Statements.NONE))), chosen);
     assertEquals(1, events().stream().filter(EventCode.STATEMENT_UNREADABLE::equals).count());
   }
 
   @Test
-  void aListThatSaysReadyDoesNotUndoIt() {
-    String leaving = told(head(200, false, LEAVES));
+  void listedReadyStateDoesNotRevokeLeaving() {
+    String leaving = respondWith(head(200, false, LEAVING));
 
     listOnly("c1", "c2", "c3");
 
     assertFalse(chosen("/safe/x").contains(leaving));
   }
 
-  /** Entries lapse while the store is away, and are back after it. */
+  /** Entries expire during a store outage and return after it. */
   @Test
   void anEntryThatLapsedAndReturnsDoesNotUndoIt() {
     TargetDescription[] all = {description("c1"), description("c2"), description("c3")};
-    String leaving = told(head(200, false, LEAVES));
+    String leaving = respondWith(head(200, false, LEAVING));
     Set<String> others = new HashSet<>(Set.of("c1", "c2", "c3"));
     others.remove(leaving);
     listOnly(others.toArray(String[]::new));
@@ -168,8 +174,8 @@
   }
 
   @Test
-  void aNewRunUnderTheAddressIsInServiceAtOnce() {
-    String leaving = told(head(200, false, LEAVES));
+  void newTargetAtSameAddressIsUsableAtOnce() {
+    String leaving = respondWith(head(200, false, LEAVING));
 
     world.restart(leaving, "next");
 
@@ -177,17 +183,20 @@
   }
 
   @Test
-  void aTargetThatDoesNotSayItAnyMoreGetsNothingAndIsLogged() {
+  void contradictedLeavingStaysInEffectAndIsLogged() {
     listOnly("c1");
-    SentCall early = ask("/safe/x").accept();
-    SentCall late = ask("/safe/x").accept();
-    told(head(200, false, LEAVES));
+    SentCall early = submit("/safe/x").accept();
+    SentCall late = submit("/safe/x").accept();
+    respondWith(head(200, false, LEAVING));
     events();
     early.respond(200, "ok");
-    assertFalse(events().contains(EventCode.LEAVING_CONTRADICTED), "it was sent before");
+    assertFalse(
+        events().contains(EventCode.LEAVING_CONTRADICTED),
+        "request was sent before the announcement");
     world.forwarder.announcements().receive(description("c1"), Statements.NONE, 0);
     assertFalse(
-        events().contains(EventCode.LEAVING_CONTRADICTED), "nobody says whose answer it is");
+        events().contains(EventCode.LEAVING_CONTRADICTED),
+        "response is not attributable to the target");
     late.respond(200, "ok");
 
     world.submit("/safe/x", caller);
@@ -195,12 +204,12 @@
     assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
-  /** Another host heard it before this request was sent. */
+  /** The other host received the announcement before this request was sent. */
   @Test
-  void anAnswerThatDoesNotSayWhatAnotherHostHeardIsLogged() {
+  void responseContradictingReportOfOtherHostIsLogged() {
     listOnly("c1");
     world.advanceTime(100);
-    SentCall call = ask("/safe/x").accept();
+    SentCall call = submit("/safe/x").accept();
     world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
     events();
 
@@ -227,18 +236,18 @@
   }
 
   @Test
-  void aHostThatIsToldByAnotherOneSendsNothing() {
+  void leavingReportedByOtherHostIsRespected() {
     world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
 
     assertFalse(chosen("/safe/x").contains("c1"));
   }
 
-  /** Another host's rest is a reason to ask elsewhere first; here two others are as good. */
+  /** A backoff reported by another host only lowers the priority of the target. */
   @Test
-  void aTargetThatRestsForAnotherHostIsAskedLast() {
+  void backoffReportedByOtherHostMakesTargetLastChoice() {
     TargetId target = new TargetId("c1");
     long now = world.context.now();
-    world.loads.take(report(new RestFact(target, now, now + REST_MILLIS)));
+    world.loads.take(report(new RestFact(target, now, now + BACKOFF_MILLIS)));
     assertFalse(chosen("/safe/x").contains("c1"));
 
     listOnly("c1");
@@ -247,7 +256,7 @@
   }
 
   @Test
-  void aRequestThatWaitsForItsConnectionGoesElsewhere() {
+  void requestWaitingForConnectionToLeavingTargetMoves() {
     world.submit("/safe/x", caller);
     SentCall waiting = world.lastCall();
     world.targets.leaving(new TargetId(waiting.target()));
@@ -263,43 +272,43 @@
   }
 
   @Test
-  void aStreamGoesOnWhereItRunsAndNotFromACopyThere() {
+  void leavingTargetKeepsStreamButItsCopyIsNotUsed() {
     world.submit("/stream/x", caller);
-    SentCall run = world.lastCall().accept();
-    run.listener.onHead(stream(LEAVES));
-    run.event(1).event(2);
-    assertFalse(run.cancelled);
+    SentCall execution = world.lastCall().accept();
+    execution.listener.onHead(stream(LEAVING));
+    execution.event(1).event(2);
+    assertFalse(execution.cancelled);
     TargetDescription holder =
         world.targets.all().stream()
             .map(state -> state.description())
-            .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
+            .filter(target -> execution.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
     world.targets.leaving(holder.id());
 
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
 
     String next = world.lastCall().target();
-    assertNotEquals(run.target(), next);
+    assertNotEquals(execution.target(), next);
     assertNotEquals(holder.id().value(), next);
     assertTrue(world.lastCall().dispatch.continueFrom().isEmpty());
   }
 
   @Test
-  void aCallerWhoComesBackIsNotSentThere() {
-    String leaving = ask("/stream/x").accept().target();
-    world.lastCall().listener.onHead(stream(LEAVES));
+  void resumedStreamIsNotSentToLeavingTarget() {
+    String leaving = submit("/stream/x").accept().target();
+    world.lastCall().listener.onHead(stream(LEAVING));
     world.lastEventId = OptionalLong.of(7);
 
     for (int number = 0; number < REQUESTS; number++) {
-      assertNotEquals(leaving, ask("/stream/x").target());
+      assertNotEquals(leaving, submit("/stream/x").target());
     }
   }
 
   @Test
-  void whereAllTargetsLeaveCallersAreRefusedAtOnce() {
+  void requestIsRejectedAtOnceWhenAllTargetsAreLeaving() {
     listOnly("c1");
-    told(head(200, false, LEAVES));
+    respondWith(head(200, false, LEAVING));
 
     world.submit("/safe/x", caller);
 
@@ -307,78 +316,81 @@
   }
 
   @Test
-  void anAnswerToAProbeSaysItToo() {
+  void probeResponseCanAnnounceLeaving() {
     TargetDescription target = description("c1");
     world.forwarder.port().probe(target, 100, result -> {});
 
-    world.lastProbe().listener().onAnnouncements(LEAVES);
+    world.lastProbe().listener().onAnnouncements(LEAVING);
 
     assertFalse(chosen("/safe/x").contains("c1"));
   }
 
   @Test
-  void anEngineThatIsAskedForItsPromptsSaysItToo() {
+  void promptQueryResponseCanAnnounceLeaving() {
     world.promptPart = Optional.of("part");
     world.lastEventId = OptionalLong.of(7);
     world.submit("/stream/x", caller);
-    String asked = world.promptQueries.get(0).target();
+    String queried = world.promptQueries.get(0).target();
 
-    world.promptQueries.get(0).announcements().accept(LEAVES);
-    world.promptQueries.forEach(question -> question.response().accept(Optional.empty()));
+    world.promptQueries.get(0).announcements().accept(LEAVING);
+    world.promptQueries.forEach(query -> query.response().accept(Optional.empty()));
 
-    assertNotEquals(asked, world.lastCall().target());
-    assertTrue(world.targets.find(new TargetId(asked)).orElseThrow().isLeaving());
+    assertNotEquals(queried, world.lastCall().target());
+    assertTrue(world.targets.find(new TargetId(queried)).orElseThrow().isLeaving());
   }
 
-  // Rest.
+  // Backoff.
 
   @Test
-  void aTargetThatWantsRestGetsNothingUntilItsEnd() {
-    String resting = told(head(503, true, RESTS));
-    for (int passed = 0; passed < REST_MILLIS; passed += 100) {
-      assertFalse(chosen("/safe/x").contains(resting));
+  void targetReceivesNothingDuringBackoff() {
+    String backingOff = respondWith(head(503, true, BACKING_OFF));
+    for (int passed = 0; passed < BACKOFF_MILLIS; passed += 100) {
+      assertFalse(chosen("/safe/x").contains(backingOff));
       world.advanceTime(100);
     }
     world.advanceTime(100);
 
-    assertTrue(chosen("/safe/x").contains(resting), "it is no emptier than the others");
+    assertTrue(chosen("/safe/x").contains(backingOff), "target is available after the backoff");
   }
 
   @Test
-  void theLongestOfSeveralHoldsAndALaterAnswerDoesNotEndIt() {
-    SentCall early = ask("/safe/x").accept();
+  void longestBackoffAppliesAndLaterResponseDoesNotEndIt() {
+    SentCall early = submit("/safe/x").accept();
     listOnly(early.target());
-    SentCall next = ask("/safe/x").accept();
-    next.listener.onHead(head(503, true, RESTS));
+    SentCall next = submit("/safe/x").accept();
+    next.listener.onHead(head(503, true, BACKING_OFF));
     early.respond(200, "ok");
 
-    world.advanceTime(REST_MILLIS - 1);
+    world.advanceTime(BACKOFF_MILLIS - 1);
 
     assertTrue(world.forwarder.backoffs().isResting(new TargetId(early.target())));
   }
 
   @Test
-  void aRefusalWithoutTheTargetsPromiseBindsToo() {
-    String resting = told(head(503, false, RESTS));
+  void rejectionWithoutNotExecutedDeclarationSetsBackoff() {
+    String backingOff = respondWith(head(503, false, BACKING_OFF));
 
-    assertFalse(chosen("/safe/x").contains(resting));
+    assertFalse(chosen("/safe/x").contains(backingOff));
   }
 
   @Test
-  void whatWasChosenBeforeIsNotSentAfter() {
-    SentCall first = ask("/safe/x");
+  void requestChosenBeforeBackoffIsNotSent() {
+    SentCall first = submit("/safe/x");
     listOnly(first.target());
-    SentCall second = ask("/safe/x");
-    first.accept().listener.onHead(head(503, true, RESTS));
+    SentCall second = submit("/safe/x");
+    first.accept().listener.onHead(head(503, true, BACKING_OFF));
 
     assertFalse(second.listener.maySend());
   }
 
-  /** A request that can wait for the end is held, and one that cannot is told when to return. */
+  /**
+   * A request waits if the backoff ends soon enough; otherwise its rejection has a Retry-After for
+   * the end of the backoff.
+   */
   @Test
-  void whereAllTargetsRestTheRequestIsRefusedAtOnceWithTheTimeOfTheFirstEnd() {
+  void requestIsRejectedWithRetryAfterWhenAllTargetsBackOff() {
     listOnly("c1");
-    told(head(503, true, RESTS));
+    respondWith(head(503, true, BACKING_OFF));
     world.advanceTime(1_000);
 
     Caller later = new Caller();
@@ -394,60 +406,62 @@
     assertEquals(before + 1, world.sentCalls.size());
   }
 
-  /** It would wait for a target that it may not be sent to a second time. */
+  /** The request may not be sent to the same target again, so that waiting would be useless. */
   @Test
-  void aCallThatTheOnlyTargetRefusedForRestIsRefusedAtOnce() {
+  void requestIsRejectedAtOnceWhenOnlyTargetBacksOff() {
     listOnly("c1");
     world.submit("/safe/x", caller);
-    Statements shortRest = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
+    Statements shortBackoff = Statements.NONE.withRestMillis(new Statement.Said<>(1L));
 
-    world.lastCall().accept().listener.onHead(head(503, true, shortRest));
+    world.lastCall().accept().listener.onHead(head(503, true, shortBackoff));
 
     assertEquals(Rejection.OVERLOADED, caller.rejection);
     assertTrue(caller.retryAfterMillis >= 1);
   }
 
-  /** All that was refused comes back together; the target would refuse it again. */
+  /**
+   * Guards against sending all retried requests at once to a target that would reject them again.
+   */
   @Test
-  void afterTheEndOneIsSentFirst() {
+  void oneRequestIsSentFirstAfterBackoff() {
     listOnly("c1");
-    told(head(503, true, RESTS));
-    world.advanceTime(REST_MILLIS + 100);
+    respondWith(head(503, true, BACKING_OFF));
+    world.advanceTime(BACKOFF_MILLIS + 100);
     int before = world.sentCalls.size();
 
     for (int number = 0; number < REQUESTS; number++) {
       world.submit("/safe/x", new Caller());
     }
     assertEquals(before + 1, world.sentCalls.size());
-    world.lastCall().accept().listener.onHead(head(503, true, RESTS));
+    world.lastCall().accept().listener.onHead(head(503, true, BACKING_OFF));
     world.advanceTime(500);
 
     assertEquals(before + 1, world.sentCalls.size());
   }
 
   @Test
-  void aCopyAtATargetThatRestsIsGivenUp() {
+  void copyAtTargetInBackoffIsNotUsed() {
     world.submit("/stream/x", caller);
-    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
+    SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     TargetDescription holder =
         world.targets.all().stream()
             .map(state -> state.description())
-            .filter(target -> run.dispatch.copyTo().equals(Optional.of(target.address())))
+            .filter(target -> execution.dispatch.copyTo().equals(Optional.of(target.address())))
             .findFirst()
             .orElseThrow();
-    world.forwarder.backoffs().hear(holder.id(), REST_MILLIS);
+    world.forwarder.backoffs().hear(holder.id(), BACKOFF_MILLIS);
 
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
 
     assertNotEquals(holder.id().value(), world.lastCall().target());
   }
 
-  /** Both at once: a token would be lost on a target that must not be sent anything. */
+  /** Guards against spending a token on a target in backoff. */
   @Test
-  void noTokenIsAskedForATargetThatRests() {
+  void noTokenIsRequestedForTargetInBackoff() {
     for (String counter : new String[] {"c1", "c2", "c3"}) {
       world.forwarder.limits().book().hear(new TargetId(counter), 5, 0);
-      world.forwarder.backoffs().hear(new TargetId(counter), REST_MILLIS);
+      world.forwarder.backoffs().hear(new TargetId(counter), BACKOFF_MILLIS);
     }
 
     world.submit("/safe/x", caller);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ConfigurationHolderTest.java
@@ -8,104 +8,110 @@
 
 class ConfigurationHolderTest {
   private final ForwardWorld world = new ForwardWorld();
-  private final ConfigurationHolder keeper = world.configurationHolder;
+  private final ConfigurationHolder holder = world.configurationHolder;
 
-  private Object refusal(String path, Optional<String> key) {
-    return keeper.lookUp("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
+  private Object lookUpResult(String path, Optional<String> key) {
+    return holder.lookUp("example", path, key) instanceof ConfigurationHolder.Lookup.Denied denied
         ? denied.rejection()
         : "allowed";
   }
 
   @Test
-  void refusesKeysOnceTheProofIsTooOld() {
+  void rejectsKeysOnceConfigurationIsStale() {
     world.advanceTime(4_849);
-    assertEquals("allowed", refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals("allowed", lookUpResult("/safe/x", Optional.of(ForwardWorld.KEY)));
 
     world.advanceTime(1);
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(
+        Rejection.STALE_CONFIGURATION, lookUpResult("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
-  /** Its steady clock stood still, so that by it alone removed keys would still be taken. */
+  /**
+   * The monotonic clock stops during a suspension, so that the age of the configuration must
+   * include the lost time.
+   */
   @Test
-  void refusesKeysAfterASuspensionUntilTheConfigurationIsProvedAnew() {
+  void rejectsKeysAfterSuspensionUntilConfigurationIsConfirmed() {
     world.advanceTime(100);
     world.context.noteLost(4_800);
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(
+        Rejection.STALE_CONFIGURATION, lookUpResult("/safe/x", Optional.of(ForwardWorld.KEY)));
 
-    keeper.confirm(1, world.context.knowledgeTime());
+    holder.confirm(1, world.context.knowledgeTime());
 
-    assertEquals("allowed", refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals("allowed", lookUpResult("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
-  void anAnswerToAQuestionFromBeforeASuspensionProvesNothingOfTheTimeAfter() {
-    long askedAt = world.context.knowledgeTime();
+  void responseToQueryFromBeforeSuspensionDoesNotConfirmLaterState() {
+    long queriedAt = world.context.knowledgeTime();
     world.context.noteLost(6_000);
-    keeper.confirm(1, askedAt);
+    holder.confirm(1, queriedAt);
 
-    assertEquals(6_000, keeper.ageMillis());
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of(ForwardWorld.KEY)));
+    assertEquals(6_000, holder.ageMillis());
+    assertEquals(
+        Rejection.STALE_CONFIGURATION, lookUpResult("/safe/x", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
-  void callsNoKeyUnknownAfterASuspension() {
+  void doesNotReportUnknownKeyAfterSuspension() {
     world.context.noteLost(3_000);
 
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.STALE_CONFIGURATION, lookUpResult("/safe/x", Optional.of("other")));
     assertEquals(
-        Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+        Rejection.STALE_CONFIGURATION, lookUpResult("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
-  void countsTheProofFromWhenTheQuestionWasSent() {
-    long askedAt = world.context.now();
+  void measuresConfirmationAgeFromWhenQueryWasSent() {
+    long queriedAt = world.context.now();
     world.advanceTime(3_000);
-    keeper.confirm(1, askedAt);
+    holder.confirm(1, queriedAt);
 
-    assertEquals(3_000, keeper.ageMillis());
+    assertEquals(3_000, holder.ageMillis());
   }
 
   @Test
-  void neverGoesBackToAnEarlierVersion() {
-    keeper.update(ForwardWorld.configuration(5).build(), world.context.now());
-    keeper.update(ForwardWorld.configuration(4).build(), world.context.now());
+  void ignoresEarlierVersion() {
+    holder.update(ForwardWorld.configuration(5).build(), world.context.now());
+    holder.update(ForwardWorld.configuration(4).build(), world.context.now());
 
-    assertEquals(5, keeper.version());
+    assertEquals(5, holder.version());
   }
 
   @Test
-  void takesNoProofFromAnAnswerAboutAnotherVersion() {
+  void ignoresConfirmationOfOtherVersion() {
     world.advanceTime(1_000);
-    keeper.confirm(0, world.context.now());
+    holder.confirm(0, world.context.now());
 
-    assertEquals(1_000, keeper.ageMillis());
+    assertEquals(1_000, holder.ageMillis());
   }
 
   @Test
-  void callsAKeyUnknownOnlyWhileTheConfigurationIsFresh() {
-    assertEquals(Rejection.UNKNOWN_KEY, refusal("/safe/x", Optional.of("other")));
-    assertEquals(Rejection.NO_ROUTE, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+  void reportsUnknownKeyOnlyWhileConfigurationIsFresh() {
+    assertEquals(Rejection.UNKNOWN_KEY, lookUpResult("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.NO_ROUTE, lookUpResult("/nowhere/", Optional.of(ForwardWorld.KEY)));
 
     world.advanceTime(2_000);
 
-    assertEquals(Rejection.STALE_CONFIGURATION, refusal("/safe/x", Optional.of("other")));
+    assertEquals(Rejection.STALE_CONFIGURATION, lookUpResult("/safe/x", Optional.of("other")));
     assertEquals(
-        Rejection.STALE_CONFIGURATION, refusal("/nowhere/", Optional.of(ForwardWorld.KEY)));
+        Rejection.STALE_CONFIGURATION, lookUpResult("/nowhere/", Optional.of(ForwardWorld.KEY)));
   }
 
   @Test
-  void findsTheLongestPrefix() {
+  void findsRouteWithLongestPrefix() {
     Configuration configuration =
         Configuration.builder(9)
             .add(ForwardWorld.route("/a/", RouteKind.ONCE, ForwardWorld.COUNTERS, 1))
             .add(ForwardWorld.route("/a/b/", RouteKind.REPEATABLE, ForwardWorld.COUNTERS, 1))
             .build();
-    keeper.update(configuration, world.context.now());
+    holder.update(configuration, world.context.now());
 
     ConfigurationHolder.Lookup.Allowed found =
         assertInstanceOf(
             ConfigurationHolder.Lookup.Allowed.class,
-            keeper.lookUp("example", "/a/b/c", Optional.empty()));
+            holder.lookUp("example", "/a/b/c", Optional.empty()));
 
     assertEquals("/a/b/", found.route().pathPrefix());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
@@ -20,7 +20,7 @@
 import org.gatereel.core.model.HostId;
 import org.junit.jupiter.api.Test;
 
-/** Which way a host learns of the store's documents, and how old their proof is then. */
+/** Where a host reads the store's documents, and the confirmation time that it records. */
 class DocumentRefresherTest {
   private static final DataCentre NORTH = new DataCentre("north");
   private static final DataCentre SOUTH = new DataCentre("south");
@@ -33,7 +33,7 @@
   private final DocumentCache cache = new DocumentCache();
   private final HostDirectory directory = new HostDirectory(context, SELF);
   private final Sources sources = new Sources();
-  private final List<SharedDocument> taken = new ArrayList<>();
+  private final List<SharedDocument> updates = new ArrayList<>();
   private final DocumentRefresher refresher =
       new DocumentRefresher(
           context,
@@ -41,10 +41,10 @@
           cache,
           sources,
           BOUND_MILLIS,
-          (document, outcome) -> taken.add(document));
-  private Optional<String> settled = Optional.of("not settled");
+          (document, outcome) -> updates.add(document));
+  private Optional<String> problem = Optional.of("not completed");
 
-  /** Keeps questions until the test answers them. */
+  /** Holds reads and queries until the test completes them. */
   private static final class Sources implements DocumentSources {
     private final Map<DocumentKind, Consumer<StoreResponse>> store =
         new EnumMap<>(DocumentKind.class);
@@ -52,32 +52,32 @@
     private Consumer<Optional<List<PeerDocument>>> peer;
 
     @Override
-    public void readStore(DocumentKind kind, Consumer<StoreResponse> answer) {
-      store.put(kind, answer);
+    public void readStore(DocumentKind kind, Consumer<StoreResponse> response) {
+      store.put(kind, response);
     }
 
     @Override
     public void queryPeer(
-        Address address, DocumentCache known, Consumer<Optional<List<PeerDocument>>> answer) {
+        Address address, DocumentCache known, Consumer<Optional<List<PeerDocument>>> response) {
       peers.add(address);
-      peer = answer;
+      peer = response;
     }
 
-    void answerStore(StoreResponse answer) {
-      Map<DocumentKind, Consumer<StoreResponse>> asked = new EnumMap<>(store);
+    void completeStoreReads(StoreResponse response) {
+      Map<DocumentKind, Consumer<StoreResponse>> pending = new EnumMap<>(store);
       store.clear();
-      asked.values().forEach(listener -> listener.accept(answer));
+      pending.values().forEach(listener -> listener.accept(response));
     }
   }
 
   private void refresh(long now) {
     context.moveTo(now);
-    settled = Optional.of("not settled");
-    refresher.refresh(now, problem -> settled = problem);
+    problem = Optional.of("not completed");
+    refresher.refresh(now, result -> problem = result);
   }
 
-  /** Makes the other host the reader of a data centre: the first of many names that ranks so. */
-  private void knowReader(DataCentre dataCentre) {
+  /** Lists another host under the first id that makes it the reader. */
+  private void listReader(DataCentre dataCentre) {
     for (int number = 0; directory.reader(context.now()).isEmpty() && number < 50; number++) {
       directory.update(
           List.of(
@@ -86,24 +86,24 @@
     }
   }
 
-  private static PeerDocument reading(DocumentKind kind, long version, long ageMillis) {
+  private static PeerDocument document(DocumentKind kind, long version, long ageMillis) {
     return new PeerDocument(kind, Optional.of("text"), "digest" + version, version, ageMillis);
   }
 
   @Test
-  void aHostWithoutAReaderReadsTheStoreItself() {
+  void hostWithoutReaderReadsStoreItself() {
     refresh(100);
     context.moveTo(150);
-    sources.answerStore(new StoreResponse.Read("text", "digest", 7));
-    assertEquals(Optional.empty(), settled);
-    assertEquals(3, taken.size());
-    assertTrue(taken.stream().allMatch(document -> document.confirmedAt() == 100));
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest", 7));
+    assertEquals(Optional.empty(), problem);
+    assertEquals(3, updates.size());
+    assertTrue(updates.stream().allMatch(document -> document.confirmedAt() == 100));
     assertEquals(600, refresher.intervalMillis());
   }
 
   @Test
-  void aHostAsksItsReaderAndTakesOverTheAgeOfTheProof() {
-    knowReader(NORTH);
+  void hostQueriesReaderAndAdoptsAgeOfConfirmation() {
+    listReader(NORTH);
     refresh(1_000);
     assertEquals(List.of(PEER), sources.peers);
     assertTrue(sources.store.isEmpty());
@@ -111,27 +111,27 @@
     sources.peer.accept(
         Optional.of(
             List.of(
-                reading(DocumentKind.CONFIGURATION, 7, 300),
-                reading(DocumentKind.TARGETS, 7, 300))));
-    assertEquals(Optional.empty(), settled);
-    assertEquals(700, taken.get(0).confirmedAt());
+                document(DocumentKind.CONFIGURATION, 7, 300),
+                document(DocumentKind.TARGETS, 7, 300))));
+    assertEquals(Optional.empty(), problem);
+    assertEquals(700, updates.get(0).confirmedAt());
     assertEquals(400, refresher.intervalMillis());
   }
 
   @Test
-  void aHostWhoseReaderDoesNotAnswerAsksTheStoreInTheSameRoundAndThenPassesTheReaderOver() {
-    knowReader(NORTH);
+  void hostReadsStoreInSameRoundAndAvoidsUnresponsiveReader() {
+    listReader(NORTH);
     refresh(1_000);
     sources.peer.accept(Optional.empty());
-    sources.answerStore(new StoreResponse.Read("text", "digest", 7));
-    assertEquals(Optional.empty(), settled);
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest", 7));
+    assertEquals(Optional.empty(), problem);
     refresh(1_600);
     assertEquals(1, sources.peers.size());
     assertFalse(sources.store.isEmpty());
   }
 
-  /** Has this host read for all, beside one in another data centre that ranks after it. */
-  private void knowFarHostThatDoesNotRead() {
+  /** Makes this host the global reader, with a lower-ranked host in another data centre. */
+  private void listRemoteHostThatDoesNotRead() {
     int number = 0;
     do {
       number++;
@@ -141,118 +141,118 @@
   }
 
   @Test
-  void aHostThatTheStoreTurnsAwayLearnsFromAnyOtherHost() {
-    knowFarHostThatDoesNotRead();
+  void hostQueriesAnotherHostWhenStoreRejectsIt() {
+    listRemoteHostThatDoesNotRead();
     refresh(1_000);
-    sources.answerStore(new StoreResponse.Failed("status 503"));
+    sources.completeStoreReads(new StoreResponse.Failed("status 503"));
     assertEquals(List.of(PEER), sources.peers);
     context.moveTo(1_200);
-    sources.peer.accept(Optional.of(List.of(reading(DocumentKind.CONFIGURATION, 7, 100))));
-    assertTrue(settled.orElseThrow().contains("status 503"));
+    sources.peer.accept(Optional.of(List.of(document(DocumentKind.CONFIGURATION, 7, 100))));
+    assertTrue(problem.orElseThrow().contains("status 503"));
     assertEquals(900, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
   }
 
   @Test
-  void equalContentsAreOnlyConfirmedAndOlderOnesIgnored() {
+  void equalDocumentIsConfirmedAndOlderDocumentIsIgnored() {
     refresh(100);
-    sources.answerStore(new StoreResponse.Read("text", "digest9", 9));
-    knowReader(NORTH);
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest9", 9));
+    listReader(NORTH);
     refresh(1_000);
     PeerDocument same = new PeerDocument(DocumentKind.TARGETS, Optional.empty(), "digest9", 9, 20);
-    sources.peer.accept(Optional.of(List.of(same, reading(DocumentKind.CONFIGURATION, 8, 10))));
+    sources.peer.accept(Optional.of(List.of(same, document(DocumentKind.CONFIGURATION, 8, 10))));
     assertEquals(980, cache.find(DocumentKind.TARGETS).orElseThrow().confirmedAt());
     assertEquals(100, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
     assertEquals("digest9", cache.find(DocumentKind.CONFIGURATION).orElseThrow().digest());
   }
 
-  /** A reader that the store turns away answers on; a change must not wait for its proof to age. */
+  /** Guards against late changes when the store rejects the reader, whose copy then grows old. */
   @Test
-  void aReaderWhoseProofIsOldIsPassedOverSoThatAChangeIsKnownWithinTheBound() {
-    knowReader(NORTH);
-    long provenAt = 1_000;
-    long asked = provenAt;
-    for (long now = provenAt;
+  void readerWithOldConfirmationIsAvoidedSoThatChangesArriveWithinBound() {
+    listReader(NORTH);
+    long confirmedAt = 1_000;
+    long readAt = confirmedAt;
+    for (long now = confirmedAt;
         sources.store.isEmpty() && now < 10 * BOUND_MILLIS;
         now += refresher.intervalMillis()) {
       refresh(now);
-      asked = now;
-      long age = now - provenAt;
+      readAt = now;
+      long age = now - confirmedAt;
       sources.peer.accept(
           Optional.of(
               List.of(
-                  reading(DocumentKind.CONFIGURATION, 7, age),
-                  reading(DocumentKind.TARGETS, 7, age))));
+                  document(DocumentKind.CONFIGURATION, 7, age),
+                  document(DocumentKind.TARGETS, 7, age))));
     }
-    assertTrue(asked - provenAt <= 0.75 * BOUND_MILLIS, "the store was asked after " + asked);
-    sources.answerStore(new StoreResponse.Read("text", "digest8", 8));
-    assertEquals(asked, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
+    assertTrue(readAt - confirmedAt <= 0.75 * BOUND_MILLIS, "store was read after " + readAt);
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest8", 8));
+    assertEquals(readAt, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
   }
 
-  private void readerIsBehind(long now) {
+  private void readOutdatedReader(long now) {
     refresh(now);
     sources.peer.accept(
         Optional.of(
             List.of(
-                reading(DocumentKind.CONFIGURATION, 7, BOUND_MILLIS),
-                reading(DocumentKind.TARGETS, 7, BOUND_MILLIS))));
+                document(DocumentKind.CONFIGURATION, 7, BOUND_MILLIS),
+                document(DocumentKind.TARGETS, 7, BOUND_MILLIS))));
   }
 
-  /** A reader whose word is old because the store answers nobody is as good as any other. */
+  /** When the store is unavailable, an outdated reader is as good as any other host. */
   @Test
-  void whileTheStoreAnswersNobodyTheReaderIsKeptAndTheStoreLeftAlone() {
-    knowReader(NORTH);
-    int askedTheStore = 0;
+  void readerIsKeptAndStoreBacksOffWhileStoreIsUnavailable() {
+    listReader(NORTH);
+    int storeReads = 0;
     for (long now = 1_000; now < 9_000; now += 500) {
-      readerIsBehind(now);
-      askedTheStore += sources.store.isEmpty() ? 0 : 1;
-      sources.answerStore(new StoreResponse.Failed("status 503"));
+      readOutdatedReader(now);
+      storeReads += sources.store.isEmpty() ? 0 : 1;
+      sources.completeStoreReads(new StoreResponse.Failed("status 503"));
       sources.peer.accept(Optional.empty());
-      assertTrue(settled.isPresent());
+      assertTrue(problem.isPresent());
       assertEquals(Optional.of(PEER), directory.reader(now));
     }
-    // At 1, 2, 4, 6 and 8 s of 16 rounds.
-    assertEquals(5, askedTheStore);
+    // Read at 1, 2, 4, 6 and 8 s.
+    assertEquals(5, storeReads);
   }
 
   @Test
-  void aReaderThatIsBehindThoughTheStoreAnswersIsPassedOver() {
-    knowReader(NORTH);
-    readerIsBehind(1_000);
-    sources.answerStore(new StoreResponse.Read("text", "digest", 8));
-    assertEquals(Optional.empty(), settled);
+  void outdatedReaderIsAvoidedWhenStoreResponds() {
+    listReader(NORTH);
+    readOutdatedReader(1_000);
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest", 8));
+    assertEquals(Optional.empty(), problem);
     assertEquals(Optional.empty(), directory.reader(1_000));
   }
 
   @Test
-  void afterAnAnswerOfTheStoreItIsAskedAtOnceAgain() {
-    knowReader(NORTH);
-    readerIsBehind(1_000);
-    sources.answerStore(new StoreResponse.Failed("status 503"));
+  void storeIsReadAgainWithoutDelayAfterStoreResponse() {
+    listReader(NORTH);
+    readOutdatedReader(1_000);
+    sources.completeStoreReads(new StoreResponse.Failed("status 503"));
     sources.peer.accept(Optional.empty());
-    readerIsBehind(2_000);
-    sources.answerStore(new StoreResponse.Read("text", "digest", 8));
+    readOutdatedReader(2_000);
+    sources.completeStoreReads(new StoreResponse.Read("text", "digest", 8));
     directory.avoid(PEER, 2_000);
 
-    readerIsBehind(4_500);
+    readOutdatedReader(4_500);
 
     assertFalse(sources.store.isEmpty());
   }
 
   @Test
-  void aReaderThatLacksAnUrgentDocumentIsPassedOver() {
-    knowReader(NORTH);
+  void readerWithoutUrgentDocumentIsAvoided() {
+    listReader(NORTH);
     refresh(1_000);
-    sources.peer.accept(Optional.of(List.of(reading(DocumentKind.HOSTS, 7, 10))));
+    sources.peer.accept(Optional.of(List.of(document(DocumentKind.HOSTS, 7, 10))));
     assertFalse(sources.store.isEmpty());
   }
 
   @Test
-  void theHostsAreReadRarely() {
+  void hostsDocumentIsReadAtLongerIntervals() {
     for (long now = 0; now <= 20_000; now += 500) {
       refresh(now);
-      boolean asked = sources.store.containsKey(DocumentKind.HOSTS);
-      sources.answerStore(new StoreResponse.Read("text", "digest", now));
-      assertEquals(now % 1_500 == 0 && now <= 4_500 || now == 12_500, asked, "at " + now);
+      boolean hostsRead = sources.store.containsKey(DocumentKind.HOSTS);
+      sources.completeStoreReads(new StoreResponse.Read("text", "digest", now));
+      assertEquals(now % 1_500 == 0 && now <= 4_500 || now == 12_500, hostsRead, "at " + now);
     }
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
@@ -12,7 +12,9 @@
 import org.gatereel.core.target.TargetState;
 import org.junit.jupiter.api.Test;
 
-/** What a host does whose own experience of a data centre's targets is thin. */
+/**
+ * Target selection when targets of a data centre fail and the host has few observations of its own.
+ */
 class FailingDataCentreTest {
   private final ForwardWorld world = new ForwardWorld();
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
@@ -29,27 +31,27 @@
   }
 
   @Test
-  void ofTwoDoubtedDataCentresTheOneWithFewerFailuresIsTried() {
+  void choosesFailingDataCentreWithFewerFailures() {
     list(8, 8);
-    failed("n0");
-    failed("n1");
-    failed("s0");
+    recordFailure("n0");
+    recordFailure("n1");
+    recordFailure("s0");
 
-    assertEquals("s", askAnew().target().substring(0, 1));
+    assertEquals("s", submitRequest().target().substring(0, 1));
   }
 
-  private ForwardWorld.SentCall askAnew() {
+  private ForwardWorld.SentCall submitRequest() {
     world.submit("/stream/x", new ForwardWorld.Caller());
     return world.lastCall();
   }
 
-  private void failed(String name) {
+  private void recordFailure(String name) {
     TargetState target = world.targets.find(new TargetId(name)).orElseThrow();
     world.targets.failed(target, TargetFailure.NOT_CONNECTED);
   }
 
   @Test
-  void aTargetThatHasRestartedUnderAnotherNameCastsDoubtOnThoseBesideIt() {
+  void targetRestartedUnderOtherIdCountsAgainstItsDataCentre() {
     list(8, 8);
     world.submit("/stream/x", caller);
     assertEquals("n", world.lastCall().target().substring(0, 1));
@@ -60,15 +62,15 @@
   }
 
   @Test
-  void aTargetThatIsListedAsLeavingCastsNone() {
+  void leavingTargetDoesNotCountAgainstItsDataCentre() {
     list(8, 8);
     world.targets.leaving(new TargetId("n0"));
 
-    assertEquals("n", askAnew().target().substring(0, 1));
+    assertEquals("n", submitRequest().target().substring(0, 1));
   }
 
   @Test
-  void targetsThatCannotBeReachedDoNotEndARequestEarly() {
+  void unreachableTargetsDoNotFailRequestEarly() {
     list(14, 0);
     world.submit("/stream/x", caller);
 
@@ -81,11 +83,11 @@
   }
 
   @Test
-  void targetsThatRefuseDoEndItAtLast() {
+  void rejectionsByTargetsFailRequestAfterMaxAttempts() {
     list(14, 0);
     world.submit("/stream/x", caller);
 
-    for (int refusal = 0; refusal < 8; refusal++) {
+    for (int rejection = 0; rejection < 8; rejection++) {
       world.lastCall().rejectNotExecuted(503);
     }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -34,7 +34,7 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** One host's forwarding before targets and callers that do what a test says; time is passed in. */
+/** One host's forwarding with simulated targets and callers; tests set the time. */
 final class ForwardWorld {
   static final String KEY = "key-1";
   static final ServiceName ENGINES = new ServiceName("engines");
@@ -58,12 +58,12 @@
   Optional<String> promptPart = Optional.empty();
   OptionalLong lastEventId = OptionalLong.empty();
 
-  /** The body of the requests that are asked next. */
+  /** Content of the requests that are submitted next. */
   String requestContent = "";
 
   private long listVersion;
 
-  /** A request at a target. */
+  /** A request sent to a target, with the means to simulate the response. */
   static final class SentCall {
     final Dispatch dispatch;
     final TargetPort.Listener listener;
@@ -112,16 +112,20 @@
     }
   }
 
-  /** A probe of a target. */
   record SentProbe(TargetDescription target, TargetPort.ProbeListener listener) {}
 
-  /** A question to an engine which parts of prompts it keeps. */
+  /** A query for the prompt parts that an engine has cached. */
   record PromptQuery(
-      String target, Consumer<Statements> announcements, Consumer<Optional<Set<String>>> response) {}
+      String target,
+      Consumer<Statements> announcements,
+      Consumer<Optional<Set<String>>> response) {}
 
-  /** A question to another host for requests to a target that takes only so many. */
+  /** A request for tokens of a rate-limited target, sent to the issuing host. */
   record TokenRequest(
-      Address issuer, LoanSubject.Requests requested, int count, Consumer<Optional<Loan>> response) {}
+      Address issuer,
+      LoanSubject.Requests requested,
+      int count,
+      Consumer<Optional<Loan>> response) {}
 
   record Head(
       int status,
@@ -130,8 +134,8 @@
       boolean isEventStream,
       Statements announcements)
       implements ResponseHead {
-    Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
-      this(status, declaresNotRun, isAuthentic, isEventStream, Statements.NONE);
+    Head(int status, boolean declaresNotExecuted, boolean isAuthentic, boolean isEventStream) {
+      this(status, declaresNotExecuted, isAuthentic, isEventStream, Statements.NONE);
     }
   }
 
@@ -152,7 +156,7 @@
     }
   }
 
-  /** What a caller got. */
+  /** Records what a caller receives, and fails on a second head or final response. */
   static class Caller implements CallerPort {
     final StringBuilder body = new StringBuilder();
     int status = -1;
@@ -168,7 +172,7 @@
 
     private void checkOpen() {
       if (isFinal()) {
-        throw new AssertionError("a second final answer");
+        throw new AssertionError("caller received a second final response");
       }
     }
 
@@ -176,7 +180,7 @@
     public void begin(ResponseHead head) {
       checkOpen();
       if (status != -1) {
-        throw new AssertionError("a second head");
+        throw new AssertionError("caller received a second response head");
       }
       status = head.status();
       hasStream = head.isEventStream();
@@ -216,7 +220,8 @@
     context =
         new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(seed));
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
-    configurationHolder = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
+    configurationHolder =
+        new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
     context.moveTo(START);
     TargetPort port =
@@ -237,9 +242,9 @@
           public void listPrompts(
               TargetDescription target,
               long millis,
-              Consumer<Statements> heard,
-              Consumer<Optional<Set<String>>> answer) {
-            promptQueries.add(new PromptQuery(target.id().value(), heard, answer));
+              Consumer<Statements> announcements,
+              Consumer<Optional<Set<String>>> response) {
+            promptQueries.add(new PromptQuery(target.id().value(), announcements, response));
           }
         };
     Address address = new Address("10.0.1.1", 7_215);
@@ -271,11 +276,11 @@
   }
 
   private void requestLoan(
-      Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+      Address issuer, LoanSubject subject, int count, Consumer<Optional<Loan>> response) {
     if (subject instanceof LoanSubject.Requests requests) {
-      tokenRequests.add(new TokenRequest(lender, requests, count, answer));
+      tokenRequests.add(new TokenRequest(issuer, requests, count, response));
     } else {
-      retryLoanRequests.add(given -> answer.accept(Optional.of(new Loan(given, 0))));
+      retryLoanRequests.add(granted -> response.accept(Optional.of(new Loan(granted, 0))));
     }
   }
 
@@ -284,7 +289,7 @@
     public void recordResponse(Route route, long millis) {}
 
     @Override
-    public void recordRejection(Rejection refusal) {}
+    public void recordRejection(Rejection rejection) {}
 
     @Override
     public void recordInterruption(Route route) {}
@@ -330,7 +335,7 @@
         LifeState.LIVE);
   }
 
-  /** Has a target end and another one start at its address; the list still names both. */
+  /** Lists a new target at the address of an existing one, which stays listed. */
   void restart(String id, String successor) {
     List<TargetDescription> listed = new ArrayList<>();
     for (TargetState state : targets.all()) {
@@ -378,7 +383,7 @@
     return probes.get(probes.size() - 1);
   }
 
-  /** Lets time pass, step by step, so that timers run in their order. */
+  /** Advances the time millisecond by millisecond, so that timers run in order. */
   void advanceTime(long millis) {
     long end = context.now() + millis;
     while (context.now() < end) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingFuzzTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingFuzzTest.java
@@ -9,14 +9,13 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Sequences of whatever callers, targets and the platform may do, against a simple oracle: one
- * final answer for each request, no second run of what may run once, true promises, whole streams
- * in order.
+ * Random sequences of actions by callers, targets, the store and the host, checked by {@link
+ * ForwardingScenario}.
  */
 class ForwardingFuzzTest {
   @Provide
   Arbitrary<List<Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer>>> sequences() {
-    Arbitrary<ForwardingScenario.ScenarioStep> happenings =
+    Arbitrary<ForwardingScenario.ScenarioStep> steps =
         Arbitraries.frequency(
                 Tuple.of(6, ForwardingScenario.ScenarioStep.ASK),
                 Tuple.of(8, ForwardingScenario.ScenarioStep.ACCEPT),
@@ -27,15 +26,16 @@
                     Arbitraries.frequencyOf(
                         Tuple.of(3, Arbitraries.just(common)),
                         Tuple.of(2, Arbitraries.of(ForwardingScenario.ScenarioStep.class))));
-    return happenings
-        .flatMap(h -> Arbitraries.integers().between(0, 999).map(n -> Tuple.of(h, n)))
+    return steps
+        .flatMap(
+            step -> Arbitraries.integers().between(0, 999).map(number -> Tuple.of(step, number)))
         .list()
         .ofMinSize(5)
         .ofMaxSize(120);
   }
 
   @Property(tries = 1_500, seed = "20261202")
-  void keepsItsPromisesWhateverHappens(
+  void invariantsHoldForRandomSequences(
       @ForAll("sequences") List<Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer>> sequence) {
     ForwardingScenario scenario = new ForwardingScenario();
     for (Tuple.Tuple2<ForwardingScenario.ScenarioStep, Integer> step : sequence) {
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
@@ -19,12 +19,12 @@
 import org.gatereel.core.model.TargetId;
 
 /**
- * A host with its callers and targets, what each of them has seen, and an oracle: one final answer
- * for each request, no second run of what may run once, true promises, whole streams in order, and
- * no answer ended as complete that no target ended so.
+ * Drives one host with simulated callers and targets, and checks after each step: one final
+ * response for each request, no second execution of unsafe requests, correct rejections, complete
+ * streams in order, and no response ended as complete that its target did not complete.
  */
 final class ForwardingScenario {
-  /** The paths of the three kinds of requests. */
+  /** Paths of a stream, a repeatable request and a request that may execute only once. */
   static final String[] PATHS = {"/stream/x", "/safe/x", "/once/x"};
 
   private static final Pattern ID = Pattern.compile("(?m)^id: ([0-9]+)$");
@@ -48,7 +48,7 @@
   private int replacementCount;
   private int eventsWithoutId;
 
-  /** What may happen next. */
+  /** An action of a caller, a target, the store or the host. */
   enum ScenarioStep {
     ASK,
     ACCEPT,
@@ -85,7 +85,7 @@
     STOP
   }
 
-  /** One request with what its targets did. */
+  /** A request, its caller and the number of its executions. */
   private static final class TrackedRequest {
     final String path;
     final ForwardWorld.Caller caller = new ForwardWorld.Caller();
@@ -102,26 +102,28 @@
     }
   }
 
-  /** What a target has done with a call. */
+  /** The state of a call at its target. */
   private static final class CallState {
     boolean accepted;
     boolean ended;
 
-    /** Where the run stands; it may not have sent any event yet. */
+    /** Id of the last event; without any event sent, the id after which the target resumes. */
     long lastEvent;
 
     boolean hasEvents;
   }
 
-  /** Has something happen, and checks what every caller has seen so far. */
-  void perform(ScenarioStep happening, int number) {
-    step(happening, number);
+  /** Performs a step and checks the invariants of all requests. */
+  void perform(ScenarioStep step, int number) {
+    performStep(step, number);
     adoptNewCalls();
-    world.probes.forEach(probe -> targetReachable.putIfAbsent(probe, !isGone(probe.target())));
+    world.probes.forEach(probe -> targetReachable.putIfAbsent(probe, !isStopped(probe.target())));
     requests.forEach(this::checkInvariants);
   }
 
-  /** Lets all time-outs pass; every request must have its answer then, and nothing be left open. */
+  /**
+   * Lets all timeouts pass, and checks that every request has its response and nothing stays open.
+   */
   void finish() {
     world.advanceTime(2 * ForwardWorld.TIMEOUT_MILLIS);
     adoptNewCalls();
@@ -130,43 +132,50 @@
     }
     adoptNewCalls();
     requests.forEach(this::checkInvariants);
-    for (TrackedRequest told : requests) {
-      assertTrue(told.isOver(), "a request was never answered");
+    for (TrackedRequest request : requests) {
+      assertTrue(request.isOver(), "request has no final response");
     }
     assertEquals(0, world.forwarder.openExchangeCount());
     for (ForwardWorld.SentCall call : callStates.keySet()) {
-      assertTrue(call.cancelled || callStates.get(call).ended, "a connection was left open");
+      assertTrue(
+          call.cancelled || callStates.get(call).ended, "connection to target was left open");
     }
   }
 
-  private void step(ScenarioStep happening, int number) {
+  private void performStep(ScenarioStep step, int number) {
     Optional<ForwardWorld.SentCall> call = openCall(number);
-    switch (happening) {
+    switch (step) {
       case ASK -> submit(PATHS[number % PATHS.length]);
       case ACCEPT -> call.ifPresent(this::accept);
-      case REFUSE_FULL -> call.ifPresent(open -> reject(open, 503));
-      case REFUSE_MISDIRECTED -> call.ifPresent(open -> reject(open, 421));
-      case NEXT_EVENT -> call.ifPresent(open -> event(open, 1));
-      case SKIP_EVENT -> call.ifPresent(open -> event(open, 2));
-      case REPEAT_EVENT -> call.ifPresent(open -> eventAgain(open, callStates.get(open).lastEvent));
-      case EARLIER_EVENT -> call.ifPresent(open -> eventAgain(open, callStates.get(open).lastEvent - 1));
-      case START_ANEW -> call.ifPresent(open -> eventAgain(open, 1));
+      case REFUSE_FULL -> call.ifPresent(openCall -> reject(openCall, 503));
+      case REFUSE_MISDIRECTED -> call.ifPresent(openCall -> reject(openCall, 421));
+      case NEXT_EVENT -> call.ifPresent(openCall -> event(openCall, 1));
+      case SKIP_EVENT -> call.ifPresent(openCall -> event(openCall, 2));
+      case REPEAT_EVENT ->
+          call.ifPresent(openCall -> eventAgain(openCall, callStates.get(openCall).lastEvent));
+      case EARLIER_EVENT ->
+          call.ifPresent(openCall -> eventAgain(openCall, callStates.get(openCall).lastEvent - 1));
+      case START_ANEW -> call.ifPresent(openCall -> eventAgain(openCall, 1));
       case EVENT_WITHOUT_ID -> call.ifPresent(this::eventWithoutId);
       case COMMENT -> call.ifPresent(this::comment);
-      case HALF_EVENT_THEN_END -> call.ifPresent(open -> halfEvent(open, ResponseEnd.LAST_CHUNK));
+      case HALF_EVENT_THEN_END ->
+          call.ifPresent(openCall -> halfEvent(openCall, ResponseEnd.LAST_CHUNK));
       case HALF_EVENT_THEN_RESET -> call.ifPresent(this::halfEventThenReset);
       case HALF_EVENT_THEN_CLOSE ->
-          call.ifPresent(open -> halfEvent(open, ResponseEnd.CONNECTION_CLOSED));
-      case END -> call.ifPresent(open -> end(open, ResponseEnd.LAST_CHUNK));
-      case END_BY_CLOSE -> call.ifPresent(open -> end(open, ResponseEnd.CONNECTION_CLOSED));
+          call.ifPresent(openCall -> halfEvent(openCall, ResponseEnd.CONNECTION_CLOSED));
+      case END -> call.ifPresent(openCall -> end(openCall, ResponseEnd.LAST_CHUNK));
+      case END_BY_CLOSE -> call.ifPresent(openCall -> end(openCall, ResponseEnd.CONNECTION_CLOSED));
       case DIE_BY_CLOSE -> call.ifPresent(this::closeAndStop);
-      case ERROR -> call.ifPresent(open -> respond(open, ERROR_HEAD, ResponseEnd.LAST_CHUNK));
+      case ERROR ->
+          call.ifPresent(openCall -> respond(openCall, ERROR_HEAD, ResponseEnd.LAST_CHUNK));
       case ERROR_BY_CLOSE ->
-          call.ifPresent(open -> respond(open, ERROR_HEAD, ResponseEnd.CONNECTION_CLOSED));
-      case OTHER_TYPE -> call.ifPresent(open -> respond(open, PLAIN_HEAD, ResponseEnd.LAST_CHUNK));
-      case UNSIGNED -> call.ifPresent(open -> respond(open, UNSIGNED_HEAD, ResponseEnd.LAST_CHUNK));
+          call.ifPresent(openCall -> respond(openCall, ERROR_HEAD, ResponseEnd.CONNECTION_CLOSED));
+      case OTHER_TYPE ->
+          call.ifPresent(openCall -> respond(openCall, PLAIN_HEAD, ResponseEnd.LAST_CHUNK));
+      case UNSIGNED ->
+          call.ifPresent(openCall -> respond(openCall, UNSIGNED_HEAD, ResponseEnd.LAST_CHUNK));
       case LATE_CALLBACKS -> lateCallbacks();
-      case RESET -> call.ifPresent(open -> fail(open, TargetFailure.RESET));
+      case RESET -> call.ifPresent(openCall -> fail(openCall, TargetFailure.RESET));
       case NOT_CONNECTED -> call.ifPresent(this::notConnected);
       case CALLER_GOES -> disconnectCaller(number);
       case PROBE_FAILS -> answerProbe(false);
@@ -185,45 +194,47 @@
   }
 
   private void submit(String path) {
-    TrackedRequest told = new TrackedRequest(path);
-    requests.add(told);
+    TrackedRequest request = new TrackedRequest(path);
+    requests.add(request);
     int before = world.sentCalls.size();
-    told.exchange = world.submit(path, told.caller);
+    request.exchange = world.submit(path, request.caller);
     for (ForwardWorld.SentCall call : world.sentCalls.subList(before, world.sentCalls.size())) {
-      assignCall(call, told);
+      assignCall(call, request);
     }
   }
 
-  private void assignCall(ForwardWorld.SentCall call, TrackedRequest told) {
+  private void assignCall(ForwardWorld.SentCall call, TrackedRequest request) {
     assertFalse(
-        told.caller.body.toString().contains(WITHOUT_ID),
-        "a stream went on elsewhere after an event without an id");
+        request.caller.body.toString().contains(WITHOUT_ID),
+        "stream continued elsewhere after an event without an id");
     callStates.put(call, new CallState());
-    owners.put(call, told);
+    owners.put(call, request);
   }
 
-  /** A call that appeared belongs to the request whose exchange has it. */
+  /** Assigns each new call to the request whose exchange holds it. */
   private void adoptNewCalls() {
     for (ForwardWorld.SentCall call : world.sentCalls) {
       if (!callStates.containsKey(call)) {
-        TrackedRequest told =
+        TrackedRequest request =
             requests.stream()
                 .filter(each -> each.exchange.isPresent() && isCurrent(each, call))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("a call of no request"));
-        assignCall(call, told);
+                .orElseThrow(() -> new AssertionError("call belongs to no request"));
+        assignCall(call, request);
       }
     }
   }
 
-  private static boolean isCurrent(TrackedRequest told, ForwardWorld.SentCall call) {
-    Attempt attempt = told.exchange.orElseThrow().attempt();
+  private static boolean isCurrent(TrackedRequest request, ForwardWorld.SentCall call) {
+    Attempt attempt = request.exchange.orElseThrow().attempt();
     return attempt == call.listener;
   }
 
   private Optional<ForwardWorld.SentCall> openCall(int number) {
     List<ForwardWorld.SentCall> open =
-        callStates.keySet().stream().filter(call -> !call.cancelled && !callStates.get(call).ended).toList();
+        callStates.keySet().stream()
+            .filter(call -> !call.cancelled && !callStates.get(call).ended)
+            .toList();
     List<ForwardWorld.SentCall> ordered = world.sentCalls.stream().filter(open::contains).toList();
     return ordered.isEmpty() ? Optional.empty() : Optional.of(ordered.get(number % ordered.size()));
   }
@@ -237,7 +248,7 @@
     }
   }
 
-  /** The target has the request, and has not answered yet. */
+  /** Accepts the request without a response yet. */
   private void acceptRequest(ForwardWorld.SentCall call) {
     CallState work = callStates.get(call);
     work.accepted = true;
@@ -246,7 +257,7 @@
     call.accept();
   }
 
-  private boolean isGone(TargetDescription target) {
+  private boolean isStopped(TargetDescription target) {
     return stoppedTargets.contains(target.id());
   }
 
@@ -267,48 +278,57 @@
 
   private void event(ForwardWorld.SentCall call, int step) {
     CallState work = callStates.get(call);
-    // Where the ids of a stream begin is nowhere said, so that no host can miss its first event.
-    int taken = work.lastEvent == 0 ? 1 : step;
-    if (isStreaming(call) && work.lastEvent + taken <= LAST_EVENT) {
-      work.lastEvent += taken;
+    // Any first id is valid, so that a gap before the first event cannot be detected.
+    int increment = work.lastEvent == 0 ? 1 : step;
+    if (isStreaming(call) && work.lastEvent + increment <= LAST_EVENT) {
+      work.lastEvent += increment;
       work.hasEvents = true;
       call.event(work.lastEvent);
     }
   }
 
-  /** A run may begin with what the caller has, but must never go back. */
+  /** An execution may repeat events that the caller has, but its ids must not decrease. */
   private void eventAgain(ForwardWorld.SentCall call, long id) {
     CallState work = callStates.get(call);
     if (!isStreaming(call) || id < 1 || id > work.lastEvent) {
       return;
     }
-    boolean goesBack = work.hasEvents;
+    boolean idsDecrease = work.hasEvents;
     work.lastEvent = id;
     work.hasEvents = true;
     call.event(id);
-    assertEquals(goesBack, call.cancelled, "a run that went back is given up, and no other");
+    assertEquals(
+        idsDecrease, call.cancelled, "an attempt is cancelled exactly if its ids decrease");
   }
 
-  /** Such an event may be passed on only by a run that stands where the caller does. */
+  /**
+   * Only an execution whose last event is the caller's last event may forward an event without an
+   * id.
+   */
   private void eventWithoutId(ForwardWorld.SentCall call) {
     if (!isStreaming(call)) {
       return;
     }
     ForwardWorld.Caller caller = owners.get(call).caller;
-    long callerStandsAt = lastId(caller.body);
+    long lastIdOfCaller = lastId(caller.body);
     int before = caller.body.length();
     call.text(WITHOUT_ID + ++eventsWithoutId + "\n\n");
     if (caller.body.length() > before) {
       CallState work = callStates.get(call);
-      assertEquals(callerStandsAt, work.lastEvent, "an event without an id was misplaced");
-      assertTrue(work.hasEvents || callerStandsAt == 0, "a run had not shown where it stands");
+      assertEquals(
+          lastIdOfCaller,
+          work.lastEvent,
+          "event without an id was forwarded at the wrong position");
+      assertTrue(
+          work.hasEvents || lastIdOfCaller == 0,
+          "event without an id was forwarded before the position was known");
     }
   }
 
   private void comment(ForwardWorld.SentCall call) {
     if (isStreaming(call)) {
       call.text(COMMENT);
-      assertFalse(call.cancelled, "a comment ended a run");
+      assertFalse(call.cancelled, "comment cancelled the attempt");
     }
   }
 
@@ -343,7 +363,7 @@
     }
   }
 
-  /** The target's process ends, which closes its connections in order; no probe reaches it then. */
+  /** Ends the target's process: its connections close normally, and later probes fail. */
   private void closeAndStop(ForwardWorld.SentCall call) {
     accept(call);
     if (call.cancelled) {
@@ -358,7 +378,7 @@
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
   }
 
-  /** Answers without a stream; a target that has begun one can't any more. */
+  /** Sends a response that is not a stream, unless the target has started a stream. */
   private void respond(ForwardWorld.SentCall call, ForwardWorld.Head head, ResponseEnd end) {
     if (isStreaming(call)) {
       return;
@@ -372,7 +392,7 @@
     call.listener.onEnd(end);
   }
 
-  /** What still comes of attempts that were given up, or have ended, must change nothing. */
+  /** Checks that late callbacks of cancelled or ended attempts are ignored. */
   private void lateCallbacks() {
     String before = describeObservations();
     for (ForwardWorld.SentCall call : List.copyOf(world.sentCalls)) {
@@ -387,14 +407,17 @@
         call.listener.onFailure(TargetFailure.RESET);
       }
     }
-    assertEquals(before, describeObservations(), "something late of a given-up attempt was taken in");
+    assertEquals(
+        before,
+        describeObservations(),
+        "late callback of a cancelled or ended attempt had an effect");
   }
 
-  /** What all callers and targets have seen so far. */
+  /** Describes what all callers and targets have received. */
   private String describeObservations() {
     StringBuilder seen = new StringBuilder();
-    for (TrackedRequest told : requests) {
-      ForwardWorld.Caller caller = told.caller;
+    for (TrackedRequest request : requests) {
+      ForwardWorld.Caller caller = request.caller;
       seen.append(caller.status).append(caller.isFinal()).append(caller.body).append('|');
     }
     world.sentCalls.forEach(call -> seen.append(call.target()).append(call.cancelled));
@@ -416,20 +439,20 @@
     if (requests.isEmpty()) {
       return;
     }
-    TrackedRequest told = requests.get(number % requests.size());
-    if (!told.isOver() && told.exchange.isPresent()) {
-      told.callerDisconnected = true;
-      told.exchange.get().onCallerDisconnected();
+    TrackedRequest request = requests.get(number % requests.size());
+    if (!request.isOver() && request.exchange.isPresent()) {
+      request.callerDisconnected = true;
+      request.exchange.get().onCallerDisconnected();
     }
   }
 
-  /** A target whose process was gone when it was asked never answers, whatever comes later. */
+  /** A probe that was sent to a stopped target fails, whatever happens later. */
   private void answerProbe(boolean alive) {
     if (!world.probes.isEmpty()) {
       ForwardWorld.SentProbe probe = world.probes.remove(0);
-      boolean reached = targetReachable.getOrDefault(probe, !isGone(probe.target()));
-      ProbeResult ofTheLiving = alive ? ProbeResult.ALIVE : ProbeResult.UNKNOWN;
-      probe.listener().onResult(reached ? ofTheLiving : ProbeResult.GONE);
+      boolean reached = targetReachable.getOrDefault(probe, !isStopped(probe.target()));
+      ProbeResult resultOfRunningTarget = alive ? ProbeResult.ALIVE : ProbeResult.UNKNOWN;
+      probe.listener().onResult(reached ? resultOfRunningTarget : ProbeResult.GONE);
     }
   }
 
@@ -441,14 +464,18 @@
     }
   }
 
-  private void checkInvariants(TrackedRequest told) {
-    ForwardWorld.Caller caller = told.caller;
-    if (told.path.startsWith("/once/")) {
-      assertTrue(told.executions <= 1, "a request that may run once ran " + told.executions + " times");
+  private void checkInvariants(TrackedRequest request) {
+    ForwardWorld.Caller caller = request.caller;
+    if (request.path.startsWith("/once/")) {
+      assertTrue(
+          request.executions <= 1,
+          "request that may execute once was executed " + request.executions + " times");
     }
     if (caller.rejection != null && caller.rejection.status() == 503) {
-      boolean mayRunTwice = !told.path.startsWith("/once/");
-      assertTrue(mayRunTwice || told.executions == 0, "not run was said of a request that ran");
+      boolean mayExecuteTwice = !request.path.startsWith("/once/");
+      assertTrue(
+          mayExecuteTwice || request.executions == 0,
+          "executed request was rejected as not executed");
     }
     if (caller.hasStream) {
       checkStream(caller);
@@ -459,13 +486,16 @@
 
   private static void checkPlain(ForwardWorld.Caller caller) {
     if (caller.finished) {
-      assertEquals(COMPLETE_BODY, caller.body.toString(), "an answer ended as complete and is not");
+      assertEquals(COMPLETE_BODY, caller.body.toString(), "incomplete response ended as complete");
     } else {
       assertEquals("", caller.body.toString());
     }
   }
 
-  /** The ids of a stream begin at 1 and rise by one, whatever stands between its events. */
+  /**
+   * Event ids start at 1 and increase by one; comments and events without ids may stand between
+   * them.
+   */
   private static void checkStream(ForwardWorld.Caller caller) {
     StringBuilder expected = new StringBuilder();
     long id = 0;
@@ -475,7 +505,7 @@
     }
     assertEquals(expected.toString(), caller.body.toString());
     if (caller.finished) {
-      assertEquals(LAST_EVENT, id, "a stream ended as complete before its last event");
+      assertEquals(LAST_EVENT, id, "stream ended as complete before its last event");
     }
   }
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/HostDirectoryTest.java
@@ -35,7 +35,7 @@
     return new CoreContext(new HostId(host), NORTH, new SplittableRandom(1));
   }
 
-  private static List<Entry> young(int count, DataCentre dataCentre) {
+  private static List<Entry> recentEntries(int count, DataCentre dataCentre) {
     List<Entry> entries = new ArrayList<>();
     for (int number = 1; number <= count; number++) {
       entries.add(entry(number, dataCentre, NOW));
@@ -43,36 +43,36 @@
     return entries;
   }
 
-  private static void learnOften(HostDirectory directory, List<Entry> entries) {
+  private static void updateRepeatedly(HostDirectory directory, List<Entry> entries) {
     for (int reading = 0; reading < 3; reading++) {
       directory.update(entries, NOW);
     }
   }
 
   @Test
-  void writesItsOwnEntryUntilItSeesAYoungOne() {
+  void writesOwnEntryUntilRecentEntryIsListed() {
     HostDirectory directory = directory(1);
     assertEquals(entry(1, NORTH, NOW), directory.update(List.of(), NOW).orElseThrow().own());
-    assertTrue(directory.update(young(1, NORTH), NOW + 59_000).isEmpty());
-    assertTrue(directory.update(young(1, NORTH), NOW + 60_000).isPresent());
+    assertTrue(directory.update(recentEntries(1, NORTH), NOW + 59_000).isEmpty());
+    assertTrue(directory.update(recentEntries(1, NORTH), NOW + 60_000).isPresent());
   }
 
   @Test
-  void doesNotWriteAgainBeforeItsEntryCanHaveBeenRead() {
+  void doesNotRewriteEntryWithinMinInterval() {
     HostDirectory directory = directory(1);
     assertTrue(directory.update(List.of(), NOW).isPresent());
-    assertTrue(directory.update(young(0, NORTH), NOW + 8_000).isEmpty());
-    assertTrue(directory.update(young(0, NORTH), NOW + 9_000).isPresent());
+    assertTrue(directory.update(recentEntries(0, NORTH), NOW + 8_000).isEmpty());
+    assertTrue(directory.update(recentEntries(0, NORTH), NOW + 9_000).isPresent());
   }
 
   @Test
-  void writesItsEntryAnewWhenItHasAnotherAddress() {
+  void rewritesEntryWhenAddressChanges() {
     HostDirectory directory = new HostDirectory(context("h1"), address(9));
-    assertTrue(directory.update(young(1, NORTH), NOW).isPresent());
+    assertTrue(directory.update(recentEntries(1, NORTH), NOW).isPresent());
   }
 
   @Test
-  void removesOnlyWhatIsLongOutdatedAndNeverItself() {
+  void removesOnlyLongExpiredEntriesOfOtherHosts() {
     List<Entry> entries =
         List.of(
             entry(1, NORTH, NOW - 700_000),
@@ -82,23 +82,23 @@
   }
 
   @Test
-  void countsYoungEntriesOnceHostsHadTimeToWrite() {
+  void countsRecentEntriesAfterStartupReadings() {
     HostDirectory directory = directory(1);
-    List<Entry> entries = new ArrayList<>(young(4, NORTH));
+    List<Entry> entries = new ArrayList<>(recentEntries(4, NORTH));
     entries.add(entry(5, SOUTH, NOW - 200_000));
     directory.update(entries, NOW);
     assertEquals(16, directory.hosts());
-    learnOften(directory, entries);
+    updateRepeatedly(directory, entries);
     assertEquals(4, directory.hosts());
     assertEquals(16, directory(2).hosts());
   }
 
   @Test
-  void hostsOfADataCentreAgreeOnOneReaderThere() {
+  void hostsOfDataCentreAgreeOnOneReader() {
     List<Optional<Address>> readers = new ArrayList<>();
     for (int number = 1; number <= 5; number++) {
       HostDirectory directory = directory(number);
-      directory.update(young(5, NORTH), NOW);
+      directory.update(recentEntries(5, NORTH), NOW);
       readers.add(directory.reader(0));
     }
     assertEquals(1, readers.stream().filter(Optional::isEmpty).count());
@@ -106,26 +106,26 @@
   }
 
   @Test
-  void tellsOnceOfAChangeOfItsHosts() {
+  void logsEachHostChangeOnce() {
     CoreContext context = context("h1");
     HostDirectory directory = new HostDirectory(context, address(1));
-    directory.update(young(3, NORTH), NOW);
-    directory.update(young(3, NORTH), NOW + 1);
-    directory.update(young(2, NORTH), NOW + 2);
+    directory.update(recentEntries(3, NORTH), NOW);
+    directory.update(recentEntries(3, NORTH), NOW + 1);
+    directory.update(recentEntries(2, NORTH), NOW + 2);
     assertEquals(2, context.takeActions().size());
   }
 
   @Test
-  void whereHostsAreManyAHostOfAnotherDataCentreIsNoReader() {
+  void hostOfOtherDataCentreIsNotReaderWhenThereAreManyHosts() {
     HostDirectory directory = directory(99);
-    directory.update(young(25, SOUTH), NOW);
+    directory.update(recentEntries(25, SOUTH), NOW);
     assertEquals(Optional.empty(), directory.reader(0));
     assertTrue(directory.anyOtherHost(new SplittableRandom(1)).isPresent());
   }
 
   @Test
-  void whereHostsAreFewOneReadsForAllDataCentres() {
-    List<Entry> entries = new ArrayList<>(young(5, NORTH));
+  void oneHostReadsForAllDataCentresWhenThereAreFewHosts() {
+    List<Entry> entries = new ArrayList<>(recentEntries(5, NORTH));
     entries.add(new Entry("h6", SOUTH, address(6), NOW));
     List<Optional<Address>> readers =
         entries.stream()
@@ -138,29 +138,29 @@
   }
 
   @Test
-  void aSilentReaderOfAllIsReplacedByTheFirstOfTheOwnDataCentreAndLendsNothingElsewhere() {
+  void avoidedGlobalReaderIsReplacedTemporarilyAndIssuesNothingToOtherDataCentres() {
     HostDirectory directory = directory(99);
-    directory.update(young(5, SOUTH), NOW);
-    Address far = directory.reader(0).orElseThrow();
+    directory.update(recentEntries(5, SOUTH), NOW);
+    Address remote = directory.reader(0).orElseThrow();
     assertEquals(Optional.empty(), directory.issuer(0));
-    directory.avoid(far, 100);
+    directory.avoid(remote, 100);
     assertEquals(Optional.empty(), directory.reader(99));
-    assertEquals(Optional.of(far), directory.reader(100));
+    assertEquals(Optional.of(remote), directory.reader(100));
   }
 
   @Test
-  void aReaderThatDoesNotAnswerIsReplacedByTheNextForAWhile() {
-    List<Entry> entries = young(5, NORTH);
-    HostDirectory last =
+  void unresponsiveReaderIsReplacedTemporarily() {
+    List<Entry> entries = recentEntries(5, NORTH);
+    HostDirectory directory =
         entries.stream()
             .map(entry -> directory(Integer.parseInt(entry.host().substring(1))))
-            .peek(directory -> directory.update(entries, NOW))
-            .filter(directory -> directory.reader(0).isPresent())
+            .peek(each -> each.update(entries, NOW))
+            .filter(each -> each.reader(0).isPresent())
             .findFirst()
             .orElseThrow();
-    Address first = last.reader(0).orElseThrow();
-    last.avoid(first, 100);
-    assertTrue(!last.reader(99).equals(Optional.of(first)));
-    assertEquals(Optional.of(first), last.reader(100));
+    Address first = directory.reader(0).orElseThrow();
+    directory.avoid(first, 100);
+    assertTrue(!directory.reader(99).equals(Optional.of(first)));
+    assertEquals(Optional.of(first), directory.reader(100));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
@@ -18,17 +18,17 @@
 import org.gatereel.core.model.DataCentre;
 import org.junit.jupiter.api.Test;
 
-/** What is heard of an attempt, or of a question, after it was given up changes nothing. */
+/** Late callbacks of attempts and queries that were cancelled or have ended are ignored. */
 class LateCallbackTest {
   private static final int MANY_HOSTS = 60;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
-  private Caller waiting;
+  private Caller waitingCaller;
   private Exchange latest;
 
-  /** All that may still come of a call that was given up, alone and in this order. */
-  private static final List<Consumer<SentCall>> LATE =
+  /** Callbacks that may arrive after an attempt was cancelled. */
+  private static final List<Consumer<SentCall>> LATE_CALLBACKS =
       List.of(
           SentCall::accept,
           call -> call.respondHead(200, true),
@@ -44,16 +44,16 @@
           call -> call.listener.onFailure(TargetFailure.NOT_CONNECTED),
           call -> call.listener.onFailure(TargetFailure.FULL));
 
-  /** How an attempt may be given up so that another one starts. */
-  private static final List<BiConsumer<Exchange, SentCall>> GIVING_UP =
+  /** Ways to cancel an attempt so that another one starts. */
+  private static final List<BiConsumer<Exchange, SentCall>> CANCELLATIONS =
       List.of(
           (exchange, call) -> exchange.onTargetLost(TargetFailure.TIMEOUT),
           (exchange, call) -> call.listener.onFailure(TargetFailure.RESET),
           (exchange, call) -> call.event(7),
           (exchange, call) -> call.text("id: 2\ndata: ha").listener.onEnd(ResponseEnd.LAST_CHUNK));
 
-  /** How far the next attempt has come when something is heard of the last one. */
-  private static final List<Consumer<SentCall>> NEXT =
+  /** The progress of the next attempt when a late callback arrives. */
+  private static final List<Consumer<SentCall>> NEXT_PROGRESS =
       List.of(
           next -> {},
           SentCall::accept,
@@ -61,31 +61,32 @@
           next -> next.accept().respondHead(200, true).event(1));
 
   @Test
-  void nothingOfAnAttemptThatWasGivenUpReachesTheCaller() {
-    for (BiConsumer<Exchange, SentCall> giveUp : GIVING_UP) {
-      for (Consumer<SentCall> next : NEXT) {
+  void callbacksOfAbandonedAttemptDoNotReachCaller() {
+    for (BiConsumer<Exchange, SentCall> cancellation : CANCELLATIONS) {
+      for (Consumer<SentCall> next : NEXT_PROGRESS) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        Exchange exchange = fresh.submit("/stream/x", asking).orElseThrow();
+        Caller otherCaller = new Caller();
+        Exchange exchange = fresh.submit("/stream/x", otherCaller).orElseThrow();
         SentCall first = fresh.lastCall().accept().respondHead(200, true).event(1);
-        giveUp.accept(exchange, first);
+        cancellation.accept(exchange, first);
         SentCall second = fresh.lastCall();
         next.accept(second);
 
-        LATE.forEach(late -> late.accept(first));
+        LATE_CALLBACKS.forEach(late -> late.accept(first));
 
         assertTrue(first.cancelled);
         assertFalse(second.cancelled);
         assertEquals(2, fresh.sentCalls.size());
-        assertFalse(asking.isFinal());
-        assertEquals(ForwardWorld.eventText(1), asking.body.toString());
+        assertFalse(otherCaller.isFinal());
+        assertEquals(ForwardWorld.eventText(1), otherCaller.body.toString());
         assertEquals(second.target(), targetOf(exchange));
-        if (next == NEXT.get(0) || next == NEXT.get(1)) {
+        if (next == NEXT_PROGRESS.get(0) || next == NEXT_PROGRESS.get(1)) {
           second.accept().respondHead(200, true);
         }
         second.event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
-        assertTrue(asking.finished);
-        assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), asking.body.toString());
+        assertTrue(otherCaller.finished);
+        assertEquals(
+            ForwardWorld.eventText(1) + ForwardWorld.eventText(2), otherCaller.body.toString());
       }
     }
   }
@@ -94,43 +95,43 @@
     return exchange.currentTarget().orElseThrow().description().id().value();
   }
 
-  /** How a request may be over while an attempt is open. */
-  private static final List<BiConsumer<ForwardWorld, Exchange>> OVER =
+  /** Ways to finish a request while an attempt is open. */
+  private static final List<BiConsumer<ForwardWorld, Exchange>> FINISHERS =
       List.of(
           (fresh, exchange) -> fresh.advanceTime(ForwardWorld.TIMEOUT_MILLIS),
           (fresh, exchange) -> exchange.onCallerDisconnected(),
           (fresh, exchange) -> fresh.forwarder.stopAll());
 
   @Test
-  void nothingIsHeardOfAnAttemptOnceTheRequestIsOver() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void callbacksAreIgnoredAfterRequestHasFinished() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       for (String path : ForwardingScenario.PATHS) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        Exchange exchange = fresh.submit(path, asking).orElseThrow();
+        Caller otherCaller = new Caller();
+        Exchange exchange = fresh.submit(path, otherCaller).orElseThrow();
         SentCall first = fresh.lastCall().accept();
-        over.accept(fresh, exchange);
+        finisher.accept(fresh, exchange);
         int sent = fresh.sentCalls.size();
-        String body = asking.body.toString();
+        String body = otherCaller.body.toString();
 
-        LATE.forEach(late -> late.accept(first));
+        LATE_CALLBACKS.forEach(late -> late.accept(first));
 
         assertEquals(sent, fresh.sentCalls.size());
-        assertEquals(body, asking.body.toString());
-        assertFalse(asking.finished);
+        assertEquals(body, otherCaller.body.toString());
+        assertFalse(otherCaller.finished);
         assertEquals(0, fresh.forwarder.openExchangeCount());
       }
     }
   }
 
-  /** An end is the last word of an attempt, also while it is not known what it is worth. */
+  /** Guards against callbacks after the response end while it is still being verified. */
   @Test
-  void nothingIsHeardOfAnAttemptWhoseEndIsInDoubt() {
+  void callbacksAreIgnoredWhileResponseEndIsUnconfirmed() {
     world.submit("/stream/x", caller);
     SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
 
-    LATE.forEach(late -> late.accept(call));
+    LATE_CALLBACKS.forEach(late -> late.accept(call));
 
     assertFalse(caller.isFinal());
     assertEquals(1, world.sentCalls.size());
@@ -140,9 +141,9 @@
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
   }
 
-  /** A probe is answered once; a second answer would end an answer that has its end. */
+  /** Guards against ending a response twice. */
   @Test
-  void aSecondAnswerOfAProbeChangesNothing() {
+  void secondProbeResultIsIgnored() {
     world.submit("/stream/x", caller);
     SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
     first.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
@@ -157,7 +158,7 @@
     assertFalse(world.lastCall().cancelled);
   }
 
-  private Exchange waitingForRepeat() {
+  private Exchange waitForRetry() {
     List<HostDirectory.Entry> entries = new ArrayList<>();
     for (int number = 0; number < MANY_HOSTS; number++) {
       entries.add(
@@ -168,72 +169,72 @@
       world.directory.update(entries, 0);
     }
     while (true) {
-      Caller asking = new Caller();
-      Exchange exchange = world.submit("/stream/x", asking).orElseThrow();
+      Caller otherCaller = new Caller();
+      Exchange exchange = world.submit("/stream/x", otherCaller).orElseThrow();
       SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
       world.fail(first, TargetFailure.RESET);
       if (!world.retryLoanRequests.isEmpty()) {
-        waiting = asking;
+        waitingCaller = otherCaller;
         return exchange;
       }
       world.lastCall().accept().respondHead(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
-      assertTrue(world.sentCalls.size() < 100, "the own part never ends");
+      assertTrue(world.sentCalls.size() < 100, "local retry budget is never exhausted");
     }
   }
 
   @Test
-  void aRepeatThatIsWaitedForIsSentOnceWhateverIsHeardMeanwhile() {
-    waitingForRepeat();
+  void pendingRetryIsSentOnceDespiteLateCallbacks() {
+    waitForRetry();
     SentCall first = world.lastCall();
     int before = world.sentCalls.size();
 
-    LATE.forEach(late -> late.accept(first));
+    LATE_CALLBACKS.forEach(late -> late.accept(first));
     assertEquals(before, world.sentCalls.size());
     world.retryLoanRequests.get(0).accept(1);
-    LATE.forEach(late -> late.accept(first));
+    LATE_CALLBACKS.forEach(late -> late.accept(first));
 
     assertEquals(before + 1, world.sentCalls.size());
     assertEquals(OptionalLong.of(1), world.lastCall().dispatch.lastEventId());
-    assertEquals(ForwardWorld.eventText(1), waiting.body.toString());
-    assertFalse(waiting.isFinal());
+    assertEquals(ForwardWorld.eventText(1), waitingCaller.body.toString());
+    assertFalse(waitingCaller.isFinal());
   }
 
   @Test
-  void aRepeatThatIsGrantedAfterTheRequestIsOverIsNotSent() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void retryGrantedAfterRequestHasFinishedIsNotSent() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       LateCallbackTest fresh = new LateCallbackTest();
-      Exchange exchange = fresh.waitingForRepeat();
-      over.accept(fresh.world, exchange);
+      Exchange exchange = fresh.waitForRetry();
+      finisher.accept(fresh.world, exchange);
       int sent = fresh.world.sentCalls.size();
 
       fresh.world.retryLoanRequests.get(0).accept(1);
 
       assertEquals(sent, fresh.world.sentCalls.size());
-      assertFalse(fresh.waiting.finished);
+      assertFalse(fresh.waitingCaller.finished);
       assertEquals(0, fresh.world.forwarder.openExchangeCount());
     }
   }
 
   @Test
-  void promptsThatAreLocatedAfterTheRequestIsOverSendNothing() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void promptLocatedAfterRequestHasFinishedSendsNothing() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       ForwardWorld fresh = new ForwardWorld();
       fresh.promptPart = Optional.of("part");
       fresh.lastEventId = OptionalLong.of(3);
       Exchange exchange = fresh.submit("/stream/x", new Caller()).orElseThrow();
       assertFalse(fresh.promptQueries.isEmpty());
-      over.accept(fresh, exchange);
+      finisher.accept(fresh, exchange);
 
-      fresh.promptQueries.forEach(question -> question.response().accept(Optional.of(Set.of())));
+      fresh.promptQueries.forEach(query -> query.response().accept(Optional.of(Set.of())));
 
       assertTrue(fresh.sentCalls.isEmpty());
       assertEquals(0, fresh.forwarder.openExchangeCount());
     }
   }
 
-  /** A caller that cannot be written to may be found gone within the writing itself. */
+  /** A write can itself report that the caller has disconnected. */
   @Test
-  void nothingMoreIsWrittenOnceTheCallerIsGoneWithinAWrite() {
+  void stopsWritingWhenCallerDisconnectsDuringWrite() {
     Caller leaving =
         new Caller() {
           @Override
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -21,11 +21,11 @@
 import org.gatereel.core.statement.Statements;
 import org.junit.jupiter.api.Test;
 
-/** Requests for targets that take only so many: what a host does until it has a token, and then. */
+/** Requests for rate-limited targets: waiting for, receiving and being denied tokens. */
 class LimitForwardingTest {
   private static final int HOSTS = 60;
   private static final Loan ONE = new Loan(1, 0);
-  private static final Loan LATER = new Loan(0, 5_000);
+  private static final Loan DENIED = new Loan(0, 5_000);
   private static final String[] COUNTERS = {"c1", "c2", "c3"};
   private static final String[] ENGINES = {"e1", "e2", "e3"};
 
@@ -35,11 +35,12 @@
 
   LimitForwardingTest() {
     List<HostDirectory.Entry> entries = new ArrayList<>();
-    String[] places = {"north", "south", "west"};
+    String[] dataCentres = {"north", "south", "west"};
     for (int number = 0; number < HOSTS; number++) {
-      DataCentre place = new DataCentre(places[number % places.length]);
+      DataCentre dataCentre = new DataCentre(dataCentres[number % dataCentres.length]);
       entries.add(
-          new HostDirectory.Entry("peer" + number, place, new Address("10.0.2." + number, 7), 0));
+          new HostDirectory.Entry(
+              "peer" + number, dataCentre, new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
       world.directory.update(entries, 0);
@@ -56,20 +57,20 @@
     exchange = world.submit(path, caller).orElseThrow();
   }
 
-  private TokenRequest question() {
+  private TokenRequest tokenRequest() {
     return world.tokenRequests.get(world.tokenRequests.size() - 1);
   }
 
-  private String questioned() {
-    return question().requested().limit().target().value();
+  private String requestedTarget() {
+    return tokenRequest().requested().limit().target().value();
   }
 
-  private void answer(Loan loan) {
-    question().response().accept(Optional.of(loan));
+  private void respondWith(Loan loan) {
+    tokenRequest().response().accept(Optional.of(loan));
   }
 
   @Test
-  void aTargetWithoutALimitIsSentRequestsWithoutAQuestion() {
+  void unlimitedTargetNeedsNoToken() {
     ask("/safe/x");
 
     assertEquals(1, world.sentCalls.size());
@@ -77,21 +78,21 @@
   }
 
   @Test
-  void aLimitedTargetIsSentNothingBeforeThereIsAToken() {
+  void limitedTargetReceivesRequestOnlyWithToken() {
     limit(5, COUNTERS);
     ask("/safe/x");
     assertTrue(world.sentCalls.isEmpty());
-    String asked = questioned();
+    String requested = requestedTarget();
 
-    answer(ONE);
+    respondWith(ONE);
 
-    assertEquals(asked, world.lastCall().target());
+    assertEquals(requested, world.lastCall().target());
     world.lastCall().respond(200, "whole");
     assertEquals("whole", caller.body.toString());
   }
 
   @Test
-  void whatAnAnswerSaysHoldsFromTheNextRequestOn() {
+  void limitInResponseAppliesFromNextRequest() {
     ask("/safe/x");
     String target = world.lastCall().target();
     SentCall call = world.lastCall().accept();
@@ -108,7 +109,7 @@
   }
 
   @Test
-  void aRefusalOfTheTargetsOwnNamesItsLimitToo() {
+  void rejectionByTargetCanAnnounceLimit() {
     ask("/safe/x");
     SentCall call = world.lastCall().accept();
 
@@ -119,14 +120,14 @@
     assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(call.target())));
   }
 
-  /** Whoever answers without the target's mark may be somebody else. */
+  /** A response without the marker of the target may come from another process. */
   @Test
-  void anAnswerThatIsNotTheTargetsOwnLiftsNoLimit() {
+  void unauthenticResponseDoesNotRemoveLimit() {
     limit(5, COUNTERS);
     world.advanceTime(10);
     ask("/safe/x");
-    String target = questioned();
-    answer(ONE);
+    String target = requestedTarget();
+    respondWith(ONE);
 
     world
         .lastCall()
@@ -138,32 +139,32 @@
   }
 
   @Test
-  void aTargetWithoutATokenIsPassedOverForTheOthers() {
+  void targetWithoutTokenIsSkipped() {
     limit(5, "c1");
     List<String> targets = new ArrayList<>();
     for (int request = 0; request < 20; request++) {
-      int asked = world.tokenRequests.size();
+      int requestsBefore = world.tokenRequests.size();
       world.submit("/safe/x", new Caller());
-      if (world.tokenRequests.size() > asked) {
-        answer(LATER);
+      if (world.tokenRequests.size() > requestsBefore) {
+        respondWith(DENIED);
       }
       targets.add(world.lastCall().target());
     }
 
     assertEquals(20, world.sentCalls.size());
     assertFalse(targets.contains("c1"));
-    assertEquals(1, world.tokenRequests.size(), "it is not asked for again until then");
+    assertEquals(1, world.tokenRequests.size(), "no second token request before the denial ends");
   }
 
   @Test
-  void whereNoTargetHasATokenTheRequestIsRefusedLongBeforeItsDeadline() {
+  void requestIsRejectedBeforeDeadlineWhenNoTargetHasToken() {
     limit(5, COUNTERS);
     ask("/safe/x");
     while (world.tokenRequests.size() < COUNTERS.length) {
-      answer(LATER);
+      respondWith(DENIED);
     }
-    answer(LATER);
-    assertNull(caller.rejection, "a token may come in a moment");
+    respondWith(DENIED);
+    assertNull(caller.rejection, "a token may still arrive");
 
     world.advanceTime(101);
 
@@ -172,44 +173,44 @@
   }
 
   @Test
-  void aTokenThatComesWhileTheRequestWaitsServesIt() {
+  void tokenArrivingDuringWaitIsUsed() {
     limit(5, COUNTERS);
     ask("/safe/x");
     while (world.tokenRequests.size() < COUNTERS.length) {
-      answer(new Loan(0, 20));
+      respondWith(new Loan(0, 20));
     }
-    answer(new Loan(0, 20));
+    respondWith(new Loan(0, 20));
 
     world.advanceTime(70);
-    answer(ONE);
+    respondWith(ONE);
 
     assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void aTokenForACallerWhoLeftServesTheNext() {
+  void tokenOfDisconnectedCallerIsUsedForNextRequest() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    String target = questioned();
+    String target = requestedTarget();
     exchange.onCallerDisconnected();
 
-    answer(ONE);
+    respondWith(ONE);
 
     assertTrue(world.sentCalls.isEmpty());
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    int asked = world.tokenRequests.size();
+    int requestsBefore = world.tokenRequests.size();
     ask("/safe/x");
-    assertEquals(asked, world.tokenRequests.size());
+    assertEquals(requestsBefore, world.tokenRequests.size());
     assertEquals(target, world.lastCall().target());
   }
 
   @Test
-  void aTokenThatNobodyUsedIsNotKeptForLong() {
+  void unusedTokenExpires() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    String target = questioned();
+    String target = requestedTarget();
     exchange.onCallerDisconnected();
-    answer(ONE);
+    respondWith(ONE);
 
     world.advanceTime(501);
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
@@ -219,31 +220,31 @@
   }
 
   @Test
-  void theDeadlineEndsARequestThatHasNoAnswerFromTheLender() {
+  void requestFailsAtDeadlineWhenIssuerDoesNotRespond() {
     limit(5, COUNTERS);
     ask("/safe/x");
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
     assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.rejection);
-    answer(ONE);
+    respondWith(ONE);
     assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aHostThatStopsRefusesTruthfullyWhatWaitsForAToken() {
+  void shutdownRejectsRequestWaitingForTokenAsNotExecuted() {
     limit(5, COUNTERS);
     ask("/safe/x");
 
     world.forwarder.stopAll();
 
     assertEquals(Rejection.STOPPING, caller.rejection);
-    answer(ONE);
+    respondWith(ONE);
     assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aTargetThatBeganToLeaveMeanwhileGetsNothing() {
+  void targetLeavingDuringWaitReceivesNothing() {
     limit(5, "c1");
     world.list(
         ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"),
@@ -255,73 +256,76 @@
     world.advanceTime(5);
     world.targets.leaving(new TargetId("c1"));
 
-    answer(ONE);
+    respondWith(ONE);
 
     assertEquals(before + 1, world.sentCalls.size());
     assertEquals("c2", world.lastCall().target());
   }
 
   @Test
-  void aLenderThatDoesNotAnswerIsFollowedByTheNextAndThenTheTargetIsPassedOver() {
+  void nextIssuersAreQueriedBeforeTargetIsSkipped() {
     limit(5, "c1");
     while (world.tokenRequests.isEmpty()) {
       world.submit("/safe/x", new Caller());
     }
     int before = world.sentCalls.size();
-    Address first = question().issuer();
+    Address first = tokenRequest().issuer();
 
-    question().response().accept(Optional.empty());
-    Address second = question().issuer();
+    tokenRequest().response().accept(Optional.empty());
+    Address second = tokenRequest().issuer();
     assertFalse(first.equals(second));
     assertEquals(before, world.sentCalls.size());
-    question().response().accept(Optional.empty());
-    Address elsewhere = question().issuer();
-    assertFalse(second.equals(elsewhere));
-    question().response().accept(Optional.empty());
+    tokenRequest().response().accept(Optional.empty());
+    Address third = tokenRequest().issuer();
+    assertFalse(second.equals(third));
+    tokenRequest().response().accept(Optional.empty());
 
     assertEquals(before + 1, world.sentCalls.size());
     assertFalse(world.lastCall().target().equals("c1"));
   }
 
   @Test
-  void repeatsTakeTokensToo() {
+  void retriesNeedTokens() {
     limit(5, COUNTERS);
     ask("/safe/x");
-    answer(ONE);
-    int asked = world.tokenRequests.size();
+    respondWith(ONE);
+    int requestsBefore = world.tokenRequests.size();
 
     world.fail(world.lastCall().accept(), TargetFailure.RESET);
 
-    assertEquals(asked + 1, world.tokenRequests.size());
+    assertEquals(requestsBefore + 1, world.tokenRequests.size());
     assertEquals(1, world.sentCalls.size());
-    answer(ONE);
+    respondWith(ONE);
     assertEquals(2, world.sentCalls.size());
   }
 
-  /** The holder of a copy may be limited as well; the caller cannot wait, so it goes first. */
+  /**
+   * Guards against continuations without a token; they have priority since a caller waits for the
+   * rest of its stream.
+   */
   @Test
-  void aRunFromACopyTakesATokenAndIsUrgent() {
+  void continuationFromCopyNeedsUrgentToken() {
     ask("/stream/x");
-    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
+    SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
 
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
 
-    assertTrue(question().requested().urgent());
+    assertTrue(tokenRequest().requested().urgent());
     assertEquals(1, world.sentCalls.size());
-    answer(ONE);
+    respondWith(ONE);
     assertEquals(2, world.sentCalls.size());
     assertTrue(world.lastCall().dispatch.continueFrom().isPresent());
   }
 
   @Test
-  void aStreamThatHasBegunWaitsLongerForATokenThanOneThatHasNot() {
+  void startedStreamWaitsLongerForToken() {
     ask("/stream/x");
-    SentCall run = world.lastCall().accept().respondHead(200, true).event(1);
+    SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
     for (int denied = 0; denied < ENGINES.length; denied++) {
-      answer(LATER);
+      respondWith(DENIED);
     }
 
     world.advanceTime(1_500);
@@ -332,17 +336,17 @@
   }
 
   @Test
-  void aCallerWhoComesBackForTheRestOfAStreamIsUrgent() {
+  void resumedStreamRequestsUrgentToken() {
     limit(0.5, ENGINES);
     world.lastEventId = OptionalLong.of(7);
 
     ask("/stream/x");
 
-    assertTrue(question().requested().urgent());
+    assertTrue(tokenRequest().requested().urgent());
   }
 
   @Test
-  void requestsThatWaitForOneTargetAreAskedForTogether() {
+  void tokensForWaitingRequestsAreRequestedTogether() {
     limit(5, "c1");
     world.list(ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"));
     List<Caller> callers = new ArrayList<>();
@@ -351,11 +355,11 @@
       world.submit("/safe/x", callers.get(number));
     }
     assertEquals(1, world.tokenRequests.size());
-    answer(ONE);
+    respondWith(ONE);
     assertEquals(2, world.tokenRequests.size());
-    assertEquals(3, question().count());
+    assertEquals(3, tokenRequest().count());
 
-    answer(new Loan(2, 5_000));
+    respondWith(new Loan(2, 5_000));
 
     assertEquals(3, world.sentCalls.size());
     world.advanceTime(101);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PlainForwardingTest.java
@@ -15,7 +15,7 @@
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
 
   @Test
-  void passesAWholeAnswerOn() {
+  void forwardsCompleteResponse() {
     world.submit("/once/x", caller);
 
     world.lastCall().respond(200, "body");
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void saysOfARunningRequestThatItMayHaveRunWhenTheHostStops() {
+  void shutdownReportsSentRequestAsPossiblyExecuted() {
     world.submit("/once/x", caller);
     world.lastCall().accept();
 
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void saysOfARequestThatIsNotSentThatItDidNotRunWhenTheHostStops() {
+  void shutdownReportsUnsentRequestAsNotExecuted() {
     world.submit("/once/x", caller);
 
     world.forwarder.stopAll();
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void refusesNewRequestsOnceTheBalancerHasHadTimeToTurnAway() {
+  void rejectsNewRequestsAfterShutdownAcceptancePeriod() {
     world.forwarder.beginShutdown(world.context.now() + 2_600, world.context.now() + 7_500);
     assertTrue(world.submit("/safe/x", new ForwardWorld.Caller()).isPresent());
 
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void sendsAnUnsafeRequestElsewhereOnlyIfItCertainlyDidNotRun() {
+  void retriesUnsafeRequestOnlyIfItWasNotExecuted() {
     world.submit("/once/x", caller);
 
     world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void triesASafeRequestAgainAtAnotherTargetAfterAnError() {
+  void retriesSafeRequestAtOtherTargetAfterError() {
     world.submit("/safe/x", caller);
     ForwardWorld.SentCall first = world.lastCall().respond(500, "no");
 
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void passesTheFirstErrorOnUnchangedWhenTheSecondTargetBreaks() {
+  void forwardsFirstErrorWhenSecondTargetFails() {
     world.submit("/safe/x", caller);
     world.lastCall().respond(500, "no");
     world.lastCall().accept();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void takesNoPromiseFromATargetThatMadeNone() {
+  void treatsRequestAsExecutedUnlessTargetDeclaresOtherwise() {
     world.submit("/once/x", caller);
 
     world.lastCall().respond(503, "full");
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void refusesAtTheDeadlineByWhatMayHaveRun() {
+  void reportsTimeoutAtDeadlineIfRequestMayHaveExecuted() {
     world.submit("/once/x", caller);
     world.lastCall().accept();
 
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void promisesNotRunAtTheDeadlineOfARequestThatNeverLeft() {
+  void reportsNotStartedAtDeadlineIfRequestWasNeverSent() {
     world.submit("/once/x", caller);
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void passesAnErrorOnWhenNoOtherTargetIsLeft() {
+  void forwardsErrorWhenNoOtherTargetIsAvailable() {
     world.list(ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"));
     world.submit("/safe/x", caller);
 
@@ -159,27 +159,27 @@
   }
 
   @Test
-  void repeatsNothingOnceTheBudgetIsSpent() {
+  void stopsRetryingWhenBudgetIsExhausted() {
     ForwardWorld.Caller latest = caller;
-    int repeats = 0;
+    int retries = 0;
     for (int i = 0; i < 100; i++) {
       latest = new ForwardWorld.Caller();
       world.submit("/safe/x", latest);
       int before = world.sentCalls.size();
       world.lastCall().respond(500, "no");
       if (world.sentCalls.size() > before) {
-        repeats++;
+        retries++;
         world.lastCall().respond(200, "yes");
       }
     }
 
     double allowed = 100 * 0.8 + 150.0 / 16;
-    assertTrue(repeats <= allowed, "repeats: " + repeats);
-    assertTrue(repeats > 60, "repeats: " + repeats);
+    assertTrue(retries <= allowed, "retries: " + retries);
+    assertTrue(retries > 60, "retries: " + retries);
   }
 
   @Test
-  void passesALongAnswerOnBeforeItIsWholeAndThenNeverStartsAnother() {
+  void forwardsLongResponseEarlyAndThenNeverRetries() {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, false);
     call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
@@ -190,7 +190,7 @@
     assertEquals(1, world.sentCalls.size());
   }
 
-  private ForwardWorld.SentCall closedAfter(String path, int status) {
+  private ForwardWorld.SentCall submitAndCloseAfterBody(String path, int status) {
     world.submit(path, caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(status, false);
     call.listener.onBody("part".getBytes(StandardCharsets.UTF_8));
@@ -200,12 +200,12 @@
   }
 
   /**
-   * A service whose process ended while it wrote an answer without a length closed the connection
-   * in order. What had come of the answer was passed on as all of it.
+   * Guards against forwarding a partial response as complete when the target exits and its
+   * connection closes normally.
    */
   @Test
-  void repeatsASafeRequestWhenTheTargetOfAClosedConnectionIsGone() {
-    ForwardWorld.SentCall first = closedAfter("/safe/x", 200);
+  void retriesSafeRequestWhenTargetOfClosedConnectionIsGone() {
+    ForwardWorld.SentCall first = submitAndCloseAfterBody("/safe/x", 200);
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -215,8 +215,8 @@
   }
 
   @Test
-  void refusesARequestThatMayRunOnceWhenTheTargetOfAClosedConnectionIsGone() {
-    closedAfter("/once/x", 200);
+  void failsUnsafeRequestWhenTargetOfClosedConnectionIsGone() {
+    submitAndCloseAfterBody("/once/x", 200);
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -225,8 +225,8 @@
   }
 
   @Test
-  void passesAnAnswerWithoutLengthOnOnceItsTargetAnswersAProbe() {
-    closedAfter("/once/x", 200);
+  void forwardsResponseWithoutLengthAfterSuccessfulProbe() {
+    submitAndCloseAfterBody("/once/x", 200);
 
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
@@ -234,10 +234,10 @@
     assertTrue(caller.finished);
   }
 
-  /** An error that is cut short is no better answer than any other that is. */
+  /** An incomplete error response must not be forwarded either. */
   @Test
-  void passesNoErrorOnWhoseTargetIsGone() {
-    closedAfter("/once/x", 500);
+  void doesNotForwardErrorWhenTargetIsGone() {
+    submitAndCloseAfterBody("/once/x", 500);
 
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -245,8 +245,8 @@
   }
 
   @Test
-  void keepsNoErrorBackWhoseTargetIsGone() {
-    closedAfter("/safe/x", 500);
+  void doesNotHoldErrorWhenTargetIsGone() {
+    submitAndCloseAfterBody("/safe/x", 500);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     world.lastCall().accept();
@@ -256,8 +256,8 @@
   }
 
   @Test
-  void saysAtTheDeadlineThatARequestRanWhoseEndIsInDoubt() {
-    closedAfter("/once/x", 200);
+  void reportsTimeoutAtDeadlineIfResponseEndIsUnconfirmed() {
+    submitAndCloseAfterBody("/once/x", 200);
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
@@ -267,12 +267,12 @@
   }
 
   /**
-   * A service that is busy after its answer leaves probes unanswered, each for as long as it may.
-   * It lives, and its answer is whole; nothing else can be tried for a request that may run once.
+   * A busy target may leave probes unanswered although its response is complete; an unsafe request
+   * cannot be retried.
    */
   @Test
-  void asksABusyTargetUntilItAnswers() {
-    closedAfter("/once/x", 200);
+  void probesBusyTargetUntilItResponds() {
+    submitAndCloseAfterBody("/once/x", 200);
     for (int unanswered = 0; unanswered < 4; unanswered++) {
       world.advanceTime(ForwardPolicy.STANDARD.probeTimeoutMillis() << unanswered);
       world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
@@ -286,15 +286,12 @@
     assertEquals(5, world.probes.size());
   }
 
-  /**
-   * A target that has too many connections resets each probe at once. Asked again as fast as it
-   * resets, it would be given thousands of connections for one answer.
-   */
+  /** Guards against a flood of probes when the target resets each of them at once. */
   @Test
-  void doesNotAskATargetThatResetsProbesFasterThanASilentOne() {
-    closedAfter("/once/x", 200);
-    long asked = world.context.now();
-    while (world.context.now() - asked < 10_000) {
+  void limitsProbeRateWhenProbesAreReset() {
+    submitAndCloseAfterBody("/once/x", 200);
+    long startedAt = world.context.now();
+    while (world.context.now() - startedAt < 10_000) {
       int before = world.probes.size();
       world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
       assertEquals(before, world.probes.size());
@@ -307,8 +304,8 @@
   }
 
   @Test
-  void repeatsASafeRequestWhoseTargetLeavesTwoProbesUnanswered() {
-    closedAfter("/safe/x", 200);
+  void retriesSafeRequestAfterTwoUnansweredProbes() {
+    submitAndCloseAfterBody("/safe/x", 200);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
     assertEquals(1, world.sentCalls.size());
     world.advanceTime(ForwardPolicy.STANDARD.probeTimeoutMillis());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PoisonForwardingTest.java
@@ -21,11 +21,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** By which doors a request under which targets end could reach more of them. */
+/** Detection and quarantine of requests under which targets exit. */
 class PoisonForwardingTest {
   private static final int TARGETS = 40;
 
-  /** Three of them are longer than a run that breaks as it begins; one is no silence. */
+  /**
+   * Short enough not to count as a stall; three pauses exceed the time in which a target exit
+   * counts.
+   */
   private static final long SHORT_PAUSE_MILLIS = 180;
 
   private final ForwardWorld world = new ForwardWorld();
@@ -46,15 +49,15 @@
     return ForwardWorld.target(id, service, dataCentres[number % dataCentres.length]);
   }
 
-  private SentCall ask(String path, String content) {
+  private SentCall submit(String path, String content) {
     caller = new Caller();
     world.requestContent = content;
     world.submit(path, caller);
     return world.sentCalls.isEmpty() ? null : world.lastCall();
   }
 
-  /** The connection to a target breaks, and what a probe then shows is this. */
-  private void breaks(SentCall call, ProbeResult result) {
+  /** Resets the connection to a target; a probe, if one is sent, has the given result. */
+  private void resetConnection(SentCall call, ProbeResult result) {
     int before = world.probes.size();
     world.fail(call, TargetFailure.RESET);
     if (world.probes.size() > before) {
@@ -62,89 +65,89 @@
     }
   }
 
-  private void endsTarget(SentCall call) {
-    breaks(call.accept().respondHead(200, true), ProbeResult.GONE);
+  private void endTarget(SentCall call) {
+    resetConnection(call.accept().respondHead(200, true), ProbeResult.GONE);
   }
 
-  /** Has a stream end as many targets as its caller needs for the verdict. */
-  private void convict(String content) {
-    endsTarget(ask("/stream/x", content));
-    endsTarget(world.lastCall());
-    endsTarget(world.lastCall());
+  /** Lets a stream end as many targets as its quarantine needs. */
+  private void quarantine(String content) {
+    endTarget(submit("/stream/x", content));
+    endTarget(world.lastCall());
+    endTarget(world.lastCall());
   }
 
-  private int sentFor(String path, String content) {
+  private int countSentFor(String path, String content) {
     int before = world.sentCalls.size();
-    ask(path, content);
+    submit(path, content);
     return world.sentCalls.size() - before;
   }
 
   @Test
-  void afterTheThirdEndTheRequestIsTriedNoMore() {
-    convict("fatal");
+  void requestIsNotRetriedAfterThirdTargetExit() {
+    quarantine("fatal");
 
     assertEquals(3, world.sentCalls.size());
     assertEquals(Rejection.TARGET_FAILED, caller.rejection);
   }
 
   @Test
-  void whenItComesAgainItIsRefusedAtOnceAndTrulyNotRun() {
-    convict("fatal");
+  void quarantinedRequestIsRejectedWithoutExecution() {
+    quarantine("fatal");
 
-    assertEquals(0, sentFor("/stream/x", "fatal"));
+    assertEquals(0, countSentFor("/stream/x", "fatal"));
     assertEquals(Rejection.HELD_BACK, caller.rejection);
     assertTrue(Rejection.HELD_BACK.allowsRetry());
     assertEquals(60_000, Rejection.HELD_BACK.retryAfterMillis(700));
   }
 
   @Test
-  void otherRequestsAreSent() {
-    convict("fatal");
+  void otherRequestsAreNotQuarantined() {
+    quarantine("fatal");
 
-    assertEquals(1, sentFor("/stream/x", "sound"));
-    assertEquals(1, sentFor("/stream/y", "fatal"));
+    assertEquals(1, countSentFor("/stream/x", "sound"));
+    assertEquals(1, countSentFor("/stream/y", "fatal"));
   }
 
   @Test
-  void endsOfSeveralTriesOfItsCallerAddUp() {
-    for (int again = 0; again < 3; again++) {
-      SentCall call = ask("/once/x", "fatal").accept();
-      breaks(call, ProbeResult.GONE);
+  void targetExitsAreCountedAcrossRequestsOfCaller() {
+    for (int submission = 0; submission < 3; submission++) {
+      SentCall call = submit("/once/x", "fatal").accept();
+      resetConnection(call, ProbeResult.GONE);
       assertEquals(Rejection.TARGET_FAILED, caller.rejection);
     }
 
-    assertEquals(0, sentFor("/once/x", "fatal"));
+    assertEquals(0, countSentFor("/once/x", "fatal"));
     assertEquals(Rejection.HELD_BACK, caller.rejection);
   }
 
   @Test
-  void aRepeatablePlainCallIsHeldBackAsWell() {
-    endsPlain(ask("/safe/x", "fatal"));
-    endsPlain(world.lastCall());
-    endsPlain(ask("/safe/x", "fatal"));
+  void repeatablePlainRequestIsQuarantined() {
+    endTargetOfPlainRequest(submit("/safe/x", "fatal"));
+    endTargetOfPlainRequest(world.lastCall());
+    endTargetOfPlainRequest(submit("/safe/x", "fatal"));
 
     assertEquals(3, world.sentCalls.size());
-    assertEquals(0, sentFor("/safe/x", "fatal"));
+    assertEquals(0, countSentFor("/safe/x", "fatal"));
   }
 
-  private void endsPlain(SentCall call) {
-    breaks(call.accept(), ProbeResult.GONE);
+  private void endTargetOfPlainRequest(SentCall call) {
+    resetConnection(call.accept(), ProbeResult.GONE);
   }
 
   @Test
-  void aTargetThatLivesAfterItsConnectionBrokeDoesNotCount() {
-    breaks(ask("/stream/x", "sound").accept(), ProbeResult.ALIVE);
-    breaks(world.lastCall().accept(), ProbeResult.ALIVE);
-    breaks(world.lastCall().accept(), ProbeResult.ALIVE);
+  void failedConnectionOfLiveTargetDoesNotCount() {
+    resetConnection(submit("/stream/x", "sound").accept(), ProbeResult.ALIVE);
+    resetConnection(world.lastCall().accept(), ProbeResult.ALIVE);
+    resetConnection(world.lastCall().accept(), ProbeResult.ALIVE);
 
     assertEquals(4, world.sentCalls.size());
-    assertEquals(1, sentFor("/stream/x", "sound"));
+    assertEquals(1, countSentFor("/stream/x", "sound"));
   }
 
-  /** Its connection closed in order, as that of a process that ends does. */
+  /** The connection of an exiting process closes normally. */
   @Test
-  void aTargetThatIsGoneAfterItsAnswerWithoutALengthHasEnded() {
-    SentCall call = ask("/once/x", "fatal").accept().respondHead(200, false);
+  void targetGoneAfterResponseWithoutLengthCounts() {
+    SentCall call = submit("/once/x", "fatal").accept().respondHead(200, false);
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     int probes = world.probes.size();
     world.lastProbe().listener().onResult(ProbeResult.GONE);
@@ -154,19 +157,19 @@
   }
 
   @Test
-  void aConnectionThatDoesNotComeAboutDoesNotCount() {
-    ask("/stream/x", "sound");
+  void failureToConnectDoesNotCount() {
+    submit("/stream/x", "sound");
     for (int failure = 0; failure < 10; failure++) {
       world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
     }
 
     assertEquals(0, world.poison.suspected());
-    assertEquals(1, sentFor("/stream/x", "sound"));
+    assertEquals(1, countSentFor("/stream/x", "sound"));
   }
 
   @Test
-  void aRunThatHadLastedWhenItsTargetEndedDoesNotCount() {
-    SentCall call = ask("/stream/x", "sound");
+  void targetExitAfterLongExecutionDoesNotCount() {
+    SentCall call = submit("/stream/x", "sound");
     long last = 0;
     for (int end = 0; end < 4; end++) {
       call = world.lastCall().accept().respondHead(200, true);
@@ -174,7 +177,7 @@
         call.event(++last);
         world.advanceTime(SHORT_PAUSE_MILLIS);
       }
-      breaks(call, ProbeResult.GONE);
+      resetConnection(call, ProbeResult.GONE);
     }
 
     assertEquals(0, world.poison.suspected());
@@ -182,9 +185,9 @@
   }
 
   @Test
-  void aRunThatLastsClearsItsRequest() {
-    endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.lastCall());
+  void longExecutionClearsRequest() {
+    endTarget(submit("/stream/x", "sound"));
+    endTarget(world.lastCall());
     assertEquals(1, world.poison.suspected());
     SentCall third = world.lastCall().accept().respondHead(200, true).event(1);
     for (long id = 2; id <= 9; id++) {
@@ -193,16 +196,16 @@
     }
 
     assertEquals(0, world.poison.suspected());
-    breaks(third, ProbeResult.GONE);
-    endsTarget(world.lastCall());
+    resetConnection(third, ProbeResult.GONE);
+    endTarget(world.lastCall());
     assertFalse(caller.isFinal());
     assertEquals(0, world.poison.held());
   }
 
   @Test
-  void theThirdEndIsWaitedForBeforeAnotherTargetIsTried() {
-    endsTarget(ask("/stream/x", "fatal"));
-    endsTarget(world.lastCall());
+  void suspectedRequestIsRetriedOnlyAfterProbeResult() {
+    endTarget(submit("/stream/x", "fatal"));
+    endTarget(world.lastCall());
     world.fail(world.lastCall().accept().respondHead(200, true), TargetFailure.RESET);
     assertEquals(3, world.sentCalls.size());
 
@@ -213,9 +216,9 @@
   }
 
   @Test
-  void aRequestInDoubtGoesOnWhenTheProbeShowsThatTheTargetLives() {
-    endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.lastCall());
+  void suspectedRequestIsRetriedWhenTargetIsAlive() {
+    endTarget(submit("/stream/x", "sound"));
+    endTarget(world.lastCall());
     world.fail(world.lastCall().accept(), TargetFailure.RESET);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
@@ -223,9 +226,9 @@
   }
 
   @Test
-  void aRequestInDoubtWaitsForOneProbeAlone() {
-    endsTarget(ask("/stream/x", "sound"));
-    endsTarget(world.lastCall());
+  void suspectedRequestWaitsForOneProbeOnly() {
+    endTarget(submit("/stream/x", "sound"));
+    endTarget(world.lastCall());
     world.fail(world.lastCall().accept(), TargetFailure.RESET);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
 
@@ -233,8 +236,8 @@
   }
 
   @Test
-  void aSilentTargetThatIsAnotherRunLaterHadEnded() {
-    world.fail(ask("/stream/x", "fatal").accept(), TargetFailure.TIMEOUT);
+  void silentTargetFoundGoneByLaterProbeCounts() {
+    world.fail(submit("/stream/x", "fatal").accept(), TargetFailure.TIMEOUT);
     world.lastProbe().listener().onResult(ProbeResult.UNKNOWN);
     int probes = world.probes.size();
     world.advanceTime(200);
@@ -244,39 +247,39 @@
     assertEquals(1, world.poison.suspected());
   }
 
-  /** Tries that have been sent, but of which nothing has come, are called back by the verdict. */
+  /** Guards against attempts that stay at targets after the request is quarantined. */
   @Test
-  void whatWaitsAtATargetWhenTheVerdictFallsIsCalledBack() {
+  void quarantineCancelsSentAttemptsWithoutResponse() {
     Caller other = new Caller();
     world.requestContent = "fatal";
     world.submit("/stream/x", other);
     SentCall waiting = world.lastCall().accept();
 
-    convict("fatal");
+    quarantine("fatal");
 
     assertTrue(waiting.cancelled);
     assertEquals(Rejection.TARGET_FAILED, other.rejection);
   }
 
   @Test
-  void whatWaitsForAConnectionIsRefusedAsNotRun() {
+  void quarantineRejectsUnsentRequestAsNotExecuted() {
     Caller other = new Caller();
     world.requestContent = "fatal";
     world.submit("/stream/x", other);
 
-    convict("fatal");
+    quarantine("fatal");
 
     assertTrue(world.sentCalls.get(0).cancelled);
     assertEquals(Rejection.HELD_BACK, other.rejection);
   }
 
   @Test
-  void aRunThatGoesOnWhenTheVerdictFallsMayClearItsRequest() {
+  void executionInProgressMayClearQuarantinedRequest() {
     Caller other = new Caller();
     world.requestContent = "same";
     world.submit("/stream/x", other);
     SentCall running = world.lastCall().accept().respondHead(200, true).event(1);
-    convict("same");
+    quarantine("same");
     assertFalse(other.isFinal());
     for (long id = 2; id <= 9; id++) {
       world.advanceTime(150);
@@ -284,34 +287,37 @@
     }
 
     assertEquals(0, world.poison.held());
-    assertEquals(1, sentFor("/stream/x", "same"));
+    assertEquals(1, countSentFor("/stream/x", "same"));
   }
 
-  /** All streams of a target that ends move on in the same moment, the cause among them. */
+  /**
+   * All streams of an exited target move at once; only the one that causes the exits is
+   * quarantined.
+   */
   @Test
-  void whoIsAtTheSameTargetsIsNotHeldBack() {
-    Caller fellow = new Caller();
-    endsTarget(ask("/stream/x", "fatal"));
+  void otherRequestsAtExitedTargetsAreNotQuarantined() {
+    Caller otherCaller = new Caller();
+    endTarget(submit("/stream/x", "fatal"));
     SentCall fatal = world.lastCall();
     world.requestContent = "sound";
-    world.submit("/stream/x", fellow);
+    world.submit("/stream/x", otherCaller);
     SentCall sound = world.lastCall();
     TargetId shared = fatal.dispatch.target().id();
-    endsTarget(fatal);
+    endTarget(fatal);
     world.poison.learn(
         List.of(
             PoisonFact.end(
                 fingerprint("sound"), shared, world.context.now(), world.context.now())));
     fatal = world.lastCall();
     TargetId third = fatal.dispatch.target().id();
-    endsTarget(fatal);
+    endTarget(fatal);
     world.poison.learn(
         List.of(
             PoisonFact.end(fingerprint("sound"), third, world.context.now(), world.context.now())));
 
     assertEquals(1, world.poison.held());
     assertFalse(sound.cancelled);
-    assertFalse(fellow.isFinal());
+    assertFalse(otherCaller.isFinal());
   }
 
   private Fingerprint fingerprint(String content) {
@@ -320,9 +326,9 @@
         Hashing.sha256().hashString("/stream/x" + content, StandardCharsets.UTF_8));
   }
 
-  /** What other hosts have seen counts here, before this host has sent the request once. */
+  /** Reports of other hosts count before this host has sent the request. */
   @Test
-  void whatOthersSawHoldsTheRequestBackHere() {
+  void targetExitsReportedByOtherHostsCount() {
     long now = world.context.now();
     world.poison.learn(
         List.of(
@@ -330,7 +336,7 @@
             PoisonFact.end(fingerprint("fatal"), new TargetId("b"), now, now),
             PoisonFact.end(fingerprint("fatal"), new TargetId("c"), now, now)));
 
-    assertEquals(0, sentFor("/stream/x", "fatal"));
+    assertEquals(0, countSentFor("/stream/x", "fatal"));
     assertEquals(Rejection.HELD_BACK, caller.rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PollerTest.java
@@ -14,19 +14,19 @@
 class PollerTest {
   private final CoreContext context =
       new CoreContext(new HostId("host"), new DataCentre("north"), new SplittableRandom(1));
-  private final List<Long> askedAt = new ArrayList<>();
-  private final List<Poller.Completion> replies = new ArrayList<>();
+  private final List<Long> queriedAt = new ArrayList<>();
+  private final List<Poller.Completion> completions = new ArrayList<>();
   private final Poller poller =
       new Poller(
           context,
           "store",
           () -> 1_000,
-          (now, reply) -> {
-            askedAt.add(now);
-            replies.add(reply);
+          (now, completion) -> {
+            queriedAt.add(now);
+            completions.add(completion);
           });
 
-  private void passTo(long time) {
+  private void advanceTimeTo(long time) {
     while (context.now() < time) {
       context.moveTo(context.now() + 1);
       context.timers().runDue(context.now());
@@ -34,29 +34,29 @@
   }
 
   @Test
-  void asksAgainAnIntervalAfterItAskedAndSoonerAfterAFailure() {
+  void pollsAtIntervalAndSoonerAfterFailure() {
     poller.start();
-    passTo(300);
-    replies.get(0).complete(Optional.empty());
-    passTo(1_000);
-    assertEquals(List.of(0L, 1_000L), askedAt);
-    replies.get(1).complete(Optional.of("no answer"));
-    passTo(1_200);
-    replies.get(2).complete(Optional.of("no answer"));
-    passTo(1_600);
-    assertEquals(List.of(0L, 1_000L, 1_200L, 1_600L), askedAt);
+    advanceTimeTo(300);
+    completions.get(0).complete(Optional.empty());
+    advanceTimeTo(1_000);
+    assertEquals(List.of(0L, 1_000L), queriedAt);
+    completions.get(1).complete(Optional.of("no response"));
+    advanceTimeTo(1_200);
+    completions.get(2).complete(Optional.of("no response"));
+    advanceTimeTo(1_600);
+    assertEquals(List.of(0L, 1_000L, 1_200L, 1_600L), queriedAt);
   }
 
   @Test
-  void asksAgainEvenIfAQuestionIsNeverSettledAndThenIgnoresItsReply() {
+  void pollsAgainAfterQueryTimeoutAndIgnoresLateCompletion() {
     poller.start();
-    passTo(6_200);
-    assertEquals(List.of(0L, 6_200L), askedAt);
-    replies.get(0).complete(Optional.empty());
-    passTo(7_199);
-    assertEquals(2, askedAt.size());
-    replies.get(1).complete(Optional.empty());
-    passTo(7_200);
-    assertEquals(3, askedAt.size());
+    advanceTimeTo(6_200);
+    assertEquals(List.of(0L, 6_200L), queriedAt);
+    completions.get(0).complete(Optional.empty());
+    advanceTimeTo(7_199);
+    assertEquals(2, queriedAt.size());
+    completions.get(1).complete(Optional.empty());
+    advanceTimeTo(7_200);
+    assertEquals(3, queriedAt.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/PromptLocatorTest.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Streams of callers who come back for the rest go to the engine that has their prompt. */
+/** Resumed streams are sent to the engine that has their prompt cached. */
 class PromptLocatorTest {
   private static final String PART = "part-1";
 
-  private static ForwardWorld resumed(int callers) {
+  private static ForwardWorld resumeStreams(int callers) {
     ForwardWorld world = new ForwardWorld();
     world.promptPart = Optional.of(PART);
     world.lastEventId = OptionalLong.of(7);
@@ -24,50 +24,51 @@
     return world;
   }
 
-  private static void answer(ForwardWorld world, String target, Optional<Set<String>> kept) {
-    for (ForwardWorld.PromptQuery question : List.copyOf(world.promptQueries)) {
-      if (question.target().equals(target)) {
-        world.promptQueries.remove(question);
-        question.response().accept(kept);
+  private static void respond(
+      ForwardWorld world, String target, Optional<Set<String>> cachedParts) {
+    for (ForwardWorld.PromptQuery query : List.copyOf(world.promptQueries)) {
+      if (query.target().equals(target)) {
+        world.promptQueries.remove(query);
+        query.response().accept(cachedParts);
       }
     }
   }
 
   @Test
-  void aResumedStreamGoesToTheEngineThatKeepsItsPrompt() {
-    ForwardWorld world = resumed(1);
+  void resumedStreamGoesToEngineThatCachesPrompt() {
+    ForwardWorld world = resumeStreams(1);
     assertEquals(3, world.promptQueries.size());
-    answer(world, "e1", Optional.of(Set.of("another")));
+    respond(world, "e1", Optional.of(Set.of("another")));
     assertTrue(world.sentCalls.isEmpty());
-    answer(world, "e3", Optional.of(Set.of(PART)));
+    respond(world, "e3", Optional.of(Set.of(PART)));
 
     assertEquals("e3", world.lastCall().target());
   }
 
   @Test
-  void ifNoEngineKeepsItTheStreamGoesOnAtAnyOnce() {
-    ForwardWorld world = resumed(1);
-    answer(world, "e1", Optional.of(Set.of()));
-    answer(world, "e2", Optional.empty());
-    answer(world, "e3", Optional.of(Set.of("another")));
+  void resumedStreamIsSentOnceWhenNoEngineCachesPrompt() {
+    ForwardWorld world = resumeStreams(1);
+    respond(world, "e1", Optional.of(Set.of()));
+    respond(world, "e2", Optional.empty());
+    respond(world, "e3", Optional.of(Set.of("another")));
 
     assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void streamsThatReturnTogetherShareOneRoundOfQuestions() {
-    ForwardWorld world = resumed(4);
+  void concurrentlyResumedStreamsShareOneSurvey() {
+    ForwardWorld world = resumeStreams(4);
     assertEquals(3, world.promptQueries.size());
-    answer(world, "e2", Optional.of(Set.of(PART)));
+    respond(world, "e2", Optional.of(Set.of(PART)));
 
     assertEquals(4, world.sentCalls.size());
     assertTrue(world.sentCalls.stream().allMatch(call -> call.target().equals("e2")));
   }
 
   @Test
-  void whatEnginesKeptAWhileAgoIsAskedAgain() {
-    ForwardWorld world = resumed(1);
-    answer(world, "e2", Optional.of(Set.of(PART)));
+  void surveyExpires() {
+    ForwardWorld world = resumeStreams(1);
+    respond(world, "e2", Optional.of(Set.of(PART)));
     world.promptQueries.clear();
     world.advanceTime(1_000);
     world.submit("/stream/x", new ForwardWorld.Caller());
@@ -76,19 +77,19 @@
   }
 
   @Test
-  void aCallerWhoLeavesMeanwhileIsNotSentAnywhere() {
+  void requestOfDisconnectedCallerIsNotSent() {
     ForwardWorld world = new ForwardWorld();
     world.promptPart = Optional.of(PART);
     world.lastEventId = OptionalLong.of(7);
     Exchange exchange = world.submit("/stream/x", new ForwardWorld.Caller()).orElseThrow();
     exchange.onCallerDisconnected();
-    answer(world, "e2", Optional.of(Set.of(PART)));
+    respond(world, "e2", Optional.of(Set.of(PART)));
 
     assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aNewStreamAsksNobody() {
+  void newStreamSendsNoPromptQueries() {
     ForwardWorld world = new ForwardWorld();
     world.promptPart = Optional.of(PART);
     world.submit("/stream/x", new ForwardWorld.Caller());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RestartedTargetTest.java
@@ -24,10 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a host knows of a target that starts again under the name that it had.
- *
- * <p>Such a target holds nothing of before: no copies, no prompts, no requests. Whatever was known
- * of the run before it (failures, load, leaving) says nothing of it either.
+ * Targets that restart under the same name: copies, prompts, failures and load of an earlier
+ * incarnation do not apply to the next one.
  */
 class RestartedTargetTest {
   private static final long FIRST = 1_000;
@@ -36,13 +34,14 @@
   private final ForwardWorld world = new ForwardWorld();
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
 
-  private static TargetDescription run(String name, long born, String dataCentre) {
-    return run(name, born, dataCentre, LifeState.LIVE);
+  private static TargetDescription incarnation(String name, long startedAt, String dataCentre) {
+    return incarnation(name, startedAt, dataCentre, LifeState.LIVE);
   }
 
-  private static TargetDescription run(String name, long born, String dataCentre, LifeState state) {
+  private static TargetDescription incarnation(
+      String name, long startedAt, String dataCentre, LifeState state) {
     return new TargetDescription(
-        new TargetId(name, born),
+        new TargetId(name, startedAt),
         TargetKind.ENGINE,
         ForwardWorld.ENGINES,
         new DataCentre(dataCentre),
@@ -51,56 +50,57 @@
         state);
   }
 
-  private boolean isUsable(long born) {
+  private boolean isUsable(long startedAt) {
     return world.targets.usable(ForwardWorld.ENGINES).stream()
-        .anyMatch(target -> target.description().id().equals(new TargetId("e1", born)));
+        .anyMatch(target -> target.description().id().equals(new TargetId("e1", startedAt)));
   }
 
   @Test
-  void failuresOfARunDoNotKeepTheNextOneOut() {
-    world.list(run("e1", FIRST, "north"));
+  void failuresOfIncarnationDoNotExcludeNextOne() {
+    world.list(incarnation("e1", FIRST, "north"));
     for (int failure = 0; failure < 6; failure++) {
       world.targets.failed(
           world.targets.find(new TargetId("e1", FIRST)).orElseThrow(), TargetFailure.NOT_CONNECTED);
     }
 
-    world.list(run("e1", SECOND, "north"));
+    world.list(incarnation("e1", SECOND, "north"));
 
     assertTrue(isUsable(SECOND));
   }
 
   @Test
-  void aRunThatLeavesSaysNothingOfTheNextOne() {
-    world.list(run("e1", FIRST, "north", LifeState.LEAVING));
+  void leavingIncarnationDoesNotExcludeNextOne() {
+    world.list(incarnation("e1", FIRST, "north", LifeState.LEAVING));
 
-    world.list(run("e1", SECOND, "north"));
+    world.list(incarnation("e1", SECOND, "north"));
 
     assertTrue(isUsable(SECOND));
   }
 
   @Test
-  void anEntryOfAnEarlierRunThatIsReadLateDoesNotBringItBack() {
-    world.list(run("e1", SECOND, "north"));
+  void lateEntryOfEarlierIncarnationIsIgnored() {
+    world.list(incarnation("e1", SECOND, "north"));
 
-    world.list(run("e1", FIRST, "north"));
+    world.list(incarnation("e1", FIRST, "north"));
 
     assertTrue(isUsable(SECOND));
     assertFalse(isUsable(FIRST));
   }
 
   @Test
-  void theNextRunEndsTheOneBeforeAlsoWhereTheListMayLackTargets() {
-    world.list(run("e1", FIRST, "north"));
+  void nextIncarnationReplacesPreviousOneInPartialList() {
+    world.list(incarnation("e1", FIRST, "north"));
 
-    world.targets.seePartial(new HostList(9, List.of(), List.of(run("e1", SECOND, "north"))));
+    world.targets.seePartial(
+        new HostList(9, List.of(), List.of(incarnation("e1", SECOND, "north"))));
 
     assertFalse(isUsable(FIRST));
     assertTrue(isUsable(SECOND));
   }
 
   @Test
-  void whatOtherHostsToldOfARunDoesNotCountForTheNextOne() {
-    world.list(run("e1", SECOND, "north"));
+  void reportedLoadOfIncarnationDoesNotApplyToNextOne() {
+    world.list(incarnation("e1", SECOND, "north"));
     TargetLoad load = new TargetLoad(5, 1, 0, 0, TargetLoad.NEVER);
     world.loads.take(
         new LoadReport(
@@ -118,12 +118,12 @@
   }
 
   @Test
-  void aStreamMayGoToTheNextRunOfATargetThatItWasAt() {
-    world.list(run("e1", FIRST, "north"));
+  void streamMayMoveToNextIncarnationOfSameTarget() {
+    world.list(incarnation("e1", FIRST, "north"));
     world.submit("/stream/x", caller);
     world.lastCall().accept();
 
-    world.list(run("e1", SECOND, "north"));
+    world.list(incarnation("e1", SECOND, "north"));
     world.fail(world.sentCalls.get(0), TargetFailure.RESET);
 
     assertEquals(2, world.sentCalls.size());
@@ -131,15 +131,16 @@
   }
 
   @Test
-  void noContinuationAsksTheNextRunOfAHolderForACopyThatItCannotHave() {
-    world.list(run("e1", FIRST, "north"), run("e2", FIRST, "south"));
-    ForwardWorld.SentCall first = broken();
+  void continuationDoesNotUseCopyLostInRestart() {
+    world.list(incarnation("e1", FIRST, "north"), incarnation("e2", FIRST, "south"));
+    ForwardWorld.SentCall first = startStream();
     String holder = first.target().equals("e1") ? "e2" : "e1";
-    String zone = holder.equals("e1") ? "north" : "south";
+    String holderDataCentre = holder.equals("e1") ? "north" : "south";
     String other = first.target();
-    String otherZone = other.equals("e1") ? "north" : "south";
+    String otherDataCentre = other.equals("e1") ? "north" : "south";
     world.advanceTime(10);
-    world.list(run(holder, SECOND, zone), run(other, FIRST, otherZone));
+    world.list(
+        incarnation(holder, SECOND, holderDataCentre), incarnation(other, FIRST, otherDataCentre));
 
     world.fail(first, TargetFailure.RESET);
 
@@ -147,14 +148,14 @@
   }
 
   @Test
-  void aHolderThatHasBegunAnewBeforeTheRunWentOnMayHaveACopyAgain() {
-    world.list(run("e1", FIRST, "north"), run("e2", FIRST, "south"));
-    ForwardWorld.SentCall first = broken();
+  void restartedHolderMayHaveCopyAfterFurtherEvents() {
+    world.list(incarnation("e1", FIRST, "north"), incarnation("e2", FIRST, "south"));
+    ForwardWorld.SentCall first = startStream();
     String holder = first.target().equals("e1") ? "e2" : "e1";
     String other = first.target();
     world.list(
-        run(holder, SECOND, holder.equals("e1") ? "north" : "south"),
-        run(other, FIRST, other.equals("e1") ? "north" : "south"));
+        incarnation(holder, SECOND, holder.equals("e1") ? "north" : "south"),
+        incarnation(other, FIRST, other.equals("e1") ? "north" : "south"));
     world.advanceTime(10);
     first.event(3);
 
@@ -163,23 +164,23 @@
     assertTrue(world.lastCall().dispatch.continueFrom().isPresent());
   }
 
-  /** Starts a stream that has two events and is about to break. */
-  private ForwardWorld.SentCall broken() {
+  /** Starts a stream and sends two events. */
+  private ForwardWorld.SentCall startStream() {
     world.submit("/stream/x", caller);
     return world.lastCall().accept().respondHead(200, true).event(1).event(2);
   }
 
   @Test
-  void aPromptThatARunHasReadIsNotLookedForAtTheNextOne() {
-    world.list(run("e1", FIRST, "north"), run("e2", FIRST, "north"));
+  void promptOfEarlierIncarnationIsNotAssumedCached() {
+    world.list(incarnation("e1", FIRST, "north"), incarnation("e2", FIRST, "north"));
     world.lastEventId = OptionalLong.of(4);
     world.promptPart = Optional.of("p");
     world.submit("/stream/x", caller);
-    for (ForwardWorld.PromptQuery question : List.copyOf(world.promptQueries)) {
-      boolean keeps = question.target().equals("e1");
-      if (keeps) {
-        world.list(run("e1", SECOND, "north"), run("e2", FIRST, "north"));
-        question.response().accept(Optional.of(Set.of("p")));
+    for (ForwardWorld.PromptQuery query : List.copyOf(world.promptQueries)) {
+      boolean hasPrompt = query.target().equals("e1");
+      if (hasPrompt) {
+        world.list(incarnation("e1", SECOND, "north"), incarnation("e2", FIRST, "north"));
+        query.response().accept(Optional.of(Set.of("p")));
       }
     }
 
@@ -187,6 +188,6 @@
     assertEquals(
         1,
         world.targets.find(world.lastCall().dispatch.target().id()).orElseThrow().readingHere(),
-        "the prompt is read anew, wherever the stream went");
+        "the prompt is prefilled again at the chosen target");
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBorrowingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBorrowingTest.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.model.DataCentre;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait until another host has lent a repeat, or has not. */
+/** Requests that wait for another host to grant a retry token. */
 class RetryBorrowingTest {
   private static final int HOSTS = 60;
 
@@ -32,8 +32,8 @@
     }
   }
 
-  /** Has requests fail at their first targets until one waits for a repeat. */
-  private void waitForRepeat() {
+  /** Fails requests at their first targets until one waits for a retry token. */
+  private void waitForRetry() {
     while (world.retryLoanRequests.isEmpty()) {
       caller = new ForwardWorld.Caller();
       exchange = world.submit("/safe/x", caller).orElseThrow();
@@ -42,13 +42,13 @@
         world.lastCall().respond(200, "whole");
         assertTrue(caller.finished);
       }
-      assertTrue(world.sentCalls.size() < 100, "the own part never ends");
+      assertTrue(world.sentCalls.size() < 100, "local retry budget is never exhausted");
     }
   }
 
   @Test
-  void goesOnWithALentRepeat() {
-    waitForRepeat();
+  void retriesWithGrantedToken() {
+    waitForRetry();
     int before = world.sentCalls.size();
 
     world.retryLoanRequests.get(0).accept(1);
@@ -59,8 +59,8 @@
   }
 
   @Test
-  void endsAtOnceWhenNoneIsLent() {
-    waitForRepeat();
+  void failsAtOnceWhenNoTokenIsGranted() {
+    waitForRetry();
 
     world.retryLoanRequests.get(0).accept(0);
 
@@ -68,8 +68,8 @@
   }
 
   @Test
-  void sendsNothingForACallerWhoLeftMeanwhile() {
-    waitForRepeat();
+  void sendsNothingAfterCallerDisconnects() {
+    waitForRetry();
     int before = world.sentCalls.size();
     exchange.onCallerDisconnected();
 
@@ -80,8 +80,8 @@
   }
 
   @Test
-  void endsAtTheDeadlineWhileItWaits() {
-    waitForRepeat();
+  void failsAtDeadlineWhileWaiting() {
+    waitForRetry();
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
@@ -91,8 +91,8 @@
   }
 
   @Test
-  void endsTruthfullyWhenTheHostStopsWhileItWaits() {
-    waitForRepeat();
+  void reportsPossibleExecutionWhenHostStopsDuringWait() {
+    waitForRetry();
 
     world.forwarder.stopAll();
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryBudgetsTest.java
@@ -22,7 +22,7 @@
 import org.gatereel.core.model.ServiceName;
 import org.junit.jupiter.api.Test;
 
-/** Several hosts that share one budget. */
+/** Retry budgets that several hosts share. */
 class RetryBudgetsTest {
   private static final ServiceName SERVICE = new ServiceName("engines");
   private static final ForwardPolicy.RetryLimit LIMIT =
@@ -31,8 +31,8 @@
   private static final int DATA_CENTRES = 3;
 
   private final Map<Address, Host> hosts = new HashMap<>();
-  private final List<IntConsumer> unanswered = new ArrayList<>();
-  private boolean lendersAnswer = true;
+  private final List<IntConsumer> pendingLoans = new ArrayList<>();
+  private boolean issuersRespond = true;
 
   private final class Host {
     private final CoreContext context;
@@ -44,25 +44,26 @@
           new CoreContext(
               new HostId("h" + number), dataCentre(number), new SplittableRandom(number));
       directory = new HostDirectory(context, address(number));
-      budgets = new RetryBudgets(context, LIMIT, directory, this::borrow);
+      budgets = new RetryBudgets(context, LIMIT, directory, this::requestLoan);
     }
 
-    private void borrow(
-        Address lender, LoanSubject subject, int count, Consumer<Optional<Loan>> answer) {
+    private void requestLoan(
+        Address issuer, LoanSubject subject, int count, Consumer<Optional<Loan>> response) {
       ServiceName service = ((LoanSubject.Repeats) subject).service();
-      IntConsumer given = lent -> answer.accept(Optional.of(new Loan(lent, 0)));
-      if (lendersAnswer) {
-        given.accept(hosts.get(lender).budgets.issue(service, count));
+      IntConsumer onGranted =
+          grantedCount -> response.accept(Optional.of(new Loan(grantedCount, 0)));
+      if (issuersRespond) {
+        onGranted.accept(hosts.get(issuer).budgets.issue(service, count));
       } else {
-        unanswered.add(given);
+        pendingLoans.add(onGranted);
       }
     }
 
-    /** Takes as many repeats as there are, at most {@code most}. */
-    private int take(int most) {
+    /** Acquires up to {@code maxRetries} retries; returns how many were granted. */
+    private int acquire(int maxRetries) {
       int[] granted = new int[1];
-      for (int index = 0; index < most; index++) {
-        budgets.acquire(SERVICE, yes -> granted[0] += yes ? 1 : 0);
+      for (int index = 0; index < maxRetries; index++) {
+        budgets.acquire(SERVICE, isGranted -> granted[0] += isGranted ? 1 : 0);
       }
       return granted[0];
     }
@@ -90,14 +91,14 @@
   }
 
   @Test
-  void aHostThatNeedsManyAtOnceHasWhatItsDataCentreDoesNotUse() {
-    int granted = hosts.get(address(7)).take(30);
+  void hostCanUseUnusedBudgetOfItsDataCentre() {
+    int granted = hosts.get(address(7)).acquire(30);
 
     assertTrue(granted >= 20, "granted " + granted);
   }
 
   @Test
-  void allHostsTogetherStayWithinTheBudget() {
+  void allHostsTogetherStayWithinBudget() {
     int requests = 0;
     int granted = 0;
     for (Host host : hosts.values()) {
@@ -108,7 +109,7 @@
     }
     for (int round = 0; round < 3; round++) {
       for (Host host : hosts.values()) {
-        granted += host.take(10);
+        granted += host.acquire(10);
       }
     }
 
@@ -117,61 +118,61 @@
   }
 
   @Test
-  void aHostThatReachesNoLenderHasItsOwnPart() {
-    lendersAnswer = false;
-    Host host = borrower();
+  void hostWithoutReachableIssuerUsesLocalBudget() {
+    issuersRespond = false;
+    Host host = hostWithoutIssuerRole();
     host.budgets.recordRequest(SERVICE);
     host.budgets.recordRequest(SERVICE);
 
-    assertEquals(2, host.take(5));
-    unanswered.get(0).accept(0);
-    assertEquals(2, unanswered.size(), "those that waited meanwhile are asked for together");
+    assertEquals(2, host.acquire(5));
+    pendingLoans.get(0).accept(0);
+    assertEquals(2, pendingLoans.size(), "retries that waited are requested together");
   }
 
   @Test
-  void repeatsThatAreWaitedForAreAskedForTogether() {
-    lendersAnswer = false;
-    Host host = borrower();
-    assertEquals(1, host.take(1), "its own part");
-    List<Boolean> answers = new ArrayList<>();
+  void pendingRetriesAreRequestedTogether() {
+    issuersRespond = false;
+    Host host = hostWithoutIssuerRole();
+    assertEquals(1, host.acquire(1), "local budget");
+    List<Boolean> results = new ArrayList<>();
     for (int index = 0; index < 4; index++) {
-      host.budgets.acquire(SERVICE, answers::add);
+      host.budgets.acquire(SERVICE, results::add);
     }
-    assertEquals(1, unanswered.size());
-    assertEquals(List.of(), answers);
+    assertEquals(1, pendingLoans.size());
+    assertEquals(List.of(), results);
 
-    unanswered.get(0).accept(1);
-    unanswered.get(1).accept(2);
+    pendingLoans.get(0).accept(1);
+    pendingLoans.get(1).accept(2);
 
-    assertEquals(List.of(true, true, true, false), answers);
-    assertFalse(unanswered.size() > 2);
+    assertEquals(List.of(true, true, true, false), results);
+    assertFalse(pendingLoans.size() > 2);
   }
 
-  /** Whoever is answered may need a repeat again at once, while others still wait for theirs. */
+  /** A waiter may request another retry from within its callback while others still wait. */
   @Test
-  void anAnswerThatAsksAgainTakesNobodysPlace() {
-    lendersAnswer = false;
-    Host host = borrower();
-    assertEquals(1, host.take(1), "its own part");
-    List<Boolean> answers = new ArrayList<>();
-    host.budgets.acquire(SERVICE, answers::add);
+  void reentrantRequestDoesNotDropOtherWaiters() {
+    issuersRespond = false;
+    Host host = hostWithoutIssuerRole();
+    assertEquals(1, host.acquire(1), "local budget");
+    List<Boolean> results = new ArrayList<>();
+    host.budgets.acquire(SERVICE, results::add);
     host.budgets.acquire(
         SERVICE,
         granted -> {
-          answers.add(granted);
-          host.budgets.acquire(SERVICE, answers::add);
+          results.add(granted);
+          host.budgets.acquire(SERVICE, results::add);
         });
-    host.budgets.acquire(SERVICE, answers::add);
+    host.budgets.acquire(SERVICE, results::add);
 
-    for (int asked = 0; asked < unanswered.size(); asked++) {
-      unanswered.get(asked).accept(1);
+    for (int index = 0; index < pendingLoans.size(); index++) {
+      pendingLoans.get(index).accept(1);
     }
 
-    assertEquals(4, answers.size());
+    assertEquals(4, results.size());
   }
 
-  /** Returns a host that does not lend itself. */
-  private Host borrower() {
+  /** Returns a host that is not an issuer. */
+  private Host hostWithoutIssuerRole() {
     return hosts.values().stream()
         .filter(host -> host.directory.reader(0).isPresent())
         .findFirst()
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RetryWindowTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RetryWindowTest.java
@@ -12,9 +12,9 @@
   private static final long WINDOW_MILLIS = 10_000;
 
   @Test
-  void slackIsThereAgainAfterAWindow() {
+  void slackIsRestoredAfterWindow() {
     RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0);
-    for (int repeat = 0; repeat < 3; repeat++) {
+    for (int retry = 0; retry < 3; retry++) {
       assertTrue(window.hasRoom(0, 0.5, 3));
       window.recordRetry(0);
     }
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void requestsEarnTheirShare() {
+  void requestsAddRetriesByRatio() {
     RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0);
     window.recordRequest(0);
     assertFalse(window.hasRoom(0, 0.5, 0));
@@ -32,11 +32,11 @@
   }
 
   @Test
-  void noSpanOfTheWindowsLengthExceedsTheBound() {
+  void noIntervalOfWindowLengthExceedsBound() {
     SplittableRandom random = new SplittableRandom(20261202);
     RetryWindow window = new RetryWindow(WINDOW_MILLIS, 0);
     List<Long> requests = new ArrayList<>();
-    List<Long> repeats = new ArrayList<>();
+    List<Long> retries = new ArrayList<>();
     long now = 0;
     for (int step = 0; step < 5_000; step++) {
       now += random.nextInt(step % 500 < 50 ? 10 : 120);
@@ -45,14 +45,16 @@
         requests.add(now);
       } else if (window.hasRoom(now, 0.8, 5)) {
         window.recordRetry(now);
-        repeats.add(now);
-        assertTrue(within(repeats, now) <= 0.8 * within(requests, now) + 5, "at " + now);
+        retries.add(now);
+        assertTrue(
+            countWithinWindow(retries, now) <= 0.8 * countWithinWindow(requests, now) + 5,
+            "at " + now);
       }
     }
-    assertTrue(repeats.size() > 500, "repeats: " + repeats.size());
+    assertTrue(retries.size() > 500, "retries: " + retries.size());
   }
 
-  private static long within(List<Long> times, long now) {
+  private static long countWithinWindow(List<Long> times, long now) {
     return times.stream().filter(time -> time > now - WINDOW_MILLIS).count();
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -26,9 +26,9 @@
 import org.gatereel.core.rollout.Tally;
 import org.junit.jupiter.api.Test;
 
-/** Where requests, repeats and continuations go while a service moves to another version. */
+/** Routing of requests, retries and continuations during a rollout. */
 class RolloutForwardingTest {
-  private static final long DURATION = 60_000;
+  private static final long DURATION_MILLIS = 60_000;
   private static final long STORE_MILLIS = 7_000_000;
   private static final int REQUESTS = 400;
 
@@ -58,23 +58,25 @@
 
   private void order(ServiceName service, RolloutState state) {
     long now = world.context.knowledgeTime();
-    world.rollouts.learnOrders(List.of(new RolloutOrder(service, "v2", DURATION, 5)), now);
+    world.rollouts.learnOrders(List.of(new RolloutOrder(service, "v2", DURATION_MILLIS, 5)), now);
     world.rollouts.learnRecords(
-        List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
+        List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION_MILLIS, state, 9)),
         STORE_MILLIS,
         now);
   }
 
-  private int sentToNew(int from) {
+  private int countSentToNewVersion(int from) {
     return (int)
         world.sentCalls.subList(from, world.sentCalls.size()).stream()
             .filter(call -> call.target().startsWith("new"))
             .count();
   }
 
-  /** Meanwhile the version may have been found bad, and its targets may be leaving. */
+  /**
+   * The version may have been rolled back, or its targets may be leaving, during the suspension.
+   */
   @Test
-  void nothingGoesToTheNewVersionAfterASuspensionUntilTheRowIsReadAnew() {
+  void newVersionReceivesNothingAfterSuspensionUntilRecordIsRead() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
@@ -84,16 +86,16 @@
       world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(0, sentToNew(0));
+    assertEquals(0, countSentToNewVersion(0));
   }
 
-  /** A token for a target of the new version comes after the verdict on it has fallen. */
+  /** Guards against sending to a version whose rollback precedes the arrival of a token. */
   @Test
-  void nothingGoesToAVersionThatWasRolledBackWhileARequestWaitedForAToken() {
+  void versionRolledBackDuringTokenWaitReceivesNothing() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "new1", "new2", "new3");
-    knowAnotherHost();
+    listAnotherHost();
     for (String target : new String[] {"new1", "new2", "new3"}) {
       world.forwarder.limits().book().hear(new TargetId(target), 5, 0);
     }
@@ -110,7 +112,7 @@
     assertEquals("old1", world.lastCall().target());
   }
 
-  private void knowAnotherHost() {
+  private void listAnotherHost() {
     Address address = new Address("10.0.2.1", 7);
     for (int reading = 0; reading < 3; reading++) {
       world.directory.update(
@@ -119,7 +121,7 @@
   }
 
   @Test
-  void aSmallPartOfTheRequestsTriesTheNewVersion() {
+  void canaryReceivesSmallRatioOfRequests() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
@@ -129,12 +131,14 @@
       world.lastCall().respond(200, "ok");
     }
 
-    int fresh = sentToNew(0);
-    assertTrue(fresh >= REQUESTS / 50 && fresh <= REQUESTS / 20, "sent to the new one: " + fresh);
+    int canaryRequests = countSentToNewVersion(0);
+    assertTrue(
+        canaryRequests >= REQUESTS / 50 && canaryRequests <= REQUESTS / 20,
+        "requests sent to the new version: " + canaryRequests);
   }
 
   @Test
-  void aRepeatDoesNotTryTheNewVersion() {
+  void retriesAreNotSentToCanary() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
@@ -144,19 +148,19 @@
       world.submit("/safe/x", new ForwardWorld.Caller());
       world.lastCall().respond(500, "error");
       if (world.sentCalls.size() > before + 1) {
-        assertEquals(0, sentToNew(before + 1));
+        assertEquals(0, countSentToNewVersion(before + 1));
         world.lastCall().respond(200, "ok");
       }
     }
   }
 
   @Test
-  void aStreamThatBreaksAtTheNewVersionGoesOnAtTheOneBefore() {
+  void streamInterruptedAtCanaryContinuesAtPreviousVersion() {
     list(ForwardWorld.ENGINES, "old1", "old2");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
     list(ForwardWorld.ENGINES, "old1", "old2", "new1", "new2", "new3");
 
-    int broken = 0;
+    int interrupted = 0;
     for (int request = 0; request < REQUESTS; request++) {
       Optional<Exchange> exchange = world.submit("/stream/x", new ForwardWorld.Caller());
       ForwardWorld.SentCall first = world.lastCall();
@@ -165,16 +169,16 @@
         first.accept().respondHead(200, true).event(1);
         world.fail(first, TargetFailure.RESET);
         assertEquals(before + 1, world.sentCalls.size());
-        assertEquals(0, sentToNew(before));
-        broken++;
+        assertEquals(0, countSentToNewVersion(before));
+        interrupted++;
       }
       exchange.ifPresent(Exchange::onCallerDisconnected);
     }
-    assertTrue(broken > 0);
+    assertTrue(interrupted > 0);
   }
 
   @Test
-  void aStreamThatACallerResumesDoesNotTryTheNewVersion() {
+  void resumedStreamsAreNotSentToCanary() {
     list(ForwardWorld.ENGINES, "old1");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
     list(ForwardWorld.ENGINES, "old1", "new1", "new2");
@@ -184,11 +188,11 @@
       world.submit("/stream/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(0, sentToNew(0));
+    assertEquals(0, countSentToNewVersion(0));
   }
 
   @Test
-  void afterARollBackNothingGoesToTheNewVersionAlsoIfNothingElseIsLeft() {
+  void rolledBackVersionReceivesNothingEvenIfNoOtherIsAvailable() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
     list(ForwardWorld.COUNTERS, "new1");
@@ -200,20 +204,23 @@
     assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
-  /** Held back until somebody completes it, the whole service would be refused. */
+  /** Otherwise the whole service would be rejected until the rollout is completed. */
   @Test
-  void anOrderThatNamesTheVersionInServiceTakesNothingAway() {
+  void orderForActiveVersionDoesNotRemoveItFromService() {
     list(ForwardWorld.COUNTERS, "new1", "new2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
 
     world.submit("/safe/x", new ForwardWorld.Caller());
 
-    assertEquals(1, sentToNew(0));
+    assertEquals(1, countSentToNewVersion(0));
   }
 
-  /** The next order alone was looked at: what had been rolled back had its part again. */
+  /**
+   * Guards against considering only the latest order, which would return a rolled-back version to
+   * service.
+   */
   @Test
-  void aVersionThatWasRolledBackStaysOutWhenAnotherIsOrdered() {
+  void rolledBackVersionStaysExcludedDuringNextRollout() {
     for (RolloutState state : new RolloutState[] {RolloutState.ROLLED_BACK, RolloutState.RUNNING}) {
       ForwardWorld fresh = new ForwardWorld();
       HostList list =
@@ -228,14 +235,15 @@
       fresh.targets.see(list);
       long now = fresh.context.now();
       fresh.rollouts.learnOrders(
-          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION, 5)), now);
+          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION_MILLIS, 5)), now);
       fresh.rollouts.learnRecords(
           List.of(
-              new RolloutRecord(ForwardWorld.COUNTERS, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
+              new RolloutRecord(
+                  ForwardWorld.COUNTERS, "v2", 5, STORE_MILLIS, DURATION_MILLIS, state, 9)),
           STORE_MILLIS,
           now);
       fresh.rollouts.learnOrders(
-          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION, 10)), now);
+          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION_MILLIS, 10)), now);
 
       for (int request = 0; request < 20; request++) {
         fresh.submit("/safe/x", new ForwardWorld.Caller());
@@ -246,7 +254,7 @@
   }
 
   @Test
-  void afterTheEndTheVersionsBeforeAreLeftForTheNewOne() {
+  void onlyNewVersionReceivesRequestsAfterCompletion() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.COMPLETED);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1");
@@ -255,11 +263,11 @@
       world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(20, sentToNew(0));
+    assertEquals(20, countSentToNewVersion(0));
   }
 
   @Test
-  void whatAnswersShowIsCountedOnceForEachSignal() {
+  void evidenceIsCountedOncePerSignal() {
     list(ForwardWorld.ENGINES, "old1");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
     world.submit("/stream/x", new ForwardWorld.Caller());
@@ -278,7 +286,7 @@
   }
 
   @Test
-  void connectionsThatBreakAreNoEvidenceAgainstAVersion() {
+  void failedConnectionsAreNotEvidenceAgainstVersion() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     world.submit("/safe/x", new ForwardWorld.Caller());
@@ -291,7 +299,7 @@
   }
 
   @Test
-  void aVersionThatNobodyOrderedWaitsUntilTheOrdersWereReadAgain() {
+  void versionWithoutOrderReceivesNothingUntilOrdersAreConfirmed() {
     list(ForwardWorld.COUNTERS, "old1");
     world.rollouts.confirmOrders(world.context.now());
     world.advanceTime(10);
@@ -304,6 +312,6 @@
     world.rollouts.confirmOrders(world.context.now());
     world.submit("/safe/x", new ForwardWorld.Caller());
 
-    assertEquals(1, sentToNew(0));
+    assertEquals(1, countSentToNewVersion(0));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamContinuationTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamContinuationTest.java
@@ -10,7 +10,7 @@
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.junit.jupiter.api.Test;
 
-/** How the runs of several targets are joined to one stream. */
+/** How executions at several targets are joined to one stream. */
 class StreamContinuationTest {
   private static final String WITHOUT_ID = "data: x\n\n";
   private static final String COMMENT = ": still here\n\n";
@@ -18,7 +18,7 @@
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
 
-  private ForwardWorld.SentCall running(long lastEvent) {
+  private ForwardWorld.SentCall startStream(long lastEvent) {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
@@ -27,8 +27,8 @@
     return call;
   }
 
-  private ForwardWorld.SentCall goingOnAfter(long lastEvent) {
-    world.fail(running(lastEvent), TargetFailure.RESET);
+  private ForwardWorld.SentCall continueAfter(long lastEvent) {
+    world.fail(startStream(lastEvent), TargetFailure.RESET);
     return world.lastCall().accept().respondHead(200, true);
   }
 
@@ -41,13 +41,12 @@
   }
 
   /**
-   * A caller had events 1 and 2 and one without an id after them. The next run, asked to go on
-   * after event 2, would have sent that one again, or left another one out, and nobody could have
-   * told.
+   * Guards against repeating or losing an event without an id, whose position a continuation cannot
+   * tell.
    */
   @Test
-  void breaksAStreamOffThatHasAnEventWithoutId() {
-    ForwardWorld.SentCall call = running(2).text(WITHOUT_ID);
+  void abortsStreamWithEventWithoutId() {
+    ForwardWorld.SentCall call = startStream(2).text(WITHOUT_ID);
 
     world.fail(call, TargetFailure.RESET);
 
@@ -57,8 +56,8 @@
   }
 
   @Test
-  void breaksAStreamOffAlsoIfEventsWithIdsFollowTheOneWithout() {
-    ForwardWorld.SentCall call = running(1).text(WITHOUT_ID).event(2);
+  void abortsStreamIfEventsWithIdsFollowOneWithoutId() {
+    ForwardWorld.SentCall call = startStream(1).text(WITHOUT_ID).event(2);
 
     world.fail(call, TargetFailure.RESET);
 
@@ -67,8 +66,8 @@
   }
 
   @Test
-  void takesAnIdThatIsNoNumberForNone() {
-    ForwardWorld.SentCall call = running(1).text("id: b7\n" + WITHOUT_ID);
+  void treatsNonNumericIdAsMissing() {
+    ForwardWorld.SentCall call = startStream(1).text("id: b7\n" + WITHOUT_ID);
 
     world.fail(call, TargetFailure.RESET);
 
@@ -76,16 +75,16 @@
   }
 
   @Test
-  void endsAStreamWithoutIdsByItsTargetsWord() {
-    running(0).text(WITHOUT_ID).text(WITHOUT_ID).listener.onEnd(ResponseEnd.LAST_CHUNK);
+  void completesStreamWithoutIdsWhenTargetConfirmsEnd() {
+    startStream(0).text(WITHOUT_ID).text(WITHOUT_ID).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertTrue(caller.finished);
     assertEquals(WITHOUT_ID + WITHOUT_ID, caller.body.toString());
   }
 
   @Test
-  void goesOnWithAStreamThatHasCommentsBetweenItsEvents() {
-    world.fail(running(1).text(COMMENT), TargetFailure.RESET);
+  void continuesStreamWithComments() {
+    world.fail(startStream(1).text(COMMENT), TargetFailure.RESET);
 
     world
         .lastCall()
@@ -102,19 +101,25 @@
   }
 
   @Test
-  void startsAStreamAnewOfWhichTheCallerHasOnlyComments() {
-    world.fail(running(0).text(COMMENT), TargetFailure.RESET);
+  void restartsStreamThatForwardedOnlyComments() {
+    world.fail(startStream(0).text(COMMENT), TargetFailure.RESET);
 
     assertEquals(OptionalLong.empty(), world.lastCall().dispatch.lastEventId());
-    world.lastCall().accept().respondHead(200, true).event(1).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    world
+        .lastCall()
+        .accept()
+        .respondHead(200, true)
+        .event(1)
+        .listener
+        .onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertEquals(COMMENT + eventsUpTo(1), caller.body.toString());
   }
 
-  /** Nothing tells whether the caller has an event without an id already. */
+  /** The caller may already have the event without an id. */
   @Test
-  void joinsNoEventWithoutIdToAnEarlierRun() {
-    ForwardWorld.SentCall second = goingOnAfter(2);
+  void cancelsContinuationThatStartsWithEventWithoutId() {
+    ForwardWorld.SentCall second = continueAfter(2);
 
     second.text(WITHOUT_ID);
 
@@ -124,38 +129,35 @@
   }
 
   @Test
-  void passesAnEventWithoutIdOnOnceItsRunStandsWhereTheCallerDoes() {
-    goingOnAfter(2).event(2).text(WITHOUT_ID);
+  void forwardsEventWithoutIdAfterContinuationReachesLastEvent() {
+    continueAfter(2).event(2).text(WITHOUT_ID);
 
     assertFalse(caller.isFinal());
     assertEquals(eventsUpTo(2) + WITHOUT_ID, caller.body.toString());
   }
 
-  /**
-   * The ids of one run began anew after event 3. Its events up to 3 were taken for known and passed
-   * over, and the stream went on with another event 4 as if nothing had happened.
-   */
+  /** Guards against treating new events as known when the ids of an execution decrease. */
   @Test
-  void givesARunUpWhoseIdsGoBack() {
-    for (long again : new long[] {1, 2, 3}) {
+  void cancelsAttemptWithDecreasingIds() {
+    for (long repeatedId : new long[] {1, 2, 3}) {
       ForwardWorld fresh = new ForwardWorld();
-      Caller asking = new Caller();
-      fresh.submit("/stream/x", asking);
+      Caller otherCaller = new Caller();
+      fresh.submit("/stream/x", otherCaller);
       ForwardWorld.SentCall call = fresh.lastCall().accept().respondHead(200, true);
       call.event(1).event(2).event(3);
 
-      call.event(again);
+      call.event(repeatedId);
 
-      assertTrue(call.cancelled, "again " + again);
+      assertTrue(call.cancelled, "repeated id " + repeatedId);
       assertEquals(2, fresh.sentCalls.size());
       assertEquals(OptionalLong.of(3), fresh.lastCall().dispatch.lastEventId());
-      assertEquals(eventsUpTo(3), asking.body.toString());
+      assertEquals(eventsUpTo(3), otherCaller.body.toString());
     }
   }
 
   @Test
-  void givesALaterRunUpWhoseIdsGoBackBeforeTheyReachTheCaller() {
-    ForwardWorld.SentCall second = goingOnAfter(3).event(1).event(2);
+  void cancelsContinuationWithDecreasingIds() {
+    ForwardWorld.SentCall second = continueAfter(3).event(1).event(2);
 
     second.event(1);
 
@@ -164,8 +166,8 @@
   }
 
   @Test
-  void givesALaterRunUpThatLeavesOutWhatTheCallerHas() {
-    ForwardWorld.SentCall second = goingOnAfter(3).event(1);
+  void cancelsContinuationThatSkipsKnownEvents() {
+    ForwardWorld.SentCall second = continueAfter(3).event(1);
 
     second.event(3);
 
@@ -173,25 +175,25 @@
   }
 
   @Test
-  void passesOverWhatANewRunRepeatsFromTheBeginning() {
-    goingOnAfter(3).event(1).event(2).event(3).event(4);
+  void skipsRepeatedEventsOfContinuation() {
+    continueAfter(3).event(1).event(2).event(3).event(4);
 
     assertEquals(eventsUpTo(4), caller.body.toString());
   }
 
-  /** Where ids begin is the target's affair: to refuse a stream for it would refuse whole ones. */
+  /** Targets choose their first id; rejecting some would fail complete streams. */
   @Test
-  void passesAFirstRunOnWhereverItsIdsBegin() {
-    running(0).text(COMMENT).event(7).event(8).listener.onEnd(ResponseEnd.LAST_CHUNK);
+  void acceptsAnyFirstIdInFirstExecution() {
+    startStream(0).text(COMMENT).event(7).event(8).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertEquals(
         COMMENT + ForwardWorld.eventText(7) + ForwardWorld.eventText(8), caller.body.toString());
     assertTrue(caller.finished);
   }
 
-  /** A caller's reader makes events of some blocks and of others none; the host must agree. */
+  /** The host must agree with event stream clients on which blocks are events. */
   @Test
-  void readsBlocksAsTheCallerDoes() {
+  void parsesBlocksLikeEventStreamClients() {
     assertTrue(blockOf(COMMENT).isComment());
     assertTrue(blockOf("retry: 500\n\n").isComment());
     assertTrue(blockOf("event: note\n\n").isComment());
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -12,15 +12,15 @@
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.junit.jupiter.api.Test;
 
-/** What is taken for the end of a stream, and what may follow its break. */
+/** When a stream is complete, and how it continues after a failure. */
 class StreamEndTest {
-  private static final long HAD_BY_CALLER = 2;
+  private static final long LAST_EVENT_OF_CALLER = 2;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
   private Exchange latest;
 
-  private ForwardWorld.SentCall running(long lastEvent) {
+  private ForwardWorld.SentCall startStream(long lastEvent) {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
@@ -29,8 +29,8 @@
     return call;
   }
 
-  private ForwardWorld.SentCall resumedAfterABreak() {
-    world.fail(running(2), TargetFailure.RESET);
+  private ForwardWorld.SentCall continueAfterReset() {
+    world.fail(startStream(2), TargetFailure.RESET);
     return world.lastCall();
   }
 
@@ -43,17 +43,8 @@
   }
 
   /**
-   * An engine went dark after 110 events of a stream. The engine that had a copy of the run's
-   * memory was asked to go on and answered with an error at once, as it had before the stream
-   * began. The host took that answer for the final one: it added its body and ended the caller's
-   * answer, whose head was the first engine's 200, as complete. The host's lines of that request
-   * settled it:
-   *
-   * <pre>
-   * ATTEMPT_FAILED target=B failure=TIMEOUT mayHaveRun=true tries=2 lastEvent=110 millis=3913
-   * REQUEST_FORWARDED try=3 target=A fromCopy=true tries=3 lastEvent=110 millis=3913
-   * REQUEST_ANSWERED status=500 tries=3 lastEvent=110 millis=3923
-   * </pre>
+   * Guards against ending a started stream as complete with the error response of the engine that
+   * was to continue it.
    */
   @Test
   void goesOnAfterAnErrorOfTheEngineThatHadTheCopyOfADarkOnesRun() {
@@ -73,34 +64,46 @@
     assertFalse(caller.isFinal());
     assertEquals(eventsUpTo(110), caller.body.toString());
     assertEquals(OptionalLong.of(110), world.lastCall().dispatch.lastEventId());
-    world.lastCall().accept().respondHead(200, true).event(111).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    world
+        .lastCall()
+        .accept()
+        .respondHead(200, true)
+        .event(111)
+        .listener
+        .onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(111), caller.body.toString());
     assertTrue(caller.finished);
   }
 
   @Test
-  void endsABegunStreamWithNoErrorOfTheTargetThatWasToGoOn() {
+  void errorOfContinuingTargetDoesNotEndStartedStream() {
     for (int status : new int[] {500, 504, 400, 404, 200}) {
       ForwardWorld fresh = new ForwardWorld();
-      Caller asking = new Caller();
-      fresh.submit("/stream/x", asking);
+      Caller otherCaller = new Caller();
+      fresh.submit("/stream/x", otherCaller);
       fresh.lastCall().accept().respondHead(200, true).event(1);
       fresh.fail(fresh.lastCall(), TargetFailure.RESET);
 
       fresh.lastCall().respond(status, "no event stream");
 
-      assertFalse(asking.isFinal(), "status " + status);
+      assertFalse(otherCaller.isFinal(), "status " + status);
       assertEquals(3, fresh.sentCalls.size());
       assertEquals(OptionalLong.of(1), fresh.lastCall().dispatch.lastEventId());
-      fresh.lastCall().accept().respondHead(200, true).event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
-      assertEquals(eventsUpTo(2), asking.body.toString());
-      assertTrue(asking.finished);
+      fresh
+          .lastCall()
+          .accept()
+          .respondHead(200, true)
+          .event(2)
+          .listener
+          .onEnd(ResponseEnd.LAST_CHUNK);
+      assertEquals(eventsUpTo(2), otherCaller.body.toString());
+      assertTrue(otherCaller.finished);
     }
   }
 
   @Test
-  void passesNoLongBodyOfAnotherKindOnInsideABegunStream() {
-    ForwardWorld.SentCall second = resumedAfterABreak().accept().respondHead(200, false);
+  void doesNotForwardOtherContentInsideStartedStream() {
+    ForwardWorld.SentCall second = continueAfterReset().accept().respondHead(200, false);
 
     second.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
 
@@ -110,8 +113,8 @@
   }
 
   @Test
-  void breaksABegunStreamOffWhenEachTargetAnswersWithAnError() {
-    running(2);
+  void abortsStartedStreamWhenEveryTargetRespondsWithError() {
+    startStream(2);
     world.fail(world.lastCall(), TargetFailure.RESET);
 
     while (!caller.isFinal()) {
@@ -123,9 +126,9 @@
   }
 
   @Test
-  void breaksABegunStreamOffWhereAnEarlierErrorWasKeptBack() {
+  void abortsStartedStreamDespiteEarlierHeldError() {
     world.submit("/stream/x", caller);
-    world.lastCall().respond(500, "kept back");
+    world.lastCall().respond(500, "held");
     world.lastCall().accept().respondHead(200, true).event(1);
     world.fail(world.lastCall(), TargetFailure.RESET);
 
@@ -137,18 +140,18 @@
     assertEquals(eventsUpTo(1), caller.body.toString());
   }
 
-  /** Has a target end its answer by closing the connection, with neither length nor last chunk. */
+  /** Closes the connection of a response that has neither a length nor a last chunk. */
   private static void close(ForwardWorld.SentCall call) {
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
   }
 
   /**
-   * An engine's process ended between two events. Its connections were closed in order, as they are
-   * when a stream without chunks is whole, and the caller got the part it had as a complete answer.
+   * Guards against completing a partial stream when the target exits and its connection closes
+   * normally.
    */
   @Test
-  void goesOnElsewhereWhenTheTargetOfAClosedConnectionIsGone() {
-    ForwardWorld.SentCall first = running(2);
+  void continuesElsewhereWhenTargetOfClosedConnectionIsGone() {
+    ForwardWorld.SentCall first = startStream(2);
 
     close(first);
     assertFalse(caller.isFinal());
@@ -158,14 +161,20 @@
     assertFalse(caller.isFinal());
     assertEquals(2, world.sentCalls.size());
     assertEquals(OptionalLong.of(2), world.lastCall().dispatch.lastEventId());
-    world.lastCall().accept().respondHead(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    world
+        .lastCall()
+        .accept()
+        .respondHead(200, true)
+        .event(3)
+        .listener
+        .onEnd(ResponseEnd.LAST_CHUNK);
     assertEquals(eventsUpTo(3), caller.body.toString());
     assertTrue(caller.finished);
   }
 
   @Test
-  void takesAStreamForWholeWhoseTargetAnswersAfterItClosedTheConnection() {
-    close(running(2));
+  void completesStreamWhenTargetOfClosedConnectionIsAlive() {
+    close(startStream(2));
     assertFalse(caller.isFinal());
 
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
@@ -175,10 +184,10 @@
     assertEquals(0, world.forwarder.openExchangeCount());
   }
 
-  /** An answer that was on its way before the connection was closed tells of the time before. */
+  /** A probe sent before the connection closed does not show the later state of the target. */
   @Test
-  void believesNoProbeThatWasSentBeforeTheEnd() {
-    ForwardWorld.SentCall first = running(2);
+  void ignoresResultOfProbeSentBeforeResponseEnd() {
+    ForwardWorld.SentCall first = startStream(2);
     world.advanceTime(250);
     ForwardWorld.SentProbe early = world.lastProbe();
 
@@ -192,7 +201,7 @@
   }
 
   @Test
-  void breaksAStreamOffThatNobodyCanGoOnWithWhenTheTargetOfAClosedConnectionIsGone() {
+  void abortsResponseThatCannotBeContinuedWhenTargetIsGone() {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, false);
     call.listener.onBody(new byte[ForwardPolicy.STANDARD.maxBufferedBytes() + 1]);
@@ -205,11 +214,11 @@
   }
 
   @Test
-  void givesOneFinalAnswerWhateverComesWhileAnEndIsInDoubt() {
-    for (Runnable event : whatMayComeWhileAnEndIsInDoubt()) {
+  void sendsOneFinalResponseWhileResponseEndIsUnconfirmed() {
+    for (Runnable event : actionsDuringEndCheck()) {
       world.configurationHolder.confirm(1, world.context.now());
-      Caller asking = new Caller();
-      latest = world.submit("/stream/x", asking).orElseThrow();
+      Caller otherCaller = new Caller();
+      latest = world.submit("/stream/x", otherCaller).orElseThrow();
       int before = world.sentCalls.size();
       ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
       close(call);
@@ -218,20 +227,20 @@
       event.run();
 
       assertTrue(call.cancelled);
-      String body = asking.body.toString();
-      boolean wasOver = asking.isFinal();
+      String body = otherCaller.body.toString();
+      boolean wasFinal = otherCaller.isFinal();
       probe.listener().onResult(ProbeResult.ALIVE);
       probe.listener().onResult(ProbeResult.GONE);
-      assertEquals(body, asking.body.toString());
-      assertFalse(asking.finished);
-      assertEquals(wasOver, asking.isFinal());
+      assertEquals(body, otherCaller.body.toString());
+      assertFalse(otherCaller.finished);
+      assertEquals(wasFinal, otherCaller.isFinal());
       assertTrue(world.sentCalls.size() <= before + 1);
       latest.onCallerDisconnected();
     }
     assertEquals(0, world.forwarder.openExchangeCount());
   }
 
-  private List<Runnable> whatMayComeWhileAnEndIsInDoubt() {
+  private List<Runnable> actionsDuringEndCheck() {
     return List.of(
         () -> world.advanceTime(ForwardWorld.TIMEOUT_MILLIS),
         () -> latest.onCallerDisconnected(),
@@ -240,8 +249,8 @@
   }
 
   @Test
-  void logsAnEndInDoubtAndWhatBecameOfIt() {
-    close(running(2));
+  void logsUnconfirmedResponseEndAndItsVerdict() {
+    close(startStream(2));
     world.advanceTime(3);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
@@ -261,25 +270,27 @@
         .toList();
   }
 
-  /** How a run began whose end is judged. */
+  /** How the execution started whose response end is checked. */
   private enum Start {
-    /** The caller asks for the first time. */
+    /** First request of the caller. */
     FRESH,
-    /** The caller came back with the last event it had. */
+    /** The caller resumed the stream after its last event. */
     RESUMED,
-    /** An earlier run broke, and this one goes on after its last event by reading all anew. */
+    /**
+     * An earlier execution failed, and this one continues after its last event with a new prefill.
+     */
     CONTINUED,
-    /** The same, from a copy of the earlier run's memory. */
+    /** As above, but from a copy of the memory of the earlier execution. */
     FROM_COPY
   }
 
-  private static ForwardWorld.SentCall begin(Start start, ForwardWorld fresh, Caller asking) {
+  private static ForwardWorld.SentCall begin(Start start, ForwardWorld fresh, Caller otherCaller) {
     if (start == Start.RESUMED) {
-      fresh.lastEventId = OptionalLong.of(HAD_BY_CALLER);
+      fresh.lastEventId = OptionalLong.of(LAST_EVENT_OF_CALLER);
     }
-    fresh.submit("/stream/x", asking);
+    fresh.submit("/stream/x", otherCaller);
     if (start == Start.CONTINUED || start == Start.FROM_COPY) {
-      fresh.lastCall().accept().respondHead(200, true).event(1).event(HAD_BY_CALLER);
+      fresh.lastCall().accept().respondHead(200, true).event(1).event(LAST_EVENT_OF_CALLER);
       fresh.fail(fresh.lastCall(), TargetFailure.RESET);
     }
     if (start == Start.CONTINUED) {
@@ -290,74 +301,75 @@
   }
 
   /**
-   * A run that ends without one event says nothing that could be checked. That nothing is missing
-   * is then only as good as the target's own word; a connection that was closed is none, even if
-   * the target lives.
+   * Without events nothing shows a gap: only a confirmed end completes the stream, and a closed
+   * connection does not, even if the target is alive.
    */
   @Test
-  void aRunWithoutOneEventIsAtItsEndOnlyByTheTargetsWord() {
+  void executionWithoutEventsIsCompleteOnlyIfConfirmedByTarget() {
     for (Start start : Start.values()) {
       for (ResponseEnd end : ResponseEnd.values()) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        ForwardWorld.SentCall call = begin(start, fresh, asking);
+        Caller otherCaller = new Caller();
+        ForwardWorld.SentCall call = begin(start, fresh, otherCaller);
 
         call.listener.onEnd(end);
         fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-        assertEquals(end.isConfirmedByTarget(), asking.finished, start + " " + end);
+        assertEquals(end.isConfirmedByTarget(), otherCaller.finished, start + " " + end);
         assertEquals(!end.isConfirmedByTarget(), fresh.lastCall() != call, start + " " + end);
-        assertFalse(asking.aborted);
+        assertFalse(otherCaller.aborted);
       }
     }
   }
 
-  /** Comments keep a connection open; they are no events of the run. */
+  /** Comments only keep the connection open. */
   @Test
-  void aRunWithCommentsAloneIsOneWithoutEvents() {
+  void commentsDoNotCountAsEvents() {
     for (Start start : Start.values()) {
       ForwardWorld fresh = new ForwardWorld();
-      Caller asking = new Caller();
-      ForwardWorld.SentCall call = begin(start, fresh, asking);
+      Caller otherCaller = new Caller();
+      ForwardWorld.SentCall call = begin(start, fresh, otherCaller);
 
       call.text(": still here\n\n").listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
       fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-      assertFalse(asking.isFinal(), start.toString());
+      assertFalse(otherCaller.isFinal(), start.toString());
       assertTrue(fresh.lastCall() != call, start.toString());
     }
   }
 
-  /** The caller has the events up to the last one; one of them again shows where the run stands. */
+  /** Repeating the last event of the caller shows that nothing is missing. */
   @Test
-  void aRunThatStandsWhereTheCallerDoesMayEndByAClosedConnectionOfALiveTarget() {
+  void closedConnectionOfLiveTargetEndsStreamAtLastEventOfCaller() {
     for (Start start : Start.values()) {
       ForwardWorld fresh = new ForwardWorld();
-      Caller asking = new Caller();
-      ForwardWorld.SentCall call = begin(start, fresh, asking);
+      Caller otherCaller = new Caller();
+      ForwardWorld.SentCall call = begin(start, fresh, otherCaller);
 
-      call.event(start == Start.FRESH ? 1 : HAD_BY_CALLER);
+      call.event(start == Start.FRESH ? 1 : LAST_EVENT_OF_CALLER);
       call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
-      assertFalse(asking.isFinal());
+      assertFalse(otherCaller.isFinal());
       fresh.lastProbe().listener().onResult(ProbeResult.ALIVE);
 
-      assertTrue(asking.finished, start.toString());
+      assertTrue(otherCaller.finished, start.toString());
     }
   }
 
-  /** A run that ends before the last event that the caller has is a run of something else. */
+  /**
+   * An execution that ends before the last event of the caller does not produce the same stream.
+   */
   @Test
-  void aRunThatEndsBeforeWhatTheCallerHasEndsNothing() {
+  void executionEndingBeforeLastEventOfCallerDoesNotEndStream() {
     for (Start start : List.of(Start.RESUMED, Start.CONTINUED, Start.FROM_COPY)) {
       for (ResponseEnd end : ResponseEnd.values()) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        ForwardWorld.SentCall call = begin(start, fresh, asking);
+        Caller otherCaller = new Caller();
+        ForwardWorld.SentCall call = begin(start, fresh, otherCaller);
 
         call.event(1).listener.onEnd(end);
         fresh.probes.forEach(probe -> probe.listener().onResult(ProbeResult.ALIVE));
 
-        assertFalse(asking.isFinal(), start + " " + end);
+        assertFalse(otherCaller.isFinal(), start + " " + end);
         assertTrue(fresh.lastCall() != call, start + " " + end);
       }
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -26,7 +26,7 @@
   private final ForwardWorld world = new ForwardWorld();
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
 
-  private ForwardWorld.SentCall running(long lastEvent) {
+  private ForwardWorld.SentCall startStream(long lastEvent) {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
@@ -36,16 +36,16 @@
   }
 
   @Test
-  void passesEventsOnAndEndsWithTheTarget() {
-    running(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
+  void forwardsEventsAndEndsWithTarget() {
+    startStream(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), caller.body.toString());
     assertTrue(caller.finished);
   }
 
   @Test
-  void continuesAfterTheLastEventFromTheCopyWhenTheTargetBreaks() {
-    ForwardWorld.SentCall first = running(2);
+  void continuesAfterLastEventFromCopyWhenTargetFails() {
+    ForwardWorld.SentCall first = startStream(2);
     Optional<?> copyTo = first.dispatch.copyTo();
 
     world.fail(first, TargetFailure.RESET);
@@ -61,8 +61,8 @@
   }
 
   @Test
-  void repeatsNoEventThatTheCallerHas() {
-    world.fail(running(2), TargetFailure.RESET);
+  void doesNotRepeatForwardedEvents() {
+    world.fail(startStream(2), TargetFailure.RESET);
 
     world.lastCall().accept().respondHead(200, true).event(2).event(3);
 
@@ -72,8 +72,8 @@
   }
 
   @Test
-  void givesATargetUpThatLeavesAnEventOut() {
-    ForwardWorld.SentCall call = running(2);
+  void cancelsAttemptThatSkipsEvent() {
+    ForwardWorld.SentCall call = startStream(2);
 
     call.event(4);
 
@@ -83,8 +83,8 @@
   }
 
   @Test
-  void passesNoHalfEventOn() {
-    ForwardWorld.SentCall call = running(1);
+  void doesNotForwardPartialEvent() {
+    ForwardWorld.SentCall call = startStream(1);
 
     call.listener.onBody("id: 2\ndata: ha".getBytes(StandardCharsets.UTF_8));
     call.listener.onEnd(ResponseEnd.LAST_CHUNK);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void looksForNoCopyWhereNothingRan() {
+  void usesNoCopyWhenRequestWasNotSent() {
     world.submit("/stream/x", caller);
 
     world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void looksForNoCopyAfterATargetThatDeclaredNotRun() {
+  void usesNoCopyAfterTargetDeclaredNotExecuted() {
     world.submit("/stream/x", caller);
 
     world.lastCall().rejectNotExecuted(421);
@@ -113,8 +113,8 @@
   }
 
   @Test
-  void readsAnewWhereTheCopyIsMissing() {
-    world.fail(running(2), TargetFailure.RESET);
+  void continuesWithoutCopyWhenCopyIsMissing() {
+    world.fail(startStream(2), TargetFailure.RESET);
 
     world.lastCall().rejectNotExecuted(503);
 
@@ -124,8 +124,8 @@
   }
 
   @Test
-  void movesAwayFromASilentTargetThatDoesNotAnswerProbes() {
-    ForwardWorld.SentCall first = running(2);
+  void movesStreamFromSilentTargetThatIsGone() {
+    ForwardWorld.SentCall first = startStream(2);
 
     world.advanceTime(250);
     assertEquals(1, world.probes.size());
@@ -137,8 +137,8 @@
   }
 
   @Test
-  void staysWithASilentTargetThatAnswersProbes() {
-    ForwardWorld.SentCall first = running(2);
+  void keepsStreamAtSilentTargetThatIsAlive() {
+    ForwardWorld.SentCall first = startStream(2);
 
     world.advanceTime(250);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
@@ -149,8 +149,8 @@
   }
 
   @Test
-  void doesNotMoveAStreamThatSpokeWhileTheProbeWasOut() {
-    ForwardWorld.SentCall first = running(2);
+  void keepsStreamThatSentEventDuringProbe() {
+    ForwardWorld.SentCall first = startStream(2);
 
     world.advanceTime(250);
     first.event(3);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void closesTheConnectionToTheTargetWhenTheCallerGoes() {
+  void cancelsAttemptWhenCallerDisconnects() {
     Exchange exchange = world.submit("/stream/x", caller).orElseThrow();
     ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
 
@@ -171,8 +171,8 @@
   }
 
   @Test
-  void breaksOffAtTheDeadlineWithoutLookingComplete() {
-    running(1);
+  void abortsStreamAtDeadline() {
+    startStream(1);
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS + 1);
 
@@ -180,9 +180,9 @@
   }
 
   @Test
-  void findsTheCopyAtItsAddressAfterTheHolderCameBackUnderAnotherName() {
-    ForwardWorld.SentCall first = running(2);
-    loseHolderOf(first);
+  void findsCopyByAddressAfterHolderChangedItsId() {
+    ForwardWorld.SentCall first = startStream(2);
+    restartHolderOf(first);
 
     world.fail(first, TargetFailure.RESET);
 
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void looksForNoCopyAfterARunThatMadeNoEvent() {
+  void usesNoCopyAfterExecutionWithoutEvents() {
     world.submit("/stream/x", caller);
     ForwardWorld.SentCall first = world.lastCall().accept().respondHead(200, true);
     world.advanceTime(390);
@@ -202,7 +202,7 @@
   }
 
   @Test
-  void sendsNothingToATargetWhoseAddressAnotherOneHas() {
+  void sendsNothingToTargetWithReassignedAddress() {
     world.restart("e1", "e9");
 
     for (int i = 0; i < 20; i++) {
@@ -212,7 +212,7 @@
   }
 
   @Test
-  void doubtsADataCentreWhereTargetsFail() {
+  void avoidsDataCentreWithFailingTargets() {
     world.list(
         ForwardWorld.target("e1", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e2", ForwardWorld.ENGINES, "north"),
@@ -227,7 +227,7 @@
     assertEquals("e3", world.lastCall().target());
   }
 
-  private void loseHolderOf(ForwardWorld.SentCall call) {
+  private void restartHolderOf(ForwardWorld.SentCall call) {
     Address holder = call.dispatch.copyTo().orElseThrow();
     world.restart(
         world.targets.at(ForwardWorld.ENGINES, holder).orElseThrow().description().id().value(),
@@ -240,8 +240,8 @@
       world.submit("/stream/x", new ForwardWorld.Caller());
       Dispatch dispatch = world.lastCall().dispatch;
       Address holder = dispatch.copyTo().orElseThrow();
-      String runsAt = dispatch.target().dataCentre().value();
-      String heldAt =
+      String executionDataCentre = dispatch.target().dataCentre().value();
+      String copyDataCentre =
           world
               .targets
               .at(ForwardWorld.ENGINES, holder)
@@ -249,13 +249,13 @@
               .description()
               .dataCentre()
               .value();
-      assertNotEquals(runsAt, heldAt);
-      assertTrue(runsAt.equals("north") || heldAt.equals("north"));
+      assertNotEquals(executionDataCentre, copyDataCentre);
+      assertTrue(executionDataCentre.equals("north") || copyDataCentre.equals("north"));
     }
   }
 
   @Test
-  void countsATargetThatDeclaredNotRunAsNoAttempt() {
+  void doesNotCountAttemptDeclaredNotExecuted() {
     world.submit("/stream/x", caller);
     for (int i = 0; i < 2; i++) {
       world.lastCall().rejectNotExecuted(421);
@@ -273,13 +273,17 @@
     assertFalse(caller.isFinal());
   }
 
-  /** Has others tell that engines have more prompts to read than callers want to wait for. */
+  /**
+   * Receives a report that the engines have more queued prefills than the response time objective
+   * allows.
+   */
   private void overload() {
-    Map<TargetId, TargetLoad> told = new HashMap<>();
+    Map<TargetId, TargetLoad> reportedLoads = new HashMap<>();
     for (TargetState target : world.targets.listed(ForwardWorld.ENGINES)) {
-      told.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
+      reportedLoads.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
     }
-    DemandKey asking = new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
+    DemandKey accountDemand =
+        new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
     world.loads.take(
         new LoadReport(
             new HostId("h2"),
@@ -288,12 +292,12 @@
             1,
             1,
             OptionalLong.empty(),
-            told,
-            Map.of(DemandKey.allOf(ForwardWorld.ENGINES), 50.0, asking, 50.0)));
+            reportedLoads,
+            Map.of(DemandKey.allOf(ForwardWorld.ENGINES), 50.0, accountDemand, 50.0)));
   }
 
   @Test
-  void aStreamBeyondItsAccountsShareWaitsAndIsSentWhenTheLoadIsOver() {
+  void streamBeyondFairShareIsQueuedUntilOverloadEnds() {
     overload();
     world.submit("/stream/x", caller);
     world.advanceTime(1_000);
@@ -306,7 +310,7 @@
   }
 
   @Test
-  void nothingOfAStreamIsSentWhoseCallerLeftWhileItWaited() {
+  void queuedStreamIsNotSentAfterCallerDisconnects() {
     overload();
     world.submit("/stream/x", caller).orElseThrow().onCallerDisconnected();
 
@@ -317,7 +321,7 @@
   }
 
   @Test
-  void whatWaitsAtAHostThatStopsIsRefusedAtOnce() {
+  void queuedRequestsAreRejectedAtShutdown() {
     overload();
     world.submit("/stream/x", caller);
     world.forwarder.beginShutdown(world.context.now() + 1, world.context.now() + 8_000);
@@ -328,7 +332,7 @@
   }
 
   @Test
-  void aCallerWhoHasPartOfAStreamDoesNotWait() {
+  void resumedStreamIsNotQueued() {
     overload();
     world.lastEventId = OptionalLong.of(7);
     world.submit("/stream/x", caller);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/TargetListUpdaterTest.java
@@ -28,7 +28,7 @@
   private final CoreContext context =
       new CoreContext(new HostId("host"), NORTH, new SplittableRandom(1));
   private final TargetRegistry registry = new TargetRegistry(context, new PolicyTable());
-  private final TargetListUpdater keeper = new TargetListUpdater(registry, 2_000);
+  private final TargetListUpdater updater = new TargetListUpdater(registry, 2_000);
   private long version;
 
   private HostList list(String... ids) {
@@ -49,47 +49,47 @@
   }
 
   @Test
-  void aMissingEntryMeansThatTheTargetIsGone() {
-    keeper.update(list("e1", "e2"), 0);
-    keeper.update(list("e1", "e2"), 1_000);
-    keeper.update(list("e1"), 2_000);
-    keeper.update(list("e1"), 2_600);
+  void missingEntryRemovesTarget() {
+    updater.update(list("e1", "e2"), 0);
+    updater.update(list("e1", "e2"), 1_000);
+    updater.update(list("e1"), 2_000);
+    updater.update(list("e1"), 2_600);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
-  void entriesThatLapsedWhileTheStoreWasAwayAreWaitedFor() {
-    keeper.update(list("e1", "e2", "e3"), 0);
-    keeper.update(list("e1"), 5_000);
-    keeper.update(list("e1", "e2"), 6_900);
+  void expiredEntriesAreKeptForReregistrationAfterStoreOutage() {
+    updater.update(list("e1", "e2", "e3"), 0);
+    updater.update(list("e1"), 5_000);
+    updater.update(list("e1", "e2"), 6_900);
     assertEquals(Set.of("e1", "e2", "e3"), usable());
-    keeper.update(list("e1", "e2"), 7_000);
+    updater.update(list("e1", "e2"), 7_000);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 
   @Test
-  void aTargetThatIsListedAsLeavingWhenTheStoreReturnsIsLeft() {
-    keeper.update(list("e1", "e2"), 0);
-    keeper.update(
+  void targetListedAsLeavingAfterStoreOutageIsRemoved() {
+    updater.update(list("e1", "e2"), 0);
+    updater.update(
         new HostList(++version, List.of(), List.of(target("e2", LifeState.LEAVING))), 5_000);
     assertEquals(Set.of("e1"), usable());
   }
 
-  /** Where changes may take long, lists come rarely; the store is not away between two of them. */
+  /** With a long bound, lists arrive rarely without a store outage. */
   @Test
-  void listsThatComeRarelyBecauseTheBoundIsLongAreNotTakenForAStoreThatWasAway() {
-    TargetListUpdater rare = new TargetListUpdater(registry, 12_000);
-    rare.update(list("e1", "e2"), 0);
-    rare.update(list("e1", "e2"), 3_600);
-    rare.update(list("e1"), 7_200);
+  void longUpdateIntervalsAreNotTreatedAsStoreOutage() {
+    TargetListUpdater infrequentUpdater = new TargetListUpdater(registry, 12_000);
+    infrequentUpdater.update(list("e1", "e2"), 0);
+    infrequentUpdater.update(list("e1", "e2"), 3_600);
+    infrequentUpdater.update(list("e1"), 7_200);
     assertEquals(Set.of("e1"), usable());
   }
 
   @Test
-  void anOlderListChangesNothing() {
-    keeper.update(list("e1", "e2"), 5_000);
-    keeper.update(list("e1", "e2"), 7_500);
-    keeper.update(list("e1"), 7_400);
+  void olderListIsIgnored() {
+    updater.update(list("e1", "e2"), 5_000);
+    updater.update(list("e1", "e2"), 7_500);
+    updater.update(list("e1"), 7_400);
     assertEquals(Set.of("e1", "e2"), usable());
   }
 }
