--- a/gatereel-core/src/test/java/org/gatereel/core/forward/AnnouncementForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/AnnouncementForwardingTest.java
@@ -73,7 +73,7 @@
   }
 
   /** Returns the targets that are chosen for requests which succeed at once. */
-  private Set<String> chosen(String path) {
+  private Set<String> chosenTargets(String path) {
     Set<String> chosen = new HashSet<>();
     for (int number = 0; number < REQUESTS; number++) {
       SentCall call = submit(path);
@@ -108,27 +108,27 @@
   void leavingTargetReceivesNoNewRequests() {
     String leaving = respondWith(head(200, false, LEAVING));
 
-    assertEquals(2, chosen("/safe/x").size());
-    assertFalse(chosen("/safe/x").contains(leaving));
+    assertEquals(2, chosenTargets("/safe/x").size());
+    assertFalse(chosenTargets("/safe/x").contains(leaving));
   }
 
   /** Any authentic response can carry announcements, whatever its status. */
   @Test
   void errorsAndRejectionsCanAnnounceLeaving() {
     String first = respondWith(head(500, false, LEAVING));
-    assertFalse(chosen("/safe/x").contains(first));
+    assertFalse(chosenTargets("/safe/x").contains(first));
 
     String second = respondWith(head(503, true, LEAVING));
     assertNotEquals(first, second);
-    assertFalse(chosen("/safe/x").contains(second));
+    assertFalse(chosenTargets("/safe/x").contains(second));
   }
 
   /** A response with status 421 comes from another target at the same address. */
   @Test
   void misdirectedResponseDoesNotSetBackoffOfTarget() {
-    String gone = respondWith(head(421, true, BACKING_OFF));
+    String misdirectedTarget = respondWith(head(421, true, BACKING_OFF));
 
-    assertEquals(0, world.forwarder.backoffs().millisTo(new TargetId(gone)));
+    assertEquals(0, world.forwarder.backoffs().millisTo(new TargetId(misdirectedTarget)));
   }
 
   @Test
@@ -155,7 +155,7 @@
 
     listOnly("c1", "c2", "c3");
 
-    assertFalse(chosen("/safe/x").contains(leaving));
+    assertFalse(chosenTargets("/safe/x").contains(leaving));
   }
 
   /** Entries expire during a store outage and return after it. */
@@ -170,7 +170,7 @@
 
     world.list(all);
 
-    assertFalse(chosen("/safe/x").contains(leaving));
+    assertFalse(chosenTargets("/safe/x").contains(leaving));
   }
 
   @Test
@@ -179,7 +179,7 @@
 
     world.restart(leaving, "next");
 
-    assertTrue(chosen("/safe/x").contains("next"));
+    assertTrue(chosenTargets("/safe/x").contains("next"));
   }
 
   @Test
@@ -239,7 +239,7 @@
   void leavingReportedByOtherHostIsRespected() {
     world.loads.take(report(new LeavingFact(new TargetId("c1"), world.context.now() - 50)));
 
-    assertFalse(chosen("/safe/x").contains("c1"));
+    assertFalse(chosenTargets("/safe/x").contains("c1"));
   }
 
   /** A backoff reported by another host only lowers the priority of the target. */
@@ -248,11 +248,11 @@
     TargetId target = new TargetId("c1");
     long now = world.context.now();
     world.loads.take(report(new RestFact(target, now, now + BACKOFF_MILLIS)));
-    assertFalse(chosen("/safe/x").contains("c1"));
+    assertFalse(chosenTargets("/safe/x").contains("c1"));
 
     listOnly("c1");
 
-    assertEquals(Set.of("c1"), chosen("/safe/x"));
+    assertEquals(Set.of("c1"), chosenTargets("/safe/x"));
   }
 
   @Test
@@ -322,7 +322,7 @@
 
     world.lastProbe().listener().onAnnouncements(LEAVING);
 
-    assertFalse(chosen("/safe/x").contains("c1"));
+    assertFalse(chosenTargets("/safe/x").contains("c1"));
   }
 
   @Test
@@ -345,12 +345,13 @@
   void targetReceivesNothingDuringBackoff() {
     String backingOff = respondWith(head(503, true, BACKING_OFF));
     for (int passed = 0; passed < BACKOFF_MILLIS; passed += 100) {
-      assertFalse(chosen("/safe/x").contains(backingOff));
+      assertFalse(chosenTargets("/safe/x").contains(backingOff));
       world.advanceTime(100);
     }
     world.advanceTime(100);
 
-    assertTrue(chosen("/safe/x").contains(backingOff), "target is available after the backoff");
+    assertTrue(
+        chosenTargets("/safe/x").contains(backingOff), "target is available after the backoff");
   }
 
   @Test
@@ -370,7 +371,7 @@
   void rejectionWithoutNotExecutedDeclarationSetsBackoff() {
     String backingOff = respondWith(head(503, false, BACKING_OFF));
 
-    assertFalse(chosen("/safe/x").contains(backingOff));
+    assertFalse(chosenTargets("/safe/x").contains(backingOff));
   }
 
   @Test
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/DocumentRefresherTest.java
@@ -46,26 +46,26 @@
 
   /** Holds reads and queries until the test completes them. */
   private static final class Sources implements DocumentSources {
-    private final Map<DocumentKind, Consumer<StoreResponse>> store =
+    private final Map<DocumentKind, Consumer<StoreResponse>> storeReaders =
         new EnumMap<>(DocumentKind.class);
-    private final List<Address> peers = new ArrayList<>();
-    private Consumer<Optional<List<PeerDocument>>> peer;
+    private final List<Address> queriedPeers = new ArrayList<>();
+    private Consumer<Optional<List<PeerDocument>>> peerListener;
 
     @Override
     public void readStore(DocumentKind kind, Consumer<StoreResponse> response) {
-      store.put(kind, response);
+      storeReaders.put(kind, response);
     }
 
     @Override
     public void queryPeer(
         Address address, DocumentCache known, Consumer<Optional<List<PeerDocument>>> response) {
-      peers.add(address);
-      peer = response;
+      queriedPeers.add(address);
+      peerListener = response;
     }
 
     void completeStoreReads(StoreResponse response) {
-      Map<DocumentKind, Consumer<StoreResponse>> pending = new EnumMap<>(store);
-      store.clear();
+      Map<DocumentKind, Consumer<StoreResponse>> pending = new EnumMap<>(storeReaders);
+      storeReaders.clear();
       pending.values().forEach(listener -> listener.accept(response));
     }
   }
@@ -105,10 +105,10 @@
   void hostQueriesReaderAndAdoptsAgeOfConfirmation() {
     listReader(NORTH);
     refresh(1_000);
-    assertEquals(List.of(PEER), sources.peers);
-    assertTrue(sources.store.isEmpty());
+    assertEquals(List.of(PEER), sources.queriedPeers);
+    assertTrue(sources.storeReaders.isEmpty());
     context.moveTo(1_050);
-    sources.peer.accept(
+    sources.peerListener.accept(
         Optional.of(
             List.of(
                 document(DocumentKind.CONFIGURATION, 7, 300),
@@ -122,12 +122,12 @@
   void hostReadsStoreInSameRoundAndAvoidsUnresponsiveReader() {
     listReader(NORTH);
     refresh(1_000);
-    sources.peer.accept(Optional.empty());
+    sources.peerListener.accept(Optional.empty());
     sources.completeStoreReads(new StoreResponse.Read("text", "digest", 7));
     assertEquals(Optional.empty(), problem);
     refresh(1_600);
-    assertEquals(1, sources.peers.size());
-    assertFalse(sources.store.isEmpty());
+    assertEquals(1, sources.queriedPeers.size());
+    assertFalse(sources.storeReaders.isEmpty());
   }
 
   /** Makes this host the global reader, with a lower-ranked host in another data centre. */
@@ -145,9 +145,9 @@
     listRemoteHostThatDoesNotRead();
     refresh(1_000);
     sources.completeStoreReads(new StoreResponse.Failed("status 503"));
-    assertEquals(List.of(PEER), sources.peers);
+    assertEquals(List.of(PEER), sources.queriedPeers);
     context.moveTo(1_200);
-    sources.peer.accept(Optional.of(List.of(document(DocumentKind.CONFIGURATION, 7, 100))));
+    sources.peerListener.accept(Optional.of(List.of(document(DocumentKind.CONFIGURATION, 7, 100))));
     assertTrue(problem.orElseThrow().contains("status 503"));
     assertEquals(900, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
   }
@@ -159,7 +159,8 @@
     listReader(NORTH);
     refresh(1_000);
     PeerDocument same = new PeerDocument(DocumentKind.TARGETS, Optional.empty(), "digest9", 9, 20);
-    sources.peer.accept(Optional.of(List.of(same, document(DocumentKind.CONFIGURATION, 8, 10))));
+    sources.peerListener.accept(
+        Optional.of(List.of(same, document(DocumentKind.CONFIGURATION, 8, 10))));
     assertEquals(980, cache.find(DocumentKind.TARGETS).orElseThrow().confirmedAt());
     assertEquals(100, cache.find(DocumentKind.CONFIGURATION).orElseThrow().confirmedAt());
     assertEquals("digest9", cache.find(DocumentKind.CONFIGURATION).orElseThrow().digest());
@@ -172,12 +173,12 @@
     long confirmedAt = 1_000;
     long readAt = confirmedAt;
     for (long now = confirmedAt;
-        sources.store.isEmpty() && now < 10 * BOUND_MILLIS;
+        sources.storeReaders.isEmpty() && now < 10 * BOUND_MILLIS;
         now += refresher.intervalMillis()) {
       refresh(now);
       readAt = now;
       long age = now - confirmedAt;
-      sources.peer.accept(
+      sources.peerListener.accept(
           Optional.of(
               List.of(
                   document(DocumentKind.CONFIGURATION, 7, age),
@@ -190,7 +191,7 @@
 
   private void readOutdatedReader(long now) {
     refresh(now);
-    sources.peer.accept(
+    sources.peerListener.accept(
         Optional.of(
             List.of(
                 document(DocumentKind.CONFIGURATION, 7, BOUND_MILLIS),
@@ -204,9 +205,9 @@
     int storeReads = 0;
     for (long now = 1_000; now < 9_000; now += 500) {
       readOutdatedReader(now);
-      storeReads += sources.store.isEmpty() ? 0 : 1;
+      storeReads += sources.storeReaders.isEmpty() ? 0 : 1;
       sources.completeStoreReads(new StoreResponse.Failed("status 503"));
-      sources.peer.accept(Optional.empty());
+      sources.peerListener.accept(Optional.empty());
       assertTrue(problem.isPresent());
       assertEquals(Optional.of(PEER), directory.reader(now));
     }
@@ -228,29 +229,29 @@
     listReader(NORTH);
     readOutdatedReader(1_000);
     sources.completeStoreReads(new StoreResponse.Failed("status 503"));
-    sources.peer.accept(Optional.empty());
+    sources.peerListener.accept(Optional.empty());
     readOutdatedReader(2_000);
     sources.completeStoreReads(new StoreResponse.Read("text", "digest", 8));
     directory.avoid(PEER, 2_000);
 
     readOutdatedReader(4_500);
 
-    assertFalse(sources.store.isEmpty());
+    assertFalse(sources.storeReaders.isEmpty());
   }
 
   @Test
   void readerWithoutUrgentDocumentIsAvoided() {
     listReader(NORTH);
     refresh(1_000);
-    sources.peer.accept(Optional.of(List.of(document(DocumentKind.HOSTS, 7, 10))));
-    assertFalse(sources.store.isEmpty());
+    sources.peerListener.accept(Optional.of(List.of(document(DocumentKind.HOSTS, 7, 10))));
+    assertFalse(sources.storeReaders.isEmpty());
   }
 
   @Test
   void hostsDocumentIsReadAtLongerIntervals() {
     for (long now = 0; now <= 20_000; now += 500) {
       refresh(now);
-      boolean hostsRead = sources.store.containsKey(DocumentKind.HOSTS);
+      boolean hostsRead = sources.storeReaders.containsKey(DocumentKind.HOSTS);
       sources.completeStoreReads(new StoreResponse.Read("text", "digest", now));
       assertEquals(now % 1_500 == 0 && now <= 4_500 || now == 12_500, hostsRead, "at " + now);
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingScenario.java
@@ -231,11 +231,12 @@
   }
 
   private Optional<ForwardWorld.SentCall> openCall(int number) {
-    List<ForwardWorld.SentCall> open =
+    List<ForwardWorld.SentCall> openCalls =
         callStates.keySet().stream()
             .filter(call -> !call.cancelled && !callStates.get(call).ended)
             .toList();
-    List<ForwardWorld.SentCall> ordered = world.sentCalls.stream().filter(open::contains).toList();
+    List<ForwardWorld.SentCall> ordered =
+        world.sentCalls.stream().filter(openCalls::contains).toList();
     return ordered.isEmpty() ? Optional.empty() : Optional.of(ordered.get(number % ordered.size()));
   }
 
@@ -250,9 +251,9 @@
 
   /** Accepts the request without a response yet. */
   private void acceptRequest(ForwardWorld.SentCall call) {
-    CallState work = callStates.get(call);
-    work.accepted = true;
-    work.lastEvent = call.dispatch.lastEventId().orElse(0);
+    CallState state = callStates.get(call);
+    state.accepted = true;
+    state.lastEvent = call.dispatch.lastEventId().orElse(0);
     owners.get(call).executions++;
     call.accept();
   }
@@ -277,25 +278,25 @@
   }
 
   private void event(ForwardWorld.SentCall call, int step) {
-    CallState work = callStates.get(call);
-    // Any first id is valid, so that a gap before the first event cannot be detected.
-    int increment = work.lastEvent == 0 ? 1 : step;
-    if (isStreaming(call) && work.lastEvent + increment <= LAST_EVENT) {
-      work.lastEvent += increment;
-      work.hasEvents = true;
-      call.event(work.lastEvent);
+    CallState state = callStates.get(call);
+    // Any first id is valid, so that hosts cannot detect a gap before the first event.
+    int increment = state.lastEvent == 0 ? 1 : step;
+    if (isStreaming(call) && state.lastEvent + increment <= LAST_EVENT) {
+      state.lastEvent += increment;
+      state.hasEvents = true;
+      call.event(state.lastEvent);
     }
   }
 
   /** An execution may repeat events that the caller has, but its ids must not decrease. */
   private void eventAgain(ForwardWorld.SentCall call, long id) {
-    CallState work = callStates.get(call);
-    if (!isStreaming(call) || id < 1 || id > work.lastEvent) {
+    CallState state = callStates.get(call);
+    if (!isStreaming(call) || id < 1 || id > state.lastEvent) {
       return;
     }
-    boolean idsDecrease = work.hasEvents;
-    work.lastEvent = id;
-    work.hasEvents = true;
+    boolean idsDecrease = state.hasEvents;
+    state.lastEvent = id;
+    state.hasEvents = true;
     call.event(id);
     assertEquals(
         idsDecrease, call.cancelled, "an attempt is cancelled exactly if its ids decrease");
@@ -314,13 +315,13 @@
     int before = caller.body.length();
     call.text(WITHOUT_ID + ++eventsWithoutId + "\n\n");
     if (caller.body.length() > before) {
-      CallState work = callStates.get(call);
+      CallState state = callStates.get(call);
       assertEquals(
           lastIdOfCaller,
-          work.lastEvent,
+          state.lastEvent,
           "event without an id was forwarded at the wrong position");
       assertTrue(
-          work.hasEvents || lastIdOfCaller == 0,
+          state.hasEvents || lastIdOfCaller == 0,
           "event without an id was forwarded before the position was known");
     }
   }
@@ -353,12 +354,12 @@
       return;
     }
     accept(call);
-    CallState work = callStates.get(call);
-    while (work.lastEvent < LAST_EVENT && !call.cancelled) {
+    CallState state = callStates.get(call);
+    while (state.lastEvent < LAST_EVENT && !call.cancelled) {
       event(call, 1);
     }
     if (!call.cancelled) {
-      work.ended = true;
+      state.ended = true;
       call.listener.onEnd(end);
     }
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -53,7 +53,7 @@
     }
   }
 
-  private void ask(String path) {
+  private void submit(String path) {
     exchange = world.submit(path, caller).orElseThrow();
   }
 
@@ -71,7 +71,7 @@
 
   @Test
   void unlimitedTargetNeedsNoToken() {
-    ask("/safe/x");
+    submit("/safe/x");
 
     assertEquals(1, world.sentCalls.size());
     assertTrue(world.tokenRequests.isEmpty());
@@ -80,7 +80,7 @@
   @Test
   void limitedTargetReceivesRequestOnlyWithToken() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     assertTrue(world.sentCalls.isEmpty());
     String requested = requestedTarget();
 
@@ -93,7 +93,7 @@
 
   @Test
   void limitInResponseAppliesFromNextRequest() {
-    ask("/safe/x");
+    submit("/safe/x");
     String target = world.lastCall().target();
     SentCall call = world.lastCall().accept();
     call.listener.onHead(
@@ -103,14 +103,14 @@
     assertEquals(0.5, world.forwarder.limits().book().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    ask("/safe/x");
+    submit("/safe/x");
 
     assertEquals(1, world.sentCalls.size());
   }
 
   @Test
   void rejectionByTargetCanAnnounceLimit() {
-    ask("/safe/x");
+    submit("/safe/x");
     SentCall call = world.lastCall().accept();
 
     call.listener.onHead(
@@ -125,7 +125,7 @@
   void unauthenticResponseDoesNotRemoveLimit() {
     limit(5, COUNTERS);
     world.advanceTime(10);
-    ask("/safe/x");
+    submit("/safe/x");
     String target = requestedTarget();
     respondWith(ONE);
 
@@ -159,7 +159,7 @@
   @Test
   void requestIsRejectedBeforeDeadlineWhenNoTargetHasToken() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     while (world.tokenRequests.size() < COUNTERS.length) {
       respondWith(DENIED);
     }
@@ -175,7 +175,7 @@
   @Test
   void tokenArrivingDuringWaitIsUsed() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     while (world.tokenRequests.size() < COUNTERS.length) {
       respondWith(new Loan(0, 20));
     }
@@ -190,7 +190,7 @@
   @Test
   void tokenOfDisconnectedCallerIsUsedForNextRequest() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     String target = requestedTarget();
     exchange.onCallerDisconnected();
 
@@ -199,7 +199,7 @@
     assertTrue(world.sentCalls.isEmpty());
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
     int requestsBefore = world.tokenRequests.size();
-    ask("/safe/x");
+    submit("/safe/x");
     assertEquals(requestsBefore, world.tokenRequests.size());
     assertEquals(target, world.lastCall().target());
   }
@@ -207,14 +207,14 @@
   @Test
   void unusedTokenExpires() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     String target = requestedTarget();
     exchange.onCallerDisconnected();
     respondWith(ONE);
 
     world.advanceTime(501);
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    ask("/safe/x");
+    submit("/safe/x");
 
     assertTrue(world.sentCalls.isEmpty());
   }
@@ -222,7 +222,7 @@
   @Test
   void requestFailsAtDeadlineWhenIssuerDoesNotRespond() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
 
     world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
@@ -234,7 +234,7 @@
   @Test
   void shutdownRejectsRequestWaitingForTokenAsNotExecuted() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
 
     world.forwarder.stopAll();
 
@@ -250,7 +250,7 @@
         ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"),
         ForwardWorld.target("c2", ForwardWorld.COUNTERS, "south"));
     while (world.tokenRequests.isEmpty()) {
-      ask("/safe/x");
+      submit("/safe/x");
     }
     int before = world.sentCalls.size();
     world.advanceTime(5);
@@ -287,7 +287,7 @@
   @Test
   void retriesNeedTokens() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
     respondWith(ONE);
     int requestsBefore = world.tokenRequests.size();
 
@@ -305,7 +305,7 @@
    */
   @Test
   void continuationFromCopyNeedsUrgentToken() {
-    ask("/stream/x");
+    submit("/stream/x");
     SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
 
@@ -320,7 +320,7 @@
 
   @Test
   void startedStreamWaitsLongerForToken() {
-    ask("/stream/x");
+    submit("/stream/x");
     SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
     world.fail(execution, TargetFailure.RESET);
@@ -340,7 +340,7 @@
     limit(0.5, ENGINES);
     world.lastEventId = OptionalLong.of(7);
 
-    ask("/stream/x");
+    submit("/stream/x");
 
     assertTrue(tokenRequest().requested().urgent());
   }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamContinuationTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamContinuationTest.java
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Guards against repeating or losing an event without an id, whose position a continuation cannot
-   * tell.
+   * Guards against repeating or losing an event without an id: a continuation cannot determine its
+   * position.
    */
   @Test
   void abortsStreamWithEventWithoutId() {
