--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamEndTest.java
@@ -128,7 +128,7 @@
   @Test
   void abortsStartedStreamDespiteEarlierHeldError() {
     world.submit("/stream/x", caller);
-    world.lastCall().respond(500, "held");
+    world.lastCall().respond(500, "kept back");
     world.lastCall().accept().respondHead(200, true).event(1);
     world.fail(world.lastCall(), TargetFailure.RESET);
 
