--- a/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/FailingDataCentreTest.java
@@ -12,7 +12,9 @@
 import org.gatereel.core.target.TargetState;
 import org.junit.jupiter.api.Test;
 
-/** What a host does whose own experience of a data centre's targets is thin. */
+/**
+ * Target selection when targets of a data centre fail and the host has few observations of its own.
+ */
 class FailingDataCentreTest {
   private final ForwardWorld world = new ForwardWorld();
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
@@ -29,67 +31,67 @@
   }
 
   @Test
-  void ofTwoDoubtedDataCentresTheOneWithFewerFailuresIsTried() {
+  void choosesFailingDataCentreWithFewerFailures() {
     list(8, 8);
-    failed("n0");
-    failed("n1");
-    failed("s0");
+    recordFailure("n0");
+    recordFailure("n1");
+    recordFailure("s0");
 
-    assertEquals("s", askAnew().target().substring(0, 1));
+    assertEquals("s", submitRequest().target().substring(0, 1));
   }
 
-  private ForwardWorld.SentCall askAnew() {
-    world.ask("/stream/x", new ForwardWorld.Caller());
-    return world.last();
+  private ForwardWorld.SentCall submitRequest() {
+    world.submit("/stream/x", new ForwardWorld.Caller());
+    return world.lastCall();
   }
 
-  private void failed(String name) {
+  private void recordFailure(String name) {
     TargetState target = world.targets.find(new TargetId(name)).orElseThrow();
     world.targets.recordFailure(target, TargetFailure.NOT_CONNECTED);
   }
 
   @Test
-  void aTargetThatHasRestartedUnderAnotherNameCastsDoubtOnThoseBesideIt() {
+  void targetRestartedUnderOtherIdCountsAgainstItsDataCentre() {
     list(8, 8);
-    world.ask("/stream/x", caller);
-    assertEquals("n", world.last().target().substring(0, 1));
+    world.submit("/stream/x", caller);
+    assertEquals("n", world.lastCall().target().substring(0, 1));
 
-    world.last().notRun(421);
+    world.lastCall().rejectNotExecuted(421);
 
-    assertEquals("s", world.last().target().substring(0, 1));
+    assertEquals("s", world.lastCall().target().substring(0, 1));
   }
 
   @Test
-  void aTargetThatIsListedAsLeavingCastsNone() {
+  void leavingTargetDoesNotCountAgainstItsDataCentre() {
     list(8, 8);
     world.targets.recordLeaving(new TargetId("n0"));
 
-    assertEquals("n", askAnew().target().substring(0, 1));
+    assertEquals("n", submitRequest().target().substring(0, 1));
   }
 
   @Test
-  void targetsThatCannotBeReachedDoNotEndARequestEarly() {
+  void unreachableTargetsDoNotFailRequestEarly() {
     list(14, 0);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
     for (int failure = 0; failure < 13; failure++) {
-      world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+      world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
     }
 
-    assertNull(caller.refusal);
-    assertEquals(14, world.sent.size());
+    assertNull(caller.rejection);
+    assertEquals(14, world.sentCalls.size());
   }
 
   @Test
-  void targetsThatRefuseDoEndItAtLast() {
+  void rejectionsByTargetsFailRequestAfterMaxAttempts() {
     list(14, 0);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    for (int refusal = 0; refusal < 8; refusal++) {
-      world.last().notRun(503);
+    for (int rejection = 0; rejection < 8; rejection++) {
+      world.lastCall().rejectNotExecuted(503);
     }
 
-    assertTrue(caller.isOver());
-    assertEquals(8, world.sent.size());
+    assertTrue(caller.isFinal());
+    assertEquals(8, world.sentCalls.size());
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -34,7 +34,7 @@
 import org.gatereel.core.target.TargetRegistry;
 import org.gatereel.core.target.TargetState;
 
-/** One host's forwarding before targets and callers that do what a test says; time is passed in. */
+/** One host's forwarding with simulated targets and callers; tests set the time. */
 final class ForwardWorld {
   static final String KEY = "key-1";
   static final ServiceName ENGINES = new ServiceName("engines");
@@ -44,13 +44,13 @@
 
   final CoreContext context;
   final HostDirectory directory;
-  final List<IntConsumer> borrowing = new ArrayList<>();
-  final List<TokenQuestion> tokenQuestions = new ArrayList<>();
-  final ConfigurationHolder keeper;
+  final List<IntConsumer> retryLoanRequests = new ArrayList<>();
+  final List<TokenRequest> tokenRequests = new ArrayList<>();
+  final ConfigurationHolder configurationHolder;
   final TargetRegistry targets;
-  final List<SentCall> sent = new ArrayList<>();
+  final List<SentCall> sentCalls = new ArrayList<>();
   final List<SentProbe> probes = new ArrayList<>();
-  final List<PromptQuestion> promptQuestions = new ArrayList<>();
+  final List<PromptQuery> promptQueries = new ArrayList<>();
   final LoadExchange loads;
   final RolloutControl rollouts;
   final PoisonControl poison;
@@ -58,12 +58,12 @@
   Optional<String> promptPart = Optional.empty();
   OptionalLong lastEventId = OptionalLong.empty();
 
-  /** The body of the requests that are asked next. */
-  String content = "";
+  /** Content of the requests that are submitted next. */
+  String requestContent = "";
 
   private long listVersion;
 
-  /** A request at a target. */
+  /** A request sent to a target, with the means to simulate the response. */
   static final class SentCall {
     final Dispatch dispatch;
     final TargetPort.Listener listener;
@@ -78,18 +78,18 @@
       return dispatch.target().id().value();
     }
 
-    SentCall accepted() {
+    SentCall accept() {
       listener.onSent();
       return this;
     }
 
-    SentCall head(int status, boolean stream) {
+    SentCall respondHead(int status, boolean stream) {
       listener.onHead(new Head(status, false, true, stream));
       return this;
     }
 
-    SentCall notRun(int status) {
-      accepted();
+    SentCall rejectNotExecuted(int status) {
+      accept();
       listener.onHead(new Head(status, true, true, false));
       return this;
     }
@@ -103,28 +103,29 @@
       return this;
     }
 
-    SentCall answer(int status, String body) {
-      accepted();
-      head(status, false);
+    SentCall respond(int status, String body) {
+      accept();
+      respondHead(status, false);
       listener.onBody(body.getBytes(StandardCharsets.UTF_8));
       listener.onEnd(ResponseEnd.LAST_CHUNK);
       return this;
     }
   }
 
-  /** A probe of a target. */
   record SentProbe(TargetDescription target, TargetPort.ProbeListener listener) {}
 
-  /** A question to an engine which parts of prompts it keeps. */
-  record PromptQuestion(
-      String target, Consumer<Announcements> heard, Consumer<Optional<Set<String>>> answer) {}
+  /** A query for the prompt parts that an engine has cached. */
+  record PromptQuery(
+      String target,
+      Consumer<Announcements> announcements,
+      Consumer<Optional<Set<String>>> response) {}
 
-  /** A question to another host for requests to a target that takes only so many. */
-  record TokenQuestion(
-      Address lender,
-      TokenRequest.LimitTokens asked,
+  /** A request for tokens of a rate-limited target, sent to the issuing host. */
+  record TokenRequest(
+      Address issuer,
+      TokenRequest.LimitTokens requested,
       int count,
-      Consumer<Optional<TokenGrant>> answer) {}
+      Consumer<Optional<TokenGrant>> response) {}
 
   record Head(
       int status,
@@ -133,8 +134,8 @@
       boolean isEventStream,
       Announcements announcements)
       implements ResponseHead {
-    Head(int status, boolean declaresNotRun, boolean isAuthentic, boolean isEventStream) {
-      this(status, declaresNotRun, isAuthentic, isEventStream, Announcements.NONE);
+    Head(int status, boolean declaresNotExecuted, boolean isAuthentic, boolean isEventStream) {
+      this(status, declaresNotExecuted, isAuthentic, isEventStream, Announcements.NONE);
     }
   }
 
@@ -155,23 +156,23 @@
     }
   }
 
-  /** What a caller got. */
+  /** Records what a caller receives, and fails on a second head or final response. */
   static class Caller implements CallerPort {
     final StringBuilder body = new StringBuilder();
     int status = -1;
     boolean hasStream;
     boolean finished;
     boolean aborted;
-    Rejection refusal;
+    Rejection rejection;
     long retryAfterMillis;
 
-    boolean isOver() {
-      return finished || aborted || refusal != null;
+    boolean isFinal() {
+      return finished || aborted || rejection != null;
     }
 
     private void checkOpen() {
-      if (isOver()) {
-        throw new AssertionError("a second final answer");
+      if (isFinal()) {
+        throw new AssertionError("caller received a second final response");
       }
     }
 
@@ -179,7 +180,7 @@
     public void begin(ResponseHead head) {
       checkOpen();
       if (status != -1) {
-        throw new AssertionError("a second head");
+        throw new AssertionError("caller received a second response head");
       }
       status = head.status();
       hasStream = head.isEventStream();
@@ -206,7 +207,7 @@
     @Override
     public void reject(Rejection reason, long retryAfterMillis) {
       checkOpen();
-      refusal = reason;
+      rejection = reason;
       this.retryAfterMillis = retryAfterMillis;
     }
   }
@@ -219,7 +220,8 @@
     context =
         new CoreContext(new HostId("h1"), new DataCentre("north"), new SplittableRandom(seed));
     directory = new HostDirectory(context, new Address("10.0.1.1", 7_215));
-    keeper = new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
+    configurationHolder =
+        new ConfigurationHolder(context, new ConfigurationHolder.Bounds(true, 5_000, 2_000));
     targets = new TargetRegistry(context, new PolicyTable());
     context.advanceTo(START);
     TargetPort port =
@@ -227,7 +229,7 @@
           @Override
           public Call send(Dispatch dispatch, Listener listener) {
             SentCall call = new SentCall(dispatch, listener);
-            sent.add(call);
+            sentCalls.add(call);
             return () -> call.cancelled = true;
           }
 
@@ -240,9 +242,9 @@
           public void listPrompts(
               TargetDescription target,
               long millis,
-              Consumer<Announcements> heard,
-              Consumer<Optional<Set<String>>> answer) {
-            promptQuestions.add(new PromptQuestion(target.id().value(), heard, answer));
+              Consumer<Announcements> announcements,
+              Consumer<Optional<Set<String>>> response) {
+            promptQueries.add(new PromptQuery(target.id().value(), announcements, response));
           }
         };
     Address address = new Address("10.0.1.1", 7_215);
@@ -254,16 +256,16 @@
         new Forwarder(
             context,
             targets,
-            keeper,
+            configurationHolder,
             ForwardPolicy.STANDARD,
             port,
             new IgnoringObserver(),
             directory,
-            this::borrow,
+            this::requestLoan,
             loads,
             rollouts,
             poison);
-    keeper.update(configuration(1).build(), context.now());
+    configurationHolder.update(configuration(1).build(), context.now());
     list(
         target("e1", ENGINES, "north"),
         target("e2", ENGINES, "south"),
@@ -273,12 +275,12 @@
         target("c3", COUNTERS, "west"));
   }
 
-  private void borrow(
-      Address lender, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> answer) {
+  private void requestLoan(
+      Address issuer, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> response) {
     if (subject instanceof TokenRequest.LimitTokens requests) {
-      tokenQuestions.add(new TokenQuestion(lender, requests, count, answer));
+      tokenRequests.add(new TokenRequest(issuer, requests, count, response));
     } else {
-      borrowing.add(given -> answer.accept(Optional.of(new TokenGrant(given, 0))));
+      retryLoanRequests.add(granted -> response.accept(Optional.of(new TokenGrant(granted, 0))));
     }
   }
 
@@ -287,7 +289,7 @@
     public void recordResponse(Route route, long millis) {}
 
     @Override
-    public void recordRejection(Rejection refusal) {}
+    public void recordRejection(Rejection rejection) {}
 
     @Override
     public void recordInterruption(Route route) {}
@@ -333,7 +335,7 @@
         LifeState.LIVE);
   }
 
-  /** Has a target end and another one start at its address; the list still names both. */
+  /** Lists a new target at the address of an existing one, which stays listed. */
   void restart(String id, String successor) {
     List<TargetDescription> listed = new ArrayList<>();
     for (TargetState state : targets.all()) {
@@ -358,7 +360,7 @@
     targets.applyList(new HostList(listVersion++, List.of(), List.of(descriptions)));
   }
 
-  Optional<Exchange> ask(String path, Caller caller) {
+  Optional<Exchange> submit(String path, Caller caller) {
     return forwarder.accept(
         new Request(
             "r1",
@@ -369,20 +371,20 @@
             lastEventId,
             8_000,
             promptPart,
-            content),
+            requestContent),
         caller);
   }
 
-  SentCall last() {
-    return sent.get(sent.size() - 1);
+  SentCall lastCall() {
+    return sentCalls.get(sentCalls.size() - 1);
   }
 
   SentProbe lastProbe() {
     return probes.get(probes.size() - 1);
   }
 
-  /** Lets time pass, step by step, so that timers run in their order. */
-  void pass(long millis) {
+  /** Advances the time millisecond by millisecond, so that timers run in order. */
+  void advanceTime(long millis) {
     long end = context.now() + millis;
     while (context.now() < end) {
       context.advanceTo(context.now() + 1);
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingMatrixTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardingMatrixTest.java
@@ -6,84 +6,90 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import org.gatereel.core.forward.ForwardingScenario.Happening;
+import org.gatereel.core.forward.ForwardingScenario.ScenarioStep;
 import org.junit.jupiter.api.Test;
 
-/** The fault matrix over forwarding: every fault, and every ordered pair, at every step. */
+/** Every fault, and every ordered pair of faults, at every step of a request. */
 class ForwardingMatrixTest {
-  private static final Set<Happening> FAULTS =
-      EnumSet.complementOf(EnumSet.of(Happening.ASK, Happening.ACCEPT, Happening.NEXT_EVENT));
-  private static final int BETWEEN_MILLIS = 150;
+  private static final Set<ScenarioStep> FAULTS =
+      EnumSet.complementOf(
+          EnumSet.of(ScenarioStep.ASK, ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT));
+  private static final int FAULT_INTERVAL_MILLIS = 150;
 
-  /** How far a request has come when the first fault strikes. */
+  /** The progress of a request when the first fault occurs. */
   private enum Step {
     ASKED,
-    ACCEPTED(Happening.ACCEPT),
-    FIRST_EVENT(Happening.ACCEPT, Happening.NEXT_EVENT),
-    MIDWAY(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.NEXT_EVENT, Happening.NEXT_EVENT),
-    MOVED_ONCE(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.RESET),
-    ACCEPTED_AGAIN(Happening.ACCEPT, Happening.NEXT_EVENT, Happening.RESET, Happening.ACCEPT),
+    ACCEPTED(ScenarioStep.ACCEPT),
+    FIRST_EVENT(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT),
+    MIDWAY(
+        ScenarioStep.ACCEPT,
+        ScenarioStep.NEXT_EVENT,
+        ScenarioStep.NEXT_EVENT,
+        ScenarioStep.NEXT_EVENT),
+    MOVED_ONCE(ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT, ScenarioStep.RESET),
+    ACCEPTED_AGAIN(
+        ScenarioStep.ACCEPT, ScenarioStep.NEXT_EVENT, ScenarioStep.RESET, ScenarioStep.ACCEPT),
     RUNNING_AGAIN(
-        Happening.ACCEPT,
-        Happening.NEXT_EVENT,
-        Happening.RESET,
-        Happening.ACCEPT,
-        Happening.NEXT_EVENT);
+        ScenarioStep.ACCEPT,
+        ScenarioStep.NEXT_EVENT,
+        ScenarioStep.RESET,
+        ScenarioStep.ACCEPT,
+        ScenarioStep.NEXT_EVENT);
 
-    private final List<Happening> before;
+    private final List<ScenarioStep> before;
 
-    Step(Happening... before) {
+    Step(ScenarioStep... before) {
       this.before = List.of(before);
     }
   }
 
-  private static void play(int path, Step step, List<Happening> faults) {
+  private static void checkCase(int path, Step step, List<ScenarioStep> faults) {
     ForwardingScenario scenario = new ForwardingScenario();
-    scenario.happen(Happening.ASK, path);
-    step.before.forEach(happening -> scenario.happen(happening, 0));
-    for (Happening fault : faults) {
-      scenario.happen(fault, 0);
-      scenario.happen(Happening.TIME_PASSES, BETWEEN_MILLIS);
+    scenario.perform(ScenarioStep.ASK, path);
+    step.before.forEach(scenarioStep -> scenario.perform(scenarioStep, 0));
+    for (ScenarioStep fault : faults) {
+      scenario.perform(fault, 0);
+      scenario.perform(ScenarioStep.TIME_PASSES, FAULT_INTERVAL_MILLIS);
     }
-    scenario.happen(Happening.END, 0);
+    scenario.perform(ScenarioStep.END, 0);
     scenario.finish();
   }
 
-  private static int playAll(Step step, List<List<Happening>> cases) {
+  private static int checkCases(Step step, List<List<ScenarioStep>> faultSequences) {
     List<String> failed = new ArrayList<>();
     for (int path = 0; path < ForwardingScenario.PATHS.length; path++) {
-      for (List<Happening> faults : cases) {
+      for (List<ScenarioStep> faults : faultSequences) {
         try {
-          play(path, step, faults);
+          checkCase(path, step, faults);
         } catch (AssertionError e) {
           failed.add(ForwardingScenario.PATHS[path] + " " + step + " " + faults + ": " + e);
         }
       }
     }
     assertEquals(List.of(), failed);
-    return cases.size() * ForwardingScenario.PATHS.length;
+    return faultSequences.size() * ForwardingScenario.PATHS.length;
   }
 
   @Test
-  void everyFaultAtEveryStep() {
-    int played = 0;
-    List<List<Happening>> single = FAULTS.stream().map(List::of).toList();
+  void invariantsHoldForEveryFaultAtEveryStep() {
+    int checked = 0;
+    List<List<ScenarioStep>> single = FAULTS.stream().map(List::of).toList();
     for (Step step : Step.values()) {
-      played += playAll(step, single);
+      checked += checkCases(step, single);
     }
-    assertEquals(Step.values().length * 3 * FAULTS.size(), played);
+    assertEquals(Step.values().length * 3 * FAULTS.size(), checked);
   }
 
   @Test
-  void everyOrderedPairOfFaultsAtEveryStep() {
-    List<List<Happening>> pairs = new ArrayList<>();
-    for (Happening first : FAULTS) {
+  void invariantsHoldForEveryOrderedPairOfFaultsAtEveryStep() {
+    List<List<ScenarioStep>> pairs = new ArrayList<>();
+    for (ScenarioStep first : FAULTS) {
       FAULTS.forEach(second -> pairs.add(List.of(first, second)));
     }
-    int played = 0;
+    int checked = 0;
     for (Step step : Step.values()) {
-      played += playAll(step, pairs);
+      checked += checkCases(step, pairs);
     }
-    assertEquals(Step.values().length * 3 * FAULTS.size() * FAULTS.size(), played);
+    assertEquals(Step.values().length * 3 * FAULTS.size() * FAULTS.size(), checked);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LateCallbackTest.java
@@ -18,22 +18,22 @@
 import org.gatereel.core.model.DataCentre;
 import org.junit.jupiter.api.Test;
 
-/** What is heard of an attempt, or of a question, after it was given up changes nothing. */
+/** Late callbacks of attempts and queries that were cancelled or have ended are ignored. */
 class LateCallbackTest {
   private static final int MANY_HOSTS = 60;
 
   private final ForwardWorld world = new ForwardWorld();
   private final Caller caller = new Caller();
-  private Caller waiting;
+  private Caller waitingCaller;
   private Exchange latest;
 
-  /** All that may still come of a call that was given up, alone and in this order. */
-  private static final List<Consumer<SentCall>> LATE =
+  /** Callbacks that may arrive after an attempt was cancelled. */
+  private static final List<Consumer<SentCall>> LATE_CALLBACKS =
       List.of(
-          SentCall::accepted,
-          call -> call.head(200, true),
-          call -> call.head(500, false),
-          call -> call.notRun(421),
+          SentCall::accept,
+          call -> call.respondHead(200, true),
+          call -> call.respondHead(500, false),
+          call -> call.rejectNotExecuted(421),
           call -> call.event(2),
           call -> call.text("data: without id\n\n"),
           call -> call.text("id: 2\ndata: half"),
@@ -44,48 +44,49 @@
           call -> call.listener.onFailure(TargetFailure.NOT_CONNECTED),
           call -> call.listener.onFailure(TargetFailure.FULL));
 
-  /** How an attempt may be given up so that another one starts. */
-  private static final List<BiConsumer<Exchange, SentCall>> GIVING_UP =
+  /** Ways to cancel an attempt so that another one starts. */
+  private static final List<BiConsumer<Exchange, SentCall>> CANCELLATIONS =
       List.of(
           (exchange, call) -> exchange.onTargetLost(TargetFailure.TIMEOUT),
           (exchange, call) -> call.listener.onFailure(TargetFailure.RESET),
           (exchange, call) -> call.event(7),
           (exchange, call) -> call.text("id: 2\ndata: ha").listener.onEnd(ResponseEnd.LAST_CHUNK));
 
-  /** How far the next attempt has come when something is heard of the last one. */
-  private static final List<Consumer<SentCall>> NEXT =
+  /** The progress of the next attempt when a late callback arrives. */
+  private static final List<Consumer<SentCall>> NEXT_PROGRESS =
       List.of(
           next -> {},
-          SentCall::accepted,
-          next -> next.accepted().head(200, true),
-          next -> next.accepted().head(200, true).event(1));
+          SentCall::accept,
+          next -> next.accept().respondHead(200, true),
+          next -> next.accept().respondHead(200, true).event(1));
 
   @Test
-  void nothingOfAnAttemptThatWasGivenUpReachesTheCaller() {
-    for (BiConsumer<Exchange, SentCall> giveUp : GIVING_UP) {
-      for (Consumer<SentCall> next : NEXT) {
+  void callbacksOfAbandonedAttemptDoNotReachCaller() {
+    for (BiConsumer<Exchange, SentCall> cancellation : CANCELLATIONS) {
+      for (Consumer<SentCall> next : NEXT_PROGRESS) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        Exchange exchange = fresh.ask("/stream/x", asking).orElseThrow();
-        SentCall first = fresh.last().accepted().head(200, true).event(1);
-        giveUp.accept(exchange, first);
-        SentCall second = fresh.last();
+        Caller otherCaller = new Caller();
+        Exchange exchange = fresh.submit("/stream/x", otherCaller).orElseThrow();
+        SentCall first = fresh.lastCall().accept().respondHead(200, true).event(1);
+        cancellation.accept(exchange, first);
+        SentCall second = fresh.lastCall();
         next.accept(second);
 
-        LATE.forEach(late -> late.accept(first));
+        LATE_CALLBACKS.forEach(late -> late.accept(first));
 
         assertTrue(first.cancelled);
         assertFalse(second.cancelled);
-        assertEquals(2, fresh.sent.size());
-        assertFalse(asking.isOver());
-        assertEquals(ForwardWorld.eventText(1), asking.body.toString());
+        assertEquals(2, fresh.sentCalls.size());
+        assertFalse(otherCaller.isFinal());
+        assertEquals(ForwardWorld.eventText(1), otherCaller.body.toString());
         assertEquals(second.target(), targetOf(exchange));
-        if (next == NEXT.get(0) || next == NEXT.get(1)) {
-          second.accepted().head(200, true);
+        if (next == NEXT_PROGRESS.get(0) || next == NEXT_PROGRESS.get(1)) {
+          second.accept().respondHead(200, true);
         }
         second.event(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
-        assertTrue(asking.finished);
-        assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), asking.body.toString());
+        assertTrue(otherCaller.finished);
+        assertEquals(
+            ForwardWorld.eventText(1) + ForwardWorld.eventText(2), otherCaller.body.toString());
       }
     }
   }
@@ -94,57 +95,57 @@
     return exchange.currentTarget().orElseThrow().description().id().value();
   }
 
-  /** How a request may be over while an attempt is open. */
-  private static final List<BiConsumer<ForwardWorld, Exchange>> OVER =
+  /** Ways to finish a request while an attempt is open. */
+  private static final List<BiConsumer<ForwardWorld, Exchange>> FINISHERS =
       List.of(
-          (fresh, exchange) -> fresh.pass(ForwardWorld.TIMEOUT_MILLIS),
+          (fresh, exchange) -> fresh.advanceTime(ForwardWorld.TIMEOUT_MILLIS),
           (fresh, exchange) -> exchange.onCallerDisconnected(),
           (fresh, exchange) -> fresh.forwarder.stopAll());
 
   @Test
-  void nothingIsHeardOfAnAttemptOnceTheRequestIsOver() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void callbacksAreIgnoredAfterRequestHasFinished() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       for (String path : ForwardingScenario.PATHS) {
         ForwardWorld fresh = new ForwardWorld();
-        Caller asking = new Caller();
-        Exchange exchange = fresh.ask(path, asking).orElseThrow();
-        SentCall first = fresh.last().accepted();
-        over.accept(fresh, exchange);
-        int sent = fresh.sent.size();
-        String body = asking.body.toString();
-
-        LATE.forEach(late -> late.accept(first));
-
-        assertEquals(sent, fresh.sent.size());
-        assertEquals(body, asking.body.toString());
-        assertFalse(asking.finished);
+        Caller otherCaller = new Caller();
+        Exchange exchange = fresh.submit(path, otherCaller).orElseThrow();
+        SentCall first = fresh.lastCall().accept();
+        finisher.accept(fresh, exchange);
+        int sent = fresh.sentCalls.size();
+        String body = otherCaller.body.toString();
+
+        LATE_CALLBACKS.forEach(late -> late.accept(first));
+
+        assertEquals(sent, fresh.sentCalls.size());
+        assertEquals(body, otherCaller.body.toString());
+        assertFalse(otherCaller.finished);
         assertEquals(0, fresh.forwarder.openExchangeCount());
       }
     }
   }
 
-  /** An end is the last word of an attempt, also while it is not known what it is worth. */
+  /** Guards against callbacks after the response end while it is still being verified. */
   @Test
-  void nothingIsHeardOfAnAttemptWhoseEndIsInDoubt() {
-    world.ask("/stream/x", caller);
-    SentCall call = world.last().accepted().head(200, true).event(1);
+  void callbacksAreIgnoredWhileResponseEndIsUnconfirmed() {
+    world.submit("/stream/x", caller);
+    SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
     call.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
 
-    LATE.forEach(late -> late.accept(call));
+    LATE_CALLBACKS.forEach(late -> late.accept(call));
 
-    assertFalse(caller.isOver());
-    assertEquals(1, world.sent.size());
+    assertFalse(caller.isFinal());
+    assertEquals(1, world.sentCalls.size());
     assertEquals(1, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
     assertTrue(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
   }
 
-  /** A probe is answered once; a second answer would end an answer that has its end. */
+  /** Guards against ending a response twice. */
   @Test
-  void aSecondAnswerOfAProbeChangesNothing() {
-    world.ask("/stream/x", caller);
-    SentCall first = world.last().accepted().head(200, true).event(1);
+  void secondProbeResultIsIgnored() {
+    world.submit("/stream/x", caller);
+    SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
     first.listener.onEnd(ResponseEnd.CONNECTION_CLOSED);
     ForwardWorld.SentProbe probe = world.lastProbe();
 
@@ -152,12 +153,12 @@
     probe.listener().onResult(ProbeResult.ALIVE);
     probe.listener().onResult(ProbeResult.GONE);
 
-    assertEquals(2, world.sent.size());
-    assertFalse(caller.isOver());
-    assertFalse(world.last().cancelled);
+    assertEquals(2, world.sentCalls.size());
+    assertFalse(caller.isFinal());
+    assertFalse(world.lastCall().cancelled);
   }
 
-  private Exchange waitingForRepeat() {
+  private Exchange waitForRetry() {
     List<HostDirectory.Entry> entries = new ArrayList<>();
     for (int number = 0; number < MANY_HOSTS; number++) {
       entries.add(
@@ -168,72 +169,72 @@
       world.directory.update(entries, 0);
     }
     while (true) {
-      Caller asking = new Caller();
-      Exchange exchange = world.ask("/stream/x", asking).orElseThrow();
-      SentCall first = world.last().accepted().head(200, true).event(1);
+      Caller otherCaller = new Caller();
+      Exchange exchange = world.submit("/stream/x", otherCaller).orElseThrow();
+      SentCall first = world.lastCall().accept().respondHead(200, true).event(1);
       world.fail(first, TargetFailure.RESET);
-      if (!world.borrowing.isEmpty()) {
-        waiting = asking;
+      if (!world.retryLoanRequests.isEmpty()) {
+        waitingCaller = otherCaller;
         return exchange;
       }
-      world.last().accepted().head(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
-      assertTrue(world.sent.size() < 100, "the own part never ends");
+      world.lastCall().accept().respondHead(200, true).listener.onEnd(ResponseEnd.LAST_CHUNK);
+      assertTrue(world.sentCalls.size() < 100, "local retry budget is never exhausted");
     }
   }
 
   @Test
-  void aRepeatThatIsWaitedForIsSentOnceWhateverIsHeardMeanwhile() {
-    waitingForRepeat();
-    SentCall first = world.last();
-    int before = world.sent.size();
-
-    LATE.forEach(late -> late.accept(first));
-    assertEquals(before, world.sent.size());
-    world.borrowing.get(0).accept(1);
-    LATE.forEach(late -> late.accept(first));
-
-    assertEquals(before + 1, world.sent.size());
-    assertEquals(OptionalLong.of(1), world.last().dispatch.lastEventId());
-    assertEquals(ForwardWorld.eventText(1), waiting.body.toString());
-    assertFalse(waiting.isOver());
+  void pendingRetryIsSentOnceDespiteLateCallbacks() {
+    waitForRetry();
+    SentCall first = world.lastCall();
+    int before = world.sentCalls.size();
+
+    LATE_CALLBACKS.forEach(late -> late.accept(first));
+    assertEquals(before, world.sentCalls.size());
+    world.retryLoanRequests.get(0).accept(1);
+    LATE_CALLBACKS.forEach(late -> late.accept(first));
+
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals(OptionalLong.of(1), world.lastCall().dispatch.lastEventId());
+    assertEquals(ForwardWorld.eventText(1), waitingCaller.body.toString());
+    assertFalse(waitingCaller.isFinal());
   }
 
   @Test
-  void aRepeatThatIsGrantedAfterTheRequestIsOverIsNotSent() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void retryGrantedAfterRequestHasFinishedIsNotSent() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       LateCallbackTest fresh = new LateCallbackTest();
-      Exchange exchange = fresh.waitingForRepeat();
-      over.accept(fresh.world, exchange);
-      int sent = fresh.world.sent.size();
+      Exchange exchange = fresh.waitForRetry();
+      finisher.accept(fresh.world, exchange);
+      int sent = fresh.world.sentCalls.size();
 
-      fresh.world.borrowing.get(0).accept(1);
+      fresh.world.retryLoanRequests.get(0).accept(1);
 
-      assertEquals(sent, fresh.world.sent.size());
-      assertFalse(fresh.waiting.finished);
+      assertEquals(sent, fresh.world.sentCalls.size());
+      assertFalse(fresh.waitingCaller.finished);
       assertEquals(0, fresh.world.forwarder.openExchangeCount());
     }
   }
 
   @Test
-  void promptsThatAreLocatedAfterTheRequestIsOverSendNothing() {
-    for (BiConsumer<ForwardWorld, Exchange> over : OVER) {
+  void promptLocatedAfterRequestHasFinishedSendsNothing() {
+    for (BiConsumer<ForwardWorld, Exchange> finisher : FINISHERS) {
       ForwardWorld fresh = new ForwardWorld();
       fresh.promptPart = Optional.of("part");
       fresh.lastEventId = OptionalLong.of(3);
-      Exchange exchange = fresh.ask("/stream/x", new Caller()).orElseThrow();
-      assertFalse(fresh.promptQuestions.isEmpty());
-      over.accept(fresh, exchange);
+      Exchange exchange = fresh.submit("/stream/x", new Caller()).orElseThrow();
+      assertFalse(fresh.promptQueries.isEmpty());
+      finisher.accept(fresh, exchange);
 
-      fresh.promptQuestions.forEach(question -> question.answer().accept(Optional.of(Set.of())));
+      fresh.promptQueries.forEach(query -> query.response().accept(Optional.of(Set.of())));
 
-      assertTrue(fresh.sent.isEmpty());
+      assertTrue(fresh.sentCalls.isEmpty());
       assertEquals(0, fresh.forwarder.openExchangeCount());
     }
   }
 
-  /** A caller that cannot be written to may be found gone within the writing itself. */
+  /** A write can itself report that the caller has disconnected. */
   @Test
-  void nothingMoreIsWrittenOnceTheCallerIsGoneWithinAWrite() {
+  void stopsWritingWhenCallerDisconnectsDuringWrite() {
     Caller leaving =
         new Caller() {
           @Override
@@ -242,8 +243,8 @@
             latest.onCallerDisconnected();
           }
         };
-    latest = world.ask("/stream/x", leaving).orElseThrow();
-    SentCall call = world.last().accepted().head(200, true);
+    latest = world.submit("/stream/x", leaving).orElseThrow();
+    SentCall call = world.lastCall().accept().respondHead(200, true);
 
     call.text(ForwardWorld.eventText(1) + ForwardWorld.eventText(2));
 
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.gatereel.core.forward.ForwardWorld.SentCall;
-import org.gatereel.core.forward.ForwardWorld.TokenQuestion;
+import org.gatereel.core.forward.ForwardWorld.TokenRequest;
 import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -21,11 +21,11 @@
 import org.gatereel.core.statement.Announcements;
 import org.junit.jupiter.api.Test;
 
-/** Requests for targets that take only so many: what a host does until it has a token, and then. */
+/** Requests for rate-limited targets: waiting for, receiving and being denied tokens. */
 class LimitForwardingTest {
   private static final int HOSTS = 60;
   private static final TokenGrant ONE = new TokenGrant(1, 0);
-  private static final TokenGrant LATER = new TokenGrant(0, 5_000);
+  private static final TokenGrant DENIED = new TokenGrant(0, 5_000);
   private static final String[] COUNTERS = {"c1", "c2", "c3"};
   private static final String[] ENGINES = {"e1", "e2", "e3"};
 
@@ -35,11 +35,12 @@
 
   LimitForwardingTest() {
     List<HostDirectory.Entry> entries = new ArrayList<>();
-    String[] places = {"north", "south", "west"};
+    String[] dataCentres = {"north", "south", "west"};
     for (int number = 0; number < HOSTS; number++) {
-      DataCentre place = new DataCentre(places[number % places.length]);
+      DataCentre dataCentre = new DataCentre(dataCentres[number % dataCentres.length]);
       entries.add(
-          new HostDirectory.Entry("peer" + number, place, new Address("10.0.2." + number, 7), 0));
+          new HostDirectory.Entry(
+              "peer" + number, dataCentre, new Address("10.0.2." + number, 7), 0));
     }
     for (int reading = 0; reading < 3; reading++) {
       world.directory.update(entries, 0);
@@ -52,49 +53,49 @@
     }
   }
 
-  private void ask(String path) {
-    exchange = world.ask(path, caller).orElseThrow();
+  private void submit(String path) {
+    exchange = world.submit(path, caller).orElseThrow();
   }
 
-  private TokenQuestion question() {
-    return world.tokenQuestions.get(world.tokenQuestions.size() - 1);
+  private TokenRequest tokenRequest() {
+    return world.tokenRequests.get(world.tokenRequests.size() - 1);
   }
 
-  private String questioned() {
-    return question().asked().limit().target().value();
+  private String requestedTarget() {
+    return tokenRequest().requested().limit().target().value();
   }
 
-  private void answer(TokenGrant loan) {
-    question().answer().accept(Optional.of(loan));
+  private void respondWith(TokenGrant loan) {
+    tokenRequest().response().accept(Optional.of(loan));
   }
 
   @Test
-  void aTargetWithoutALimitIsSentRequestsWithoutAQuestion() {
-    ask("/safe/x");
+  void unlimitedTargetNeedsNoToken() {
+    submit("/safe/x");
 
-    assertEquals(1, world.sent.size());
-    assertTrue(world.tokenQuestions.isEmpty());
+    assertEquals(1, world.sentCalls.size());
+    assertTrue(world.tokenRequests.isEmpty());
   }
 
   @Test
-  void aLimitedTargetIsSentNothingBeforeThereIsAToken() {
+  void limitedTargetReceivesRequestOnlyWithToken() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    assertTrue(world.sent.isEmpty());
-    String asked = questioned();
+    submit("/safe/x");
+    assertTrue(world.sentCalls.isEmpty());
+    String requested = requestedTarget();
 
-    answer(ONE);
+    respondWith(ONE);
 
-    assertEquals(asked, world.last().target());
-    world.last().answer(200, "whole");
+    assertEquals(requested, world.lastCall().target());
+    world.lastCall().respond(200, "whole");
     assertEquals("whole", caller.body.toString());
   }
 
   @Test
-  void whatAnAnswerSaysHoldsFromTheNextRequestOn() {
-    ask("/safe/x");
-    String target = world.last().target();
-    SentCall call = world.last().accepted();
+  void limitInResponseAppliesFromNextRequest() {
+    submit("/safe/x");
+    String target = world.lastCall().target();
+    SentCall call = world.lastCall().accept();
     call.listener.onHead(
         new ForwardWorld.Head(
             200, false, true, false, Announcements.NONE.withLimit(Announcement.number(0.5))));
@@ -102,15 +103,15 @@
     assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(target)));
 
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    ask("/safe/x");
+    submit("/safe/x");
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void aRefusalOfTheTargetsOwnNamesItsLimitToo() {
-    ask("/safe/x");
-    SentCall call = world.last().accepted();
+  void rejectionByTargetCanAnnounceLimit() {
+    submit("/safe/x");
+    SentCall call = world.lastCall().accept();
 
     call.listener.onHead(
         new ForwardWorld.Head(
@@ -119,18 +120,18 @@
     assertEquals(0.5, world.forwarder.limits().announced().perSecond(new TargetId(call.target())));
   }
 
-  /** Whoever answers without the target's mark may be somebody else. */
+  /** A response without the marker of the target may come from another process. */
   @Test
-  void anAnswerThatIsNotTheTargetsOwnLiftsNoLimit() {
+  void unauthenticResponseDoesNotRemoveLimit() {
     limit(5, COUNTERS);
-    world.pass(10);
-    ask("/safe/x");
-    String target = questioned();
-    answer(ONE);
+    world.advanceTime(10);
+    submit("/safe/x");
+    String target = requestedTarget();
+    respondWith(ONE);
 
     world
-        .last()
-        .accepted()
+        .lastCall()
+        .accept()
         .listener
         .onHead(new ForwardWorld.Head(500, false, false, false, Announcements.NONE));
 
@@ -138,227 +139,230 @@
   }
 
   @Test
-  void aTargetWithoutATokenIsPassedOverForTheOthers() {
+  void targetWithoutTokenIsSkipped() {
     limit(5, "c1");
     List<String> targets = new ArrayList<>();
     for (int request = 0; request < 20; request++) {
-      int asked = world.tokenQuestions.size();
-      world.ask("/safe/x", new Caller());
-      if (world.tokenQuestions.size() > asked) {
-        answer(LATER);
+      int requestsBefore = world.tokenRequests.size();
+      world.submit("/safe/x", new Caller());
+      if (world.tokenRequests.size() > requestsBefore) {
+        respondWith(DENIED);
       }
-      targets.add(world.last().target());
+      targets.add(world.lastCall().target());
     }
 
-    assertEquals(20, world.sent.size());
+    assertEquals(20, world.sentCalls.size());
     assertFalse(targets.contains("c1"));
-    assertEquals(1, world.tokenQuestions.size(), "it is not asked for again until then");
+    assertEquals(1, world.tokenRequests.size(), "no second token request before the denial ends");
   }
 
   @Test
-  void whereNoTargetHasATokenTheRequestIsRefusedLongBeforeItsDeadline() {
+  void requestIsRejectedBeforeDeadlineWhenNoTargetHasToken() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    while (world.tokenQuestions.size() < COUNTERS.length) {
-      answer(LATER);
+    submit("/safe/x");
+    while (world.tokenRequests.size() < COUNTERS.length) {
+      respondWith(DENIED);
     }
-    answer(LATER);
-    assertNull(caller.refusal, "a token may come in a moment");
+    respondWith(DENIED);
+    assertNull(caller.rejection, "a token may still arrive");
 
-    world.pass(101);
+    world.advanceTime(101);
 
-    assertEquals(Rejection.OVERLOADED, caller.refusal);
-    assertTrue(world.sent.isEmpty());
+    assertEquals(Rejection.OVERLOADED, caller.rejection);
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aTokenThatComesWhileTheRequestWaitsServesIt() {
+  void tokenArrivingDuringWaitIsUsed() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    while (world.tokenQuestions.size() < COUNTERS.length) {
-      answer(new TokenGrant(0, 20));
+    submit("/safe/x");
+    while (world.tokenRequests.size() < COUNTERS.length) {
+      respondWith(new TokenGrant(0, 20));
     }
-    answer(new TokenGrant(0, 20));
+    respondWith(new TokenGrant(0, 20));
 
-    world.pass(70);
-    answer(ONE);
+    world.advanceTime(70);
+    respondWith(ONE);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void aTokenForACallerWhoLeftServesTheNext() {
+  void tokenOfDisconnectedCallerIsUsedForNextRequest() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    String target = questioned();
+    submit("/safe/x");
+    String target = requestedTarget();
     exchange.onCallerDisconnected();
 
-    answer(ONE);
+    respondWith(ONE);
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    int asked = world.tokenQuestions.size();
-    ask("/safe/x");
-    assertEquals(asked, world.tokenQuestions.size());
-    assertEquals(target, world.last().target());
+    int requestsBefore = world.tokenRequests.size();
+    submit("/safe/x");
+    assertEquals(requestsBefore, world.tokenRequests.size());
+    assertEquals(target, world.lastCall().target());
   }
 
   @Test
-  void aTokenThatNobodyUsedIsNotKeptForLong() {
+  void unusedTokenExpires() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    String target = questioned();
+    submit("/safe/x");
+    String target = requestedTarget();
     exchange.onCallerDisconnected();
-    answer(ONE);
+    respondWith(ONE);
 
-    world.pass(501);
+    world.advanceTime(501);
     world.list(ForwardWorld.target(target, ForwardWorld.COUNTERS, "north"));
-    ask("/safe/x");
+    submit("/safe/x");
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void theDeadlineEndsARequestThatHasNoAnswerFromTheLender() {
+  void requestFailsAtDeadlineWhenIssuerDoesNotRespond() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS);
 
-    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.refusal);
-    answer(ONE);
-    assertTrue(world.sent.isEmpty());
+    assertEquals(Rejection.NOT_STARTED_IN_TIME, caller.rejection);
+    respondWith(ONE);
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aHostThatStopsRefusesTruthfullyWhatWaitsForAToken() {
+  void shutdownRejectsRequestWaitingForTokenAsNotExecuted() {
     limit(5, COUNTERS);
-    ask("/safe/x");
+    submit("/safe/x");
 
     world.forwarder.stopAll();
 
-    assertEquals(Rejection.STOPPING, caller.refusal);
-    answer(ONE);
-    assertTrue(world.sent.isEmpty());
+    assertEquals(Rejection.STOPPING, caller.rejection);
+    respondWith(ONE);
+    assertTrue(world.sentCalls.isEmpty());
   }
 
   @Test
-  void aTargetThatBeganToLeaveMeanwhileGetsNothing() {
+  void targetLeavingDuringWaitReceivesNothing() {
     limit(5, "c1");
     world.list(
         ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"),
         ForwardWorld.target("c2", ForwardWorld.COUNTERS, "south"));
-    while (world.tokenQuestions.isEmpty()) {
-      ask("/safe/x");
+    while (world.tokenRequests.isEmpty()) {
+      submit("/safe/x");
     }
-    int before = world.sent.size();
-    world.pass(5);
+    int before = world.sentCalls.size();
+    world.advanceTime(5);
     world.targets.recordLeaving(new TargetId("c1"));
 
-    answer(ONE);
+    respondWith(ONE);
 
-    assertEquals(before + 1, world.sent.size());
-    assertEquals("c2", world.last().target());
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals("c2", world.lastCall().target());
   }
 
   @Test
-  void aLenderThatDoesNotAnswerIsFollowedByTheNextAndThenTheTargetIsPassedOver() {
+  void nextIssuersAreQueriedBeforeTargetIsSkipped() {
     limit(5, "c1");
-    while (world.tokenQuestions.isEmpty()) {
-      world.ask("/safe/x", new Caller());
+    while (world.tokenRequests.isEmpty()) {
+      world.submit("/safe/x", new Caller());
     }
-    int before = world.sent.size();
-    Address first = question().lender();
+    int before = world.sentCalls.size();
+    Address first = tokenRequest().issuer();
 
-    question().answer().accept(Optional.empty());
-    Address second = question().lender();
+    tokenRequest().response().accept(Optional.empty());
+    Address second = tokenRequest().issuer();
     assertFalse(first.equals(second));
-    assertEquals(before, world.sent.size());
-    question().answer().accept(Optional.empty());
-    Address elsewhere = question().lender();
-    assertFalse(second.equals(elsewhere));
-    question().answer().accept(Optional.empty());
-
-    assertEquals(before + 1, world.sent.size());
-    assertFalse(world.last().target().equals("c1"));
+    assertEquals(before, world.sentCalls.size());
+    tokenRequest().response().accept(Optional.empty());
+    Address third = tokenRequest().issuer();
+    assertFalse(second.equals(third));
+    tokenRequest().response().accept(Optional.empty());
+
+    assertEquals(before + 1, world.sentCalls.size());
+    assertFalse(world.lastCall().target().equals("c1"));
   }
 
   @Test
-  void repeatsTakeTokensToo() {
+  void retriesNeedTokens() {
     limit(5, COUNTERS);
-    ask("/safe/x");
-    answer(ONE);
-    int asked = world.tokenQuestions.size();
+    submit("/safe/x");
+    respondWith(ONE);
+    int requestsBefore = world.tokenRequests.size();
 
-    world.fail(world.last().accepted(), TargetFailure.RESET);
+    world.fail(world.lastCall().accept(), TargetFailure.RESET);
 
-    assertEquals(asked + 1, world.tokenQuestions.size());
-    assertEquals(1, world.sent.size());
-    answer(ONE);
-    assertEquals(2, world.sent.size());
+    assertEquals(requestsBefore + 1, world.tokenRequests.size());
+    assertEquals(1, world.sentCalls.size());
+    respondWith(ONE);
+    assertEquals(2, world.sentCalls.size());
   }
 
-  /** The holder of a copy may be limited as well; the caller cannot wait, so it goes first. */
+  /**
+   * Guards against continuations without a token; they have priority since a caller waits for the
+   * rest of its stream.
+   */
   @Test
-  void aRunFromACopyTakesATokenAndIsUrgent() {
-    ask("/stream/x");
-    SentCall run = world.last().accepted().head(200, true).event(1);
+  void continuationFromCopyNeedsUrgentToken() {
+    submit("/stream/x");
+    SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
 
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
 
-    assertTrue(question().asked().urgent());
-    assertEquals(1, world.sent.size());
-    answer(ONE);
-    assertEquals(2, world.sent.size());
-    assertTrue(world.last().dispatch.continueFrom().isPresent());
+    assertTrue(tokenRequest().requested().urgent());
+    assertEquals(1, world.sentCalls.size());
+    respondWith(ONE);
+    assertEquals(2, world.sentCalls.size());
+    assertTrue(world.lastCall().dispatch.continueFrom().isPresent());
   }
 
   @Test
-  void aStreamThatHasBegunWaitsLongerForATokenThanOneThatHasNot() {
-    ask("/stream/x");
-    SentCall run = world.last().accepted().head(200, true).event(1);
+  void startedStreamWaitsLongerForToken() {
+    submit("/stream/x");
+    SentCall execution = world.lastCall().accept().respondHead(200, true).event(1);
     limit(0.5, ENGINES);
-    world.fail(run, TargetFailure.RESET);
+    world.fail(execution, TargetFailure.RESET);
     for (int denied = 0; denied < ENGINES.length; denied++) {
-      answer(LATER);
+      respondWith(DENIED);
     }
 
-    world.pass(1_500);
+    world.advanceTime(1_500);
     assertFalse(caller.aborted);
-    world.pass(600);
+    world.advanceTime(600);
 
     assertTrue(caller.aborted);
   }
 
   @Test
-  void aCallerWhoComesBackForTheRestOfAStreamIsUrgent() {
+  void resumedStreamRequestsUrgentToken() {
     limit(0.5, ENGINES);
     world.lastEventId = OptionalLong.of(7);
 
-    ask("/stream/x");
+    submit("/stream/x");
 
-    assertTrue(question().asked().urgent());
+    assertTrue(tokenRequest().requested().urgent());
   }
 
   @Test
-  void requestsThatWaitForOneTargetAreAskedForTogether() {
+  void tokensForWaitingRequestsAreRequestedTogether() {
     limit(5, "c1");
     world.list(ForwardWorld.target("c1", ForwardWorld.COUNTERS, "north"));
     List<Caller> callers = new ArrayList<>();
     for (int number = 0; number < 4; number++) {
       callers.add(new Caller());
-      world.ask("/safe/x", callers.get(number));
+      world.submit("/safe/x", callers.get(number));
     }
-    assertEquals(1, world.tokenQuestions.size());
-    answer(ONE);
-    assertEquals(2, world.tokenQuestions.size());
-    assertEquals(3, question().count());
+    assertEquals(1, world.tokenRequests.size());
+    respondWith(ONE);
+    assertEquals(2, world.tokenRequests.size());
+    assertEquals(3, tokenRequest().count());
 
-    answer(new TokenGrant(2, 5_000));
+    respondWith(new TokenGrant(2, 5_000));
 
-    assertEquals(3, world.sent.size());
-    world.pass(101);
-    assertEquals(Rejection.OVERLOADED, callers.get(3).refusal);
+    assertEquals(3, world.sentCalls.size());
+    world.advanceTime(101);
+    assertEquals(Rejection.OVERLOADED, callers.get(3).rejection);
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/RolloutForwardingTest.java
@@ -26,9 +26,9 @@
 import org.gatereel.core.rollout.Signal;
 import org.junit.jupiter.api.Test;
 
-/** Where requests, repeats and continuations go while a service moves to another version. */
+/** Routing of requests, retries and continuations during a rollout. */
 class RolloutForwardingTest {
-  private static final long DURATION = 60_000;
+  private static final long DURATION_MILLIS = 60_000;
   private static final long STORE_MILLIS = 7_000_000;
   private static final int REQUESTS = 400;
 
@@ -58,59 +58,61 @@
 
   private void order(ServiceName service, RolloutState state) {
     long now = world.context.nowIncludingSuspensions();
-    world.rollouts.updateOrders(List.of(new RolloutOrder(service, "v2", DURATION, 5)), now);
+    world.rollouts.updateOrders(List.of(new RolloutOrder(service, "v2", DURATION_MILLIS, 5)), now);
     world.rollouts.updateRecords(
-        List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
+        List.of(new RolloutRecord(service, "v2", 5, STORE_MILLIS, DURATION_MILLIS, state, 9)),
         STORE_MILLIS,
         now);
   }
 
-  private int sentToNew(int from) {
+  private int countSentToNewVersion(int from) {
     return (int)
-        world.sent.subList(from, world.sent.size()).stream()
+        world.sentCalls.subList(from, world.sentCalls.size()).stream()
             .filter(call -> call.target().startsWith("new"))
             .count();
   }
 
-  /** Meanwhile the version may have been found bad, and its targets may be leaving. */
+  /**
+   * The version may have been rolled back, or its targets may be leaving, during the suspension.
+   */
   @Test
-  void nothingGoesToTheNewVersionAfterASuspensionUntilTheRowIsReadAnew() {
+  void newVersionReceivesNothingAfterSuspensionUntilRecordIsRead() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
     world.context.recordSuspension(3_000);
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(0, sentToNew(0));
+    assertEquals(0, countSentToNewVersion(0));
   }
 
-  /** A token for a target of the new version comes after the verdict on it has fallen. */
+  /** Guards against sending to a version whose rollback precedes the arrival of a token. */
   @Test
-  void nothingGoesToAVersionThatWasRolledBackWhileARequestWaitedForAToken() {
+  void versionRolledBackDuringTokenWaitReceivesNothing() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "new1", "new2", "new3");
-    knowAnotherHost();
+    listAnotherHost();
     for (String target : new String[] {"new1", "new2", "new3"}) {
       world.forwarder.limits().announced().observe(new TargetId(target), 5, 0);
     }
-    while (world.tokenQuestions.isEmpty()) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+    while (world.tokenRequests.isEmpty()) {
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
-    int before = world.sent.size();
-    world.pass(5);
+    int before = world.sentCalls.size();
+    world.advanceTime(5);
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
 
-    world.tokenQuestions.get(0).answer().accept(Optional.of(new TokenGrant(1, 0)));
+    world.tokenRequests.get(0).response().accept(Optional.of(new TokenGrant(1, 0)));
 
-    assertEquals(before + 1, world.sent.size());
-    assertEquals("old1", world.last().target());
+    assertEquals(before + 1, world.sentCalls.size());
+    assertEquals("old1", world.lastCall().target());
   }
 
-  private void knowAnotherHost() {
+  private void listAnotherHost() {
     Address address = new Address("10.0.2.1", 7);
     for (int reading = 0; reading < 3; reading++) {
       world.directory.update(
@@ -119,101 +121,106 @@
   }
 
   @Test
-  void aSmallPartOfTheRequestsTriesTheNewVersion() {
+  void canaryReceivesSmallRatioOfRequests() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
-      world.last().answer(200, "ok");
+      world.submit("/safe/x", new ForwardWorld.Caller());
+      world.lastCall().respond(200, "ok");
     }
 
-    int fresh = sentToNew(0);
-    assertTrue(fresh >= REQUESTS / 50 && fresh <= REQUESTS / 20, "sent to the new one: " + fresh);
+    int canaryRequests = countSentToNewVersion(0);
+    assertTrue(
+        canaryRequests >= REQUESTS / 50 && canaryRequests <= REQUESTS / 20,
+        "requests sent to the new version: " + canaryRequests);
   }
 
   @Test
-  void aRepeatDoesNotTryTheNewVersion() {
+  void retriesAreNotSentToCanary() {
     list(ForwardWorld.COUNTERS, "old1", "old2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1", "new2", "new3");
 
     for (int request = 0; request < REQUESTS; request++) {
-      int before = world.sent.size();
-      world.ask("/safe/x", new ForwardWorld.Caller());
-      world.last().answer(500, "error");
-      if (world.sent.size() > before + 1) {
-        assertEquals(0, sentToNew(before + 1));
-        world.last().answer(200, "ok");
+      int before = world.sentCalls.size();
+      world.submit("/safe/x", new ForwardWorld.Caller());
+      world.lastCall().respond(500, "error");
+      if (world.sentCalls.size() > before + 1) {
+        assertEquals(0, countSentToNewVersion(before + 1));
+        world.lastCall().respond(200, "ok");
       }
     }
   }
 
   @Test
-  void aStreamThatBreaksAtTheNewVersionGoesOnAtTheOneBefore() {
+  void streamInterruptedAtCanaryContinuesAtPreviousVersion() {
     list(ForwardWorld.ENGINES, "old1", "old2");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
     list(ForwardWorld.ENGINES, "old1", "old2", "new1", "new2", "new3");
 
-    int broken = 0;
+    int interrupted = 0;
     for (int request = 0; request < REQUESTS; request++) {
-      Optional<Exchange> exchange = world.ask("/stream/x", new ForwardWorld.Caller());
-      ForwardWorld.SentCall first = world.last();
+      Optional<Exchange> exchange = world.submit("/stream/x", new ForwardWorld.Caller());
+      ForwardWorld.SentCall first = world.lastCall();
       if (first.target().startsWith("new")) {
-        int before = world.sent.size();
-        first.accepted().head(200, true).event(1);
+        int before = world.sentCalls.size();
+        first.accept().respondHead(200, true).event(1);
         world.fail(first, TargetFailure.RESET);
-        assertEquals(before + 1, world.sent.size());
-        assertEquals(0, sentToNew(before));
-        broken++;
+        assertEquals(before + 1, world.sentCalls.size());
+        assertEquals(0, countSentToNewVersion(before));
+        interrupted++;
       }
       exchange.ifPresent(Exchange::onCallerDisconnected);
     }
-    assertTrue(broken > 0);
+    assertTrue(interrupted > 0);
   }
 
   @Test
-  void aStreamThatACallerResumesDoesNotTryTheNewVersion() {
+  void resumedStreamsAreNotSentToCanary() {
     list(ForwardWorld.ENGINES, "old1");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
     list(ForwardWorld.ENGINES, "old1", "new1", "new2");
     world.lastEventId = OptionalLong.of(3);
 
     for (int request = 0; request < REQUESTS; request++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
+      world.submit("/stream/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(0, sentToNew(0));
+    assertEquals(0, countSentToNewVersion(0));
   }
 
   @Test
-  void afterARollBackNothingGoesToTheNewVersionAlsoIfNothingElseIsLeft() {
+  void rolledBackVersionReceivesNothingEvenIfNoOtherIsAvailable() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.ROLLED_BACK);
     list(ForwardWorld.COUNTERS, "new1");
 
     ForwardWorld.Caller caller = new ForwardWorld.Caller();
-    world.ask("/safe/x", caller);
+    world.submit("/safe/x", caller);
 
-    assertEquals(0, world.sent.size());
-    assertEquals(Rejection.NO_TARGET, caller.refusal);
+    assertEquals(0, world.sentCalls.size());
+    assertEquals(Rejection.NO_TARGET, caller.rejection);
   }
 
-  /** Held back until somebody completes it, the whole service would be refused. */
+  /** Otherwise the whole service would be rejected until the rollout is completed. */
   @Test
-  void anOrderThatNamesTheVersionInServiceTakesNothingAway() {
+  void orderForActiveVersionDoesNotRemoveItFromService() {
     list(ForwardWorld.COUNTERS, "new1", "new2");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
 
-    world.ask("/safe/x", new ForwardWorld.Caller());
+    world.submit("/safe/x", new ForwardWorld.Caller());
 
-    assertEquals(1, sentToNew(0));
+    assertEquals(1, countSentToNewVersion(0));
   }
 
-  /** The next order alone was looked at: what had been rolled back had its part again. */
+  /**
+   * Guards against considering only the latest order, which would return a rolled-back version to
+   * service.
+   */
   @Test
-  void aVersionThatWasRolledBackStaysOutWhenAnotherIsOrdered() {
+  void rolledBackVersionStaysExcludedDuringNextRollout() {
     for (RolloutState state : new RolloutState[] {RolloutState.ROLLED_BACK, RolloutState.RUNNING}) {
       ForwardWorld fresh = new ForwardWorld();
       HostList list =
@@ -228,44 +235,45 @@
       fresh.targets.applyList(list);
       long now = fresh.context.now();
       fresh.rollouts.updateOrders(
-          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION, 5)), now);
+          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v2", DURATION_MILLIS, 5)), now);
       fresh.rollouts.updateRecords(
           List.of(
-              new RolloutRecord(ForwardWorld.COUNTERS, "v2", 5, STORE_MILLIS, DURATION, state, 9)),
+              new RolloutRecord(
+                  ForwardWorld.COUNTERS, "v2", 5, STORE_MILLIS, DURATION_MILLIS, state, 9)),
           STORE_MILLIS,
           now);
       fresh.rollouts.updateOrders(
-          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION, 10)), now);
+          List.of(new RolloutOrder(ForwardWorld.COUNTERS, "v3", DURATION_MILLIS, 10)), now);
 
       for (int request = 0; request < 20; request++) {
-        fresh.ask("/safe/x", new ForwardWorld.Caller());
-        assertEquals("old1", fresh.last().target(), state.name());
-        fresh.last().answer(200, "ok");
+        fresh.submit("/safe/x", new ForwardWorld.Caller());
+        assertEquals("old1", fresh.lastCall().target(), state.name());
+        fresh.lastCall().respond(200, "ok");
       }
     }
   }
 
   @Test
-  void afterTheEndTheVersionsBeforeAreLeftForTheNewOne() {
+  void onlyNewVersionReceivesRequestsAfterCompletion() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.COMPLETED);
     list(ForwardWorld.COUNTERS, "old1", "old2", "new1");
 
     for (int request = 0; request < 20; request++) {
-      world.ask("/safe/x", new ForwardWorld.Caller());
+      world.submit("/safe/x", new ForwardWorld.Caller());
     }
 
-    assertEquals(20, sentToNew(0));
+    assertEquals(20, countSentToNewVersion(0));
   }
 
   @Test
-  void whatAnswersShowIsCountedOnceForEachSignal() {
+  void evidenceIsCountedOncePerSignal() {
     list(ForwardWorld.ENGINES, "old1");
     order(ForwardWorld.ENGINES, RolloutState.RUNNING);
-    world.ask("/stream/x", new ForwardWorld.Caller());
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+    world.submit("/stream/x", new ForwardWorld.Caller());
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (int event = 1; event <= 40; event++) {
-      world.pass(10);
+      world.advanceTime(10);
       call.event(event);
       call.text("");
     }
@@ -278,12 +286,12 @@
   }
 
   @Test
-  void connectionsThatBreakAreNoEvidenceAgainstAVersion() {
+  void failedConnectionsAreNotEvidenceAgainstVersion() {
     list(ForwardWorld.COUNTERS, "old1");
     order(ForwardWorld.COUNTERS, RolloutState.RUNNING);
-    world.ask("/safe/x", new ForwardWorld.Caller());
-    world.last().accepted();
-    world.fail(world.last(), TargetFailure.RESET);
+    world.submit("/safe/x", new ForwardWorld.Caller());
+    world.lastCall().accept();
+    world.fail(world.lastCall(), TargetFailure.RESET);
 
     assertTrue(
         world.rollouts.ownEvidence().keySet().stream()
@@ -291,19 +299,19 @@
   }
 
   @Test
-  void aVersionThatNobodyOrderedWaitsUntilTheOrdersWereReadAgain() {
+  void versionWithoutOrderReceivesNothingUntilOrdersAreConfirmed() {
     list(ForwardWorld.COUNTERS, "old1");
     world.rollouts.confirmOrders(world.context.now());
-    world.pass(10);
+    world.advanceTime(10);
     list(ForwardWorld.COUNTERS, "new1");
     ForwardWorld.Caller early = new ForwardWorld.Caller();
-    world.ask("/safe/x", early);
-    assertEquals(0, world.sent.size());
+    world.submit("/safe/x", early);
+    assertEquals(0, world.sentCalls.size());
 
-    world.pass(10);
+    world.advanceTime(10);
     world.rollouts.confirmOrders(world.context.now());
-    world.ask("/safe/x", new ForwardWorld.Caller());
+    world.submit("/safe/x", new ForwardWorld.Caller());
 
-    assertEquals(1, sentToNew(0));
+    assertEquals(1, countSentToNewVersion(0));
   }
 }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/StreamForwardingTest.java
@@ -26,9 +26,9 @@
   private final ForwardWorld world = new ForwardWorld();
   private final ForwardWorld.Caller caller = new ForwardWorld.Caller();
 
-  private ForwardWorld.SentCall running(long lastEvent) {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true);
+  private ForwardWorld.SentCall startStream(long lastEvent) {
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true);
     for (long id = 1; id <= lastEvent; id++) {
       call.event(id);
     }
@@ -36,35 +36,35 @@
   }
 
   @Test
-  void passesEventsOnAndEndsWithTheTarget() {
-    running(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
+  void forwardsEventsAndEndsWithTarget() {
+    startStream(2).listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertEquals(ForwardWorld.eventText(1) + ForwardWorld.eventText(2), caller.body.toString());
     assertTrue(caller.finished);
   }
 
   @Test
-  void continuesAfterTheLastEventFromTheCopyWhenTheTargetBreaks() {
-    ForwardWorld.SentCall first = running(2);
+  void continuesAfterLastEventFromCopyWhenTargetFails() {
+    ForwardWorld.SentCall first = startStream(2);
     Optional<?> copyTo = first.dispatch.copyTo();
 
     world.fail(first, TargetFailure.RESET);
 
-    ForwardWorld.SentCall second = world.last();
+    ForwardWorld.SentCall second = world.lastCall();
     assertTrue(first.cancelled);
     assertEquals(copyTo, Optional.of(second.dispatch.target().address()));
     assertEquals(Optional.of("r1"), second.dispatch.continueFrom());
     assertEquals(OptionalLong.of(2), second.dispatch.lastEventId());
-    second.accepted().head(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
+    second.accept().respondHead(200, true).event(3).listener.onEnd(ResponseEnd.LAST_CHUNK);
     assertTrue(caller.finished);
     assertTrue(caller.body.toString().endsWith(ForwardWorld.eventText(3)));
   }
 
   @Test
-  void repeatsNoEventThatTheCallerHas() {
-    world.fail(running(2), TargetFailure.RESET);
+  void doesNotRepeatForwardedEvents() {
+    world.fail(startStream(2), TargetFailure.RESET);
 
-    world.last().accepted().head(200, true).event(2).event(3);
+    world.lastCall().accept().respondHead(200, true).event(2).event(3);
 
     assertEquals(
         ForwardWorld.eventText(1) + ForwardWorld.eventText(2) + ForwardWorld.eventText(3),
@@ -72,87 +72,87 @@
   }
 
   @Test
-  void givesATargetUpThatLeavesAnEventOut() {
-    ForwardWorld.SentCall call = running(2);
+  void cancelsAttemptThatSkipsEvent() {
+    ForwardWorld.SentCall call = startStream(2);
 
     call.event(4);
 
     assertTrue(call.cancelled);
-    assertEquals(2, world.sent.size());
+    assertEquals(2, world.sentCalls.size());
     assertFalse(caller.body.toString().contains("id: 4"));
   }
 
   @Test
-  void passesNoHalfEventOn() {
-    ForwardWorld.SentCall call = running(1);
+  void doesNotForwardPartialEvent() {
+    ForwardWorld.SentCall call = startStream(1);
 
     call.listener.onBody("id: 2\ndata: ha".getBytes(StandardCharsets.UTF_8));
     call.listener.onEnd(ResponseEnd.LAST_CHUNK);
 
     assertFalse(caller.finished);
     assertEquals(ForwardWorld.eventText(1), caller.body.toString());
-    assertEquals(OptionalLong.of(1), world.last().dispatch.lastEventId());
+    assertEquals(OptionalLong.of(1), world.lastCall().dispatch.lastEventId());
   }
 
   @Test
-  void looksForNoCopyWhereNothingRan() {
-    world.ask("/stream/x", caller);
+  void usesNoCopyWhenRequestWasNotSent() {
+    world.submit("/stream/x", caller);
 
-    world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+    world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
-  void looksForNoCopyAfterATargetThatDeclaredNotRun() {
-    world.ask("/stream/x", caller);
+  void usesNoCopyAfterTargetDeclaredNotExecuted() {
+    world.submit("/stream/x", caller);
 
-    world.last().notRun(421);
+    world.lastCall().rejectNotExecuted(421);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
-  void readsAnewWhereTheCopyIsMissing() {
-    world.fail(running(2), TargetFailure.RESET);
+  void continuesWithoutCopyWhenCopyIsMissing() {
+    world.fail(startStream(2), TargetFailure.RESET);
 
-    world.last().notRun(503);
+    world.lastCall().rejectNotExecuted(503);
 
-    assertEquals(3, world.sent.size());
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
-    assertEquals(OptionalLong.of(2), world.last().dispatch.lastEventId());
+    assertEquals(3, world.sentCalls.size());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
+    assertEquals(OptionalLong.of(2), world.lastCall().dispatch.lastEventId());
   }
 
   @Test
-  void movesAwayFromASilentTargetThatDoesNotAnswerProbes() {
-    ForwardWorld.SentCall first = running(2);
+  void movesStreamFromSilentTargetThatIsGone() {
+    ForwardWorld.SentCall first = startStream(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     assertEquals(1, world.probes.size());
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
     assertTrue(first.cancelled);
-    assertEquals(2, world.sent.size());
-    assertNotEquals(first.target(), world.last().target());
+    assertEquals(2, world.sentCalls.size());
+    assertNotEquals(first.target(), world.lastCall().target());
   }
 
   @Test
-  void staysWithASilentTargetThatAnswersProbes() {
-    ForwardWorld.SentCall first = running(2);
+  void keepsStreamAtSilentTargetThatIsAlive() {
+    ForwardWorld.SentCall first = startStream(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     world.lastProbe().listener().onResult(ProbeResult.ALIVE);
-    world.pass(100);
+    world.advanceTime(100);
 
     assertFalse(first.cancelled);
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void doesNotMoveAStreamThatSpokeWhileTheProbeWasOut() {
-    ForwardWorld.SentCall first = running(2);
+  void keepsStreamThatSentEventDuringProbe() {
+    ForwardWorld.SentCall first = startStream(2);
 
-    world.pass(250);
+    world.advanceTime(250);
     first.event(3);
     world.lastProbe().listener().onResult(ProbeResult.GONE);
 
@@ -160,9 +160,9 @@
   }
 
   @Test
-  void closesTheConnectionToTheTargetWhenTheCallerGoes() {
-    Exchange exchange = world.ask("/stream/x", caller).orElseThrow();
-    ForwardWorld.SentCall call = world.last().accepted().head(200, true).event(1);
+  void cancelsAttemptWhenCallerDisconnects() {
+    Exchange exchange = world.submit("/stream/x", caller).orElseThrow();
+    ForwardWorld.SentCall call = world.lastCall().accept().respondHead(200, true).event(1);
 
     exchange.onCallerDisconnected();
 
@@ -171,63 +171,63 @@
   }
 
   @Test
-  void breaksOffAtTheDeadlineWithoutLookingComplete() {
-    running(1);
+  void abortsStreamAtDeadline() {
+    startStream(1);
 
-    world.pass(ForwardWorld.TIMEOUT_MILLIS + 1);
+    world.advanceTime(ForwardWorld.TIMEOUT_MILLIS + 1);
 
     assertTrue(caller.aborted);
   }
 
   @Test
-  void findsTheCopyAtItsAddressAfterTheHolderCameBackUnderAnotherName() {
-    ForwardWorld.SentCall first = running(2);
-    loseHolderOf(first);
+  void findsCopyByAddressAfterHolderChangedItsId() {
+    ForwardWorld.SentCall first = startStream(2);
+    restartHolderOf(first);
 
     world.fail(first, TargetFailure.RESET);
 
-    assertEquals("e9", world.last().target());
-    assertEquals(Optional.of("r1"), world.last().dispatch.continueFrom());
+    assertEquals("e9", world.lastCall().target());
+    assertEquals(Optional.of("r1"), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
-  void looksForNoCopyAfterARunThatMadeNoEvent() {
-    world.ask("/stream/x", caller);
-    ForwardWorld.SentCall first = world.last().accepted().head(200, true);
-    world.pass(390);
+  void usesNoCopyAfterExecutionWithoutEvents() {
+    world.submit("/stream/x", caller);
+    ForwardWorld.SentCall first = world.lastCall().accept().respondHead(200, true);
+    world.advanceTime(390);
 
     world.fail(first, TargetFailure.RESET);
 
-    assertEquals(Optional.empty(), world.last().dispatch.continueFrom());
+    assertEquals(Optional.empty(), world.lastCall().dispatch.continueFrom());
   }
 
   @Test
-  void sendsNothingToATargetWhoseAddressAnotherOneHas() {
+  void sendsNothingToTargetWithReassignedAddress() {
     world.restart("e1", "e9");
 
     for (int i = 0; i < 20; i++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
-      assertNotEquals("e1", world.last().target());
+      world.submit("/stream/x", new ForwardWorld.Caller());
+      assertNotEquals("e1", world.lastCall().target());
     }
   }
 
   @Test
-  void doubtsADataCentreWhereTargetsFail() {
+  void avoidsDataCentreWithFailingTargets() {
     world.list(
         ForwardWorld.target("e1", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e2", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e3", ForwardWorld.ENGINES, "south"));
-    world.ask("/stream/x", caller);
-    while (world.last().target().equals("e3")) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
+    world.submit("/stream/x", caller);
+    while (world.lastCall().target().equals("e3")) {
+      world.submit("/stream/x", new ForwardWorld.Caller());
     }
 
-    world.fail(world.last(), TargetFailure.NOT_CONNECTED);
+    world.fail(world.lastCall(), TargetFailure.NOT_CONNECTED);
 
-    assertEquals("e3", world.last().target());
+    assertEquals("e3", world.lastCall().target());
   }
 
-  private void loseHolderOf(ForwardWorld.SentCall call) {
+  private void restartHolderOf(ForwardWorld.SentCall call) {
     Address holder = call.dispatch.copyTo().orElseThrow();
     world.restart(
         world
@@ -243,11 +243,11 @@
   @Test
   void hasTheRunOrItsCopyInThisHostsDataCentre() {
     for (int i = 0; i < 20; i++) {
-      world.ask("/stream/x", new ForwardWorld.Caller());
-      Dispatch dispatch = world.last().dispatch;
+      world.submit("/stream/x", new ForwardWorld.Caller());
+      Dispatch dispatch = world.lastCall().dispatch;
       Address holder = dispatch.copyTo().orElseThrow();
-      String runsAt = dispatch.target().dataCentre().value();
-      String heldAt =
+      String executionDataCentre = dispatch.target().dataCentre().value();
+      String copyDataCentre =
           world
               .targets
               .findByAddress(ForwardWorld.ENGINES, holder)
@@ -255,37 +255,41 @@
               .description()
               .dataCentre()
               .value();
-      assertNotEquals(runsAt, heldAt);
-      assertTrue(runsAt.equals("north") || heldAt.equals("north"));
+      assertNotEquals(executionDataCentre, copyDataCentre);
+      assertTrue(executionDataCentre.equals("north") || copyDataCentre.equals("north"));
     }
   }
 
   @Test
-  void countsATargetThatDeclaredNotRunAsNoAttempt() {
-    world.ask("/stream/x", caller);
+  void doesNotCountAttemptDeclaredNotExecuted() {
+    world.submit("/stream/x", caller);
     for (int i = 0; i < 2; i++) {
-      world.last().notRun(421);
+      world.lastCall().rejectNotExecuted(421);
     }
-    ForwardWorld.SentCall running = world.last().accepted().head(200, true).event(1);
+    ForwardWorld.SentCall running = world.lastCall().accept().respondHead(200, true).event(1);
     world.list(
         ForwardWorld.target("e7", ForwardWorld.ENGINES, "north"),
         ForwardWorld.target("e8", ForwardWorld.ENGINES, "south"));
 
     for (int i = 0; i < 4; i++) {
       world.fail(running, TargetFailure.RESET);
-      running = world.last().accepted().head(200, true).event(2 + i);
+      running = world.lastCall().accept().respondHead(200, true).event(2 + i);
     }
 
-    assertFalse(caller.isOver());
+    assertFalse(caller.isFinal());
   }
 
-  /** Has others tell that engines have more prompts to read than callers want to wait for. */
+  /**
+   * Receives a report that the engines have more queued prefills than the response time objective
+   * allows.
+   */
   private void overload() {
-    Map<TargetId, TargetLoad> told = new HashMap<>();
+    Map<TargetId, TargetLoad> reportedLoads = new HashMap<>();
     for (TargetState target : world.targets.notLeaving(ForwardWorld.ENGINES)) {
-      told.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
+      reportedLoads.put(target.description().id(), new TargetLoad(9, 9, 0, 0, TargetLoad.NEVER));
     }
-    DemandKey asking = new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
+    DemandKey accountDemand =
+        new DemandKey(ForwardWorld.ENGINES, 1, Optional.of(new AccountId("a1")));
     world.loads.receive(
         new LoadReport(
             new HostId("h2"),
@@ -294,51 +298,51 @@
             1,
             1,
             OptionalLong.empty(),
-            told,
-            Map.of(DemandKey.allOf(ForwardWorld.ENGINES), 50.0, asking, 50.0)));
+            reportedLoads,
+            Map.of(DemandKey.allOf(ForwardWorld.ENGINES), 50.0, accountDemand, 50.0)));
   }
 
   @Test
-  void aStreamBeyondItsAccountsShareWaitsAndIsSentWhenTheLoadIsOver() {
+  void streamBeyondFairShareIsQueuedUntilOverloadEnds() {
     overload();
-    world.ask("/stream/x", caller);
-    world.pass(1_000);
-    assertTrue(world.sent.isEmpty());
-    assertFalse(caller.isOver());
+    world.submit("/stream/x", caller);
+    world.advanceTime(1_000);
+    assertTrue(world.sentCalls.isEmpty());
+    assertFalse(caller.isFinal());
 
-    world.pass(2_500);
+    world.advanceTime(2_500);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 
   @Test
-  void nothingOfAStreamIsSentWhoseCallerLeftWhileItWaited() {
+  void queuedStreamIsNotSentAfterCallerDisconnects() {
     overload();
-    world.ask("/stream/x", caller).orElseThrow().onCallerDisconnected();
+    world.submit("/stream/x", caller).orElseThrow().onCallerDisconnected();
 
-    world.pass(5_000);
+    world.advanceTime(5_000);
 
-    assertTrue(world.sent.isEmpty());
+    assertTrue(world.sentCalls.isEmpty());
     assertEquals(0, world.forwarder.openExchangeCount());
   }
 
   @Test
-  void whatWaitsAtAHostThatStopsIsRefusedAtOnce() {
+  void queuedRequestsAreRejectedAtShutdown() {
     overload();
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
     world.forwarder.beginShutdown(world.context.now() + 1, world.context.now() + 8_000);
 
-    world.pass(500);
+    world.advanceTime(500);
 
-    assertEquals(Rejection.STOPPING, caller.refusal);
+    assertEquals(Rejection.STOPPING, caller.rejection);
   }
 
   @Test
-  void aCallerWhoHasPartOfAStreamDoesNotWait() {
+  void resumedStreamIsNotQueued() {
     overload();
     world.lastEventId = OptionalLong.of(7);
-    world.ask("/stream/x", caller);
+    world.submit("/stream/x", caller);
 
-    assertEquals(1, world.sent.size());
+    assertEquals(1, world.sentCalls.size());
   }
 }
