--- a/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/ForwardWorld.java
@@ -45,7 +45,7 @@
   final CoreContext context;
   final HostDirectory directory;
   final List<IntConsumer> retryLoanRequests = new ArrayList<>();
-  final List<TokenRequest> tokenRequests = new ArrayList<>();
+  final List<TokenQuery> tokenRequests = new ArrayList<>();
   final ConfigurationHolder configurationHolder;
   final TargetRegistry targets;
   final List<SentCall> sentCalls = new ArrayList<>();
@@ -121,7 +121,7 @@
       Consumer<Optional<Set<String>>> response) {}
 
   /** A request for tokens of a rate-limited target, sent to the issuing host. */
-  record TokenRequest(
+  record TokenQuery(
       Address issuer,
       TokenRequest.LimitTokens requested,
       int count,
@@ -278,7 +278,7 @@
   private void requestLoan(
       Address issuer, TokenRequest subject, int count, Consumer<Optional<TokenGrant>> response) {
     if (subject instanceof TokenRequest.LimitTokens requests) {
-      tokenRequests.add(new TokenRequest(issuer, requests, count, response));
+      tokenRequests.add(new TokenQuery(issuer, requests, count, response));
     } else {
       retryLoanRequests.add(granted -> response.accept(Optional.of(new TokenGrant(granted, 0))));
     }
--- a/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
+++ b/gatereel-core/src/test/java/org/gatereel/core/forward/LimitForwardingTest.java
@@ -12,7 +12,7 @@
 import org.gatereel.core.event.TargetFailure;
 import org.gatereel.core.forward.ForwardWorld.Caller;
 import org.gatereel.core.forward.ForwardWorld.SentCall;
-import org.gatereel.core.forward.ForwardWorld.TokenRequest;
+import org.gatereel.core.forward.ForwardWorld.TokenQuery;
 import org.gatereel.core.limit.TokenGrant;
 import org.gatereel.core.model.Address;
 import org.gatereel.core.model.DataCentre;
@@ -57,7 +57,7 @@
     exchange = world.submit(path, caller).orElseThrow();
   }
 
-  private TokenRequest tokenRequest() {
+  private TokenQuery tokenRequest() {
     return world.tokenRequests.get(world.tokenRequests.size() - 1);
   }
 
