--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -179,7 +179,7 @@
   /** Rejects requests before the first table is applied, when accounts and services are unknown. */
   private boolean hasTable(long caller, Outcome outcome) {
     if (table.revision() == 0) {
-      String detail = "neither the platform nor a peer has responded yet";
+      String detail = "neither the platform nor a peer has answered yet";
       refuse(
           caller,
           new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_DELAY_MILLIS));
--- a/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/AtMostOnceCalls.java
@@ -113,9 +113,7 @@
       int replacements) {
     if (currentValue.isEmpty()) {
       context.logEvent(
-          EventCode.CLAIM_FAILED,
-          request.call().executionId(),
-          "the platform's table did not respond");
+          EventCode.CLAIM_FAILED, request.call().executionId(), "the table did not answer");
       failUnsent(request, record, claimUnconfirmed("the claim was not confirmed"));
     } else if (currentValue.get().equals(value)) {
       context.logEvent(EventCode.CLAIM_GRANTED, request.call().executionId(), value);
@@ -187,9 +185,7 @@
       failClaimedElsewhere(request, record, bodyChanged(request));
     } else if (claim.isEmpty() || replacements >= MAX_CLAIM_REPLACEMENTS) {
       failClaimedElsewhere(
-          request,
-          record,
-          alreadyClaimed(request, "the outcome of the claim cannot be determined"));
+          request, record, alreadyClaimed(request, "the claim cannot be followed"));
     } else if (record.hasAbandoned(currentValue)) {
       claim(request, record, Optional.of(currentValue), replacements + 1);
     } else {
@@ -202,7 +198,7 @@
     context.logEvent(EventCode.CLAIM_TAKEN, request.call().executionId(), "by " + host);
     if (host.equals(context.self())) {
       failClaimedElsewhere(
-          request, record, alreadyClaimed(request, "an earlier process of this host claimed it"));
+          request, record, alreadyClaimed(request, "an earlier process of this host had it"));
       return;
     }
     if (!members.isResponding(host)) {
@@ -243,11 +239,9 @@
     switch (endedRecord.state()) {
       case ANSWERED -> request.listener().onResponse(endedRecord.status(), endedRecord.body());
       case NOT_SENT ->
-          request.listener().onFailure(claimUnconfirmed("this host did not send the call"));
+          request.listener().onFailure(claimUnconfirmed("the call was not sent from here"));
       default ->
-          request
-              .listener()
-              .onFailure(alreadyClaimed(request, "the target failed or the outcome is unknown"));
+          request.listener().onFailure(alreadyClaimed(request, "its target failed or is unknown"));
     }
   }
 
@@ -265,8 +259,7 @@
 
   /** A retry is safe, and may return the response once the host with the claim is reachable. */
   private static Problem hostUnresponsive(CallRequest request, HostId host) {
-    String detail =
-        request.call().executionId() + " is claimed by " + host + ", which does not respond";
+    String detail = request.call().executionId() + " is with " + host + ", which does not answer";
     return new Problem(
         ProblemType.ALREADY_CLAIMED, Outcome.UNKNOWN, detail, UNRESPONSIVE_HOST_RETRY_DELAY_MILLIS);
   }
@@ -327,7 +320,7 @@
       }
     } else {
       failClaimedElsewhere(
-          request, record, alreadyClaimed(request, "the call failed or its outcome is unknown"));
+          request, record, alreadyClaimed(request, "the call failed or is unknown"));
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -168,7 +168,7 @@
       boolean retry =
           allowed && attempts < MAX_ATTEMPTS && budgets.forService(call.service()).tryAcquire();
       if (retry && tryStart(false)) {
-        context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "attempt " + attempts);
+        context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "try " + attempts);
       } else {
         giveUp(failure);
       }
--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallService.java
@@ -78,8 +78,7 @@
             .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.CALL);
     if (account.isEmpty()) {
       responder.onFailure(
-          problemBeforeClaim(
-              event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key"));
+          problemBeforeClaim(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key"));
     } else if (service.isEmpty()) {
       responder.onFailure(
           problemBeforeClaim(
--- a/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/ClaimWriter.java
@@ -210,7 +210,7 @@
 
   private void markUnreachable() {
     if (!unreachable) {
-      context.logEvent(EventCode.PLATFORM_LOST, "table", "claims fail until it responds");
+      context.logEvent(EventCode.PLATFORM_LOST, "table", "claims are refused until it answers");
     }
     unreachable = true;
     nextProbeAt = context.now() + PROBE_INTERVAL_MILLIS;
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -176,10 +176,7 @@
             } catch (MalformedEditException e) {
               refuse(
                   new Problem(
-                      ProblemType.INTERNAL,
-                      Outcome.UNKNOWN,
-                      "the stored edit cannot be decoded",
-                      0));
+                      ProblemType.INTERNAL, Outcome.UNKNOWN, "the stored edit is damaged", 0));
             }
           });
     }
@@ -193,7 +190,7 @@
       if (context.now() + delayMillis <= deadline) {
         context.schedule(delayMillis, task);
       } else if (mayHaveCommitted) {
-        String detail = "retry with the same edit id: " + request.editId();
+        String detail = "send the same edit id again: " + request.editId();
         refuse(
             new Problem(
                 ProblemType.EDIT_OUTCOME_UNKNOWN,
@@ -204,13 +201,13 @@
         refuse(
             Problem.notRun(
                 ProblemType.PLATFORM_UNAVAILABLE,
-                "the platform did not accept the edit",
+                "the edit was not accepted",
                 OPERATOR_RETRY_DELAY_MILLIS));
       }
     }
 
     private void reportLostRace() {
-      context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "conflict on " + change().key());
+      context.logEvent(EventCode.EDIT_REFUSED, request.editId(), "lost race on " + change().key());
       if (waitingOperators.remove(request.caller())) {
         Optional<TableEdit> present = table.latestEdit(change().key());
         if (present.isPresent()) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/DocumentRefresher.java
@@ -101,7 +101,7 @@
         avoidReader();
       }
       if (context.now() < storeBackoffUntil) {
-        problem = "no response from the store";
+        problem = "the store did not answer";
         queryOtherHost();
       } else {
         readStore();
@@ -114,7 +114,7 @@
       context.logEvent(
           EventCode.READER_LOST,
           avoided.toString(),
-          readerResponded ? "documents are outdated" : "no response");
+          readerResponded ? "it is behind" : "no answer");
     }
 
     private void readStore() {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Poller.java
@@ -73,7 +73,7 @@
     queryCount++;
     long number = queryCount;
     context.schedule(
-        QUERY_TIMEOUT_MILLIS, () -> complete(number, queriedAt, Optional.of("no response")));
+        QUERY_TIMEOUT_MILLIS, () -> complete(number, queriedAt, Optional.of("never settled")));
     query.send(context.nowIncludingSuspensions(), problem -> complete(number, queriedAt, problem));
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/AttemptRunner.java
@@ -282,10 +282,7 @@
       TargetId id = leavingTarget.description().id();
       boolean affected = attempt.target() == leavingTarget;
       if (affected && chooseForResume(generation, Optional.empty(), Set.of(id)).isPresent()) {
-        logEvent(
-            EventCode.ATTEMPT_MOVED,
-            generation,
-            "from " + id + " at offset " + generation.length());
+        logEvent(EventCode.ATTEMPT_MOVED, generation, "off " + id + " at " + generation.length());
         cancel(generation, attempt);
         if (generation.attempts.isEmpty()) {
           generation.resumingSince = context.now();
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/CopySender.java
@@ -73,8 +73,7 @@
   private void continueWithoutCopy(Generation generation) {
     generation.copy.ready = true;
     if (copyPolicy(generation) != CopyPolicy.NONE) {
-      context.logEvent(
-          EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer is reachable");
+      context.logEvent(EventCode.COPY_ABSENT, generation.spec.request().value(), "no peer answers");
     }
     onProgress.accept(generation);
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationOwner.java
@@ -255,7 +255,7 @@
               new Problem(
                   ProblemType.NO_TARGET,
                   Outcome.RAN,
-                  "no engine could continue the generation; resume with the last event id",
+                  "no engine could go on; resume with the last event id",
                   INTERRUPTED_RETRY_DELAY_MILLIS)));
       detach(generation);
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -132,12 +132,12 @@
             .service(event.service())
             .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
     if (account.isEmpty()) {
-      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key");
+      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key");
     } else if (service.isEmpty()) {
       refuse(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
     } else if (event.maximumTokens() > service.get().intValue(Column.MAXIMUM_TOKENS)) {
       String maximum = service.get().text(Column.MAXIMUM_TOKENS);
-      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens is greater than " + maximum);
+      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + maximum + " at most");
     } else {
       admit(event, account.get(), service.get());
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/MalformedEventIdException.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/MalformedEventIdException.java
@@ -7,6 +7,6 @@
   private static final long serialVersionUID = 1L;
 
   public MalformedEventIdException(String text) {
-    super("malformed event id: \"" + text + "\"");
+    super("not an event id of this system: \"" + text + "\"");
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -163,10 +163,13 @@
       context.logEvent(
           EventCode.TAKEOVER_FAILED,
           lastEventId.request().value(),
-          "unresponsive hosts: " + unresponsive.size());
+          "not answering: " + unresponsive.size());
       long retry = unresponsive.isEmpty() ? 0 : RETRY_DELAY_MILLIS;
       String detail =
-          "after offset " + lastEventId.offset() + "; unresponsive hosts: " + unresponsive.size();
+          "after offset "
+              + lastEventId.offset()
+              + "; hosts that did not answer: "
+              + unresponsive.size();
       context.emit(
           new Action.SendProblem(
               caller, new Problem(ProblemType.GENERATION_LOST, Outcome.RAN, detail, retry)));
@@ -180,8 +183,7 @@
       context.emit(
           new Action.SendProblem(
               event.caller(),
-              Problem.notRun(
-                  ProblemType.UNKNOWN_ACCOUNT, "no client account has this bearer key")));
+              Problem.notRun(ProblemType.UNKNOWN_ACCOUNT, "no account has this key")));
       return;
     }
     AccountId accountId = new AccountId(account.get().key().name());
@@ -225,7 +227,7 @@
           new Action.SendProblem(
               caller,
               new Problem(
-                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row was deleted", 0)));
+                  ProblemType.UNKNOWN_SERVICE, Outcome.RAN, "the service's row is gone", 0)));
       return;
     }
     owner.adopt(handover, holder, service.get(), caller, lastEventId);
--- a/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/Column.java
@@ -7,45 +7,25 @@
 public enum Column {
   KEY_SHA256(RowKind.ACCOUNT, ColumnType.KEY_HASH, "", 0, 0, "hash of the bearer key"),
   ACCOUNT_WEIGHT(
-      RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "10", 1, 1000, "share of targets under contention"),
+      RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "10", 1, 1000, "share of targets when short"),
   CONCURRENT_LIMIT(
       RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "64", 1, 100_000, "open requests at one host"),
-  PRIORITY(RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "5", 0, 9, "0 is served first at engines"),
+  PRIORITY(RowKind.ACCOUNT, ColumnType.WHOLE_NUMBER, "5", 0, 9, "0 goes first at engines"),
   KIND(RowKind.SERVICE, ColumnType.SERVICE_KIND, "generation", 0, 0, "generation or call"),
   REPEATABLE(
       RowKind.SERVICE, ColumnType.TRUTH, "false", 0, 0, "whether a call may run more than once"),
   PLACEMENT(RowKind.SERVICE, ColumnType.PLACEMENT, "two-choices", 0, 0, "how a target is chosen"),
   SECOND_PLACEMENT(
-      RowKind.SERVICE,
-      ColumnType.PLACEMENT,
-      "two-choices",
-      0,
-      0,
-      "placement of the second variant"),
+      RowKind.SERVICE, ColumnType.PLACEMENT, "two-choices", 0, 0, "placement of the second arm"),
   SECOND_SHARE(
-      RowKind.SERVICE,
-      ColumnType.WHOLE_NUMBER,
-      "0",
-      0,
-      100,
-      "percentage of requests on the second variant"),
+      RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "0", 0, 100, "requests in 100 on the second arm"),
   SUSPICION(
-      RowKind.SERVICE,
-      ColumnType.SUSPICION,
-      "balanced",
-      0,
-      0,
-      "how soon a silent engine is suspected"),
+      RowKind.SERVICE, ColumnType.SUSPICION, "balanced", 0, 0, "how soon silence means death"),
   COPYING(RowKind.SERVICE, ColumnType.COPYING, "other-hall", 0, 0, "where copies are held"),
   PATIENCE_MILLIS(
       RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "5000", 50, 600_000, "longest wait for a target"),
   CALL_TIMEOUT_MILLIS(
-      RowKind.SERVICE,
-      ColumnType.WHOLE_NUMBER,
-      "5000",
-      50,
-      600_000,
-      "timeout of a call at a target"),
+      RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "5000", 50, 600_000, "longest run of a call"),
   RETRY_PERCENT(
       RowKind.SERVICE, ColumnType.WHOLE_NUMBER, "10", 0, 100, "retries for each 100 requests"),
   MAXIMUM_TOKENS(
--- a/gatereel-core/src/main/java/org/gatereel/core/table/ColumnType.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/ColumnType.java
@@ -86,6 +86,6 @@
         return Optional.empty();
       }
     }
-    return Optional.of("\"" + text + "\" is not one of " + String.join(", ", allowed));
+    return Optional.of("\"" + text + "\" is none of " + String.join(", ", allowed));
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowKind.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowKind.java
@@ -25,6 +25,6 @@
       }
     }
     throw new InvalidEditException(
-        externalName, "kind", "is not one of account, service, data-centre");
+        externalName, "kind", "is none of account, service, data-centre");
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/table/RowNames.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/table/RowNames.java
@@ -11,9 +11,7 @@
   static void check(RowKey key) throws InvalidEditException {
     if (!ALLOWED.matcher(key.name()).matches()) {
       throw new InvalidEditException(
-          key.toString(),
-          "name",
-          "must have 1 to 63 characters from a-z, 0-9 and -, and must not start with -");
+          key.toString(), "name", "must be 1 to 63 of a-z, 0-9 and -, and not start with -");
     }
   }
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetRegistry.java
@@ -147,8 +147,7 @@
     boolean changed = markLeaving(id);
     if (changed) {
       int open = targets.get(id).localOpenRequests();
-      context.logEvent(
-          EventCode.TARGET_LEAVING, id.toString(), "open requests of this host: " + open);
+      context.logEvent(EventCode.TARGET_LEAVING, id.toString(), "open here: " + open);
     }
     return changed;
   }
