--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Placement.java
@@ -155,7 +155,7 @@
       forwarder.context().schedule(millisToUsable.getAsLong(), this::chooseUnlessFinished);
     } else if (millisToAny.isPresent()) {
       long retryAfterMillis =
-          forwarder.overload().drawRetryAfterRestMillis(millisToAny.getAsLong());
+          forwarder.overload().drawRetryAfterBackoffMillis(millisToAny.getAsLong());
       reject(retryAfterMillis, "restMillis=" + millisToAny.getAsLong());
     } else {
       exchange.failRequest(exchange.rejectionWhenUnserved(Rejection.NO_TARGET));
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -52,7 +52,7 @@
   private final TargetRegistry targets;
   private final LoadExchange loads;
   private final ToDoubleFunction<TargetId> limits;
-  private final Predicate<TargetId> isResting;
+  private final Predicate<TargetId> isBackingOff;
   private final Demand demand = new Demand();
   private final AdmissionCredits credits = new AdmissionCredits();
   private final RetryDelays retryDelays;
@@ -63,19 +63,19 @@
    *
    * @param limits returns the requests per second that a target accepts; infinite if it has no
    *     limit
-   * @param isResting returns whether a target has asked this host to pause sending
+   * @param isBackingOff returns whether this host is backing off from a target
    */
   public OverloadControl(
       CoreContext context,
       TargetRegistry targets,
       LoadExchange loads,
       ToDoubleFunction<TargetId> limits,
-      Predicate<TargetId> isResting) {
+      Predicate<TargetId> isBackingOff) {
     this.context = context;
     this.targets = targets;
     this.loads = loads;
     this.limits = limits;
-    this.isResting = isResting;
+    this.isBackingOff = isBackingOff;
     this.retryDelays = new RetryDelays(context.random());
     loads.setDemandSource(this::demandToReport);
   }
@@ -120,13 +120,13 @@
   }
 
   /**
-   * Draws the {@code Retry-After} time, in milliseconds, of a request rejected because targets are
-   * resting.
+   * Draws the {@code Retry-After} time, in milliseconds, of a request rejected because its targets
+   * are backing off.
    *
-   * @param restMillis the time until the first of them accepts requests again
+   * @param backoffMillis the time until the first of them accepts requests again
    */
-  public long drawRetryAfterRestMillis(long restMillis) {
-    return restMillis + context.random().nextLong(RETRY_INTERVAL_MILLIS);
+  public long drawRetryAfterBackoffMillis(long backoffMillis) {
+    return backoffMillis + context.random().nextLong(RETRY_INTERVAL_MILLIS);
   }
 
   /** Decides again on a waiting request. */
@@ -205,7 +205,7 @@
     Capacity capacity = new Capacity(engines, estimate == null ? defaultMillis : estimate.millis());
     for (TargetState target : listed) {
       TargetId id = target.description().id();
-      if (!target.isFailing(context.now()) && !isResting.test(id)) {
+      if (!target.isFailing(context.now()) && !isBackingOff.test(id)) {
         int slots = engines ? 1 : target.description().slots();
         capacity.addTarget(slots, limits.applyAsDouble(id));
       }
