--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -169,7 +169,7 @@
   private boolean canAccept(long caller, Outcome outcome) {
     if (draining) {
       String detail = "connect again to reach another host";
-      refuse(
+      reject(
           caller, new Problem(ProblemType.DRAINING, outcome, detail, DRAINING_RETRY_DELAY_MILLIS));
       return false;
     }
@@ -180,14 +180,14 @@
   private boolean hasTable(long caller, Outcome outcome) {
     if (table.revision() == 0) {
       String detail = "neither the platform nor a peer has answered yet";
-      refuse(
+      reject(
           caller,
           new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_DELAY_MILLIS));
     }
     return table.revision() > 0;
   }
 
-  private void refuse(long caller, Problem problem) {
+  private void reject(long caller, Problem problem) {
     context.emit(new Action.SendProblem(caller, problem));
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/edit/EditService.java
@@ -82,7 +82,7 @@
             new TableEdit(row, request.editId(), request.operator(), request.wallClockMillis());
         platform.transact(writes(edit), result -> handleTransactionResult(edit, result));
       } catch (InvalidEditException e) {
-        refuse(Problem.notRun(ProblemType.INVALID_EDIT, e.getMessage()));
+        reject(Problem.notRun(ProblemType.INVALID_EDIT, e.getMessage()));
       }
     }
 
@@ -174,7 +174,7 @@
               TableEdit edit = TableEditCodec.decode(encodedEdit);
               revisions.refresh(() -> handleAccepted(edit));
             } catch (MalformedEditException e) {
-              refuse(
+              reject(
                   new Problem(
                       ProblemType.INTERNAL, Outcome.UNKNOWN, "the stored edit is damaged", 0));
             }
@@ -191,14 +191,14 @@
         context.schedule(delayMillis, task);
       } else if (mayHaveCommitted) {
         String detail = "send the same edit id again: " + request.editId();
-        refuse(
+        reject(
             new Problem(
                 ProblemType.EDIT_OUTCOME_UNKNOWN,
                 Outcome.UNKNOWN,
                 detail,
                 OPERATOR_RETRY_DELAY_MILLIS));
       } else {
-        refuse(
+        reject(
             Problem.notRun(
                 ProblemType.PLATFORM_UNAVAILABLE,
                 "the edit was not accepted",
@@ -221,7 +221,7 @@
       }
     }
 
-    private void refuse(Problem problem) {
+    private void reject(Problem problem) {
       context.logEvent(
           EventCode.EDIT_REFUSED, request.editId(), problem.type() + ": " + problem.detail());
       if (waitingOperators.remove(request.caller())) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/AdmissionWait.java
@@ -43,8 +43,8 @@
       return;
     }
     end();
-    if (verdict instanceof OverloadDecision.Reject refuse) {
-      exchange.reject(Rejection.OVERLOADED, refuse.retryAfterMillis(), refuse.inputs());
+    if (verdict instanceof OverloadDecision.Reject rejection) {
+      exchange.reject(Rejection.OVERLOADED, rejection.retryAfterMillis(), rejection.inputs());
     } else {
       exchange.onAdmitted();
     }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/GenerationService.java
@@ -132,18 +132,18 @@
             .service(event.service())
             .filter(row -> row.enumValue(Column.KIND, ServiceKind.class) == ServiceKind.GENERATION);
     if (account.isEmpty()) {
-      refuse(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key");
+      reject(event, ProblemType.UNKNOWN_ACCOUNT, "no account has this key");
     } else if (service.isEmpty()) {
-      refuse(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
+      reject(event, ProblemType.UNKNOWN_SERVICE, "no generation service " + event.service());
     } else if (event.maximumTokens() > service.get().intValue(Column.MAXIMUM_TOKENS)) {
       String maximum = service.get().text(Column.MAXIMUM_TOKENS);
-      refuse(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + maximum + " at most");
+      reject(event, ProblemType.MALFORMED_BODY, "maximumTokens may be " + maximum + " at most");
     } else {
       admit(event, account.get(), service.get());
     }
   }
 
-  private void refuse(Event.GenerationRequested event, ProblemType type, String detail) {
+  private void reject(Event.GenerationRequested event, ProblemType type, String detail) {
     context.emit(new Action.SendProblem(event.caller(), Problem.notRun(type, detail)));
     context.logEvent(EventCode.REQUEST_REFUSED, event.service().value(), type.name());
   }
--- a/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/generation/TakeoverService.java
@@ -233,7 +233,7 @@
     owner.adopt(handover, holder, service.get(), caller, lastEventId);
   }
 
-  /** Hands a generation over to a peer, or refuses. */
+  /** Hands a generation over to a peer, or rejects the request. */
   public void handleTakeOver(HostId from, PeerMessage.TakeOver takeOver) {
     Optional<TakeoverRefusal> copyRefusal =
         copies.takeoverRefusal(
@@ -272,7 +272,7 @@
     adopt(handover, Optional.of(from), search.caller, search.lastEventId);
   }
 
-  /** Continues a search after a peer refused to hand over the generation. */
+  /** Continues a search after a peer rejected the request to hand over the generation. */
   public void handleRefused(HostId from, PeerMessage.TakeOverRefused refusal) {
     Search search = searches.get(refusal.ticket());
     if (search != null) {
--- a/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/limit/LimitTokenIssuer.java
@@ -34,7 +34,7 @@
   /** Bounds the time until a host learns of a changed limit. */
   private static final long MAX_RETRY_DELAY_MILLIS = 2_000;
 
-  /** Spreads the next requests of hosts that were refused at the same time. */
+  /** Spreads the next requests of hosts that were rejected at the same time. */
   private static final double JITTER_RATIO = 0.5;
 
   private static final long BUCKET_IDLE_TIMEOUT_MILLIS = 60_000;
--- a/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/overload/OverloadControl.java
@@ -238,7 +238,8 @@
 
   private boolean wasFull(ServiceName service) {
     long since = context.now() - FULL_MILLIS;
-    return targets.notLeaving(service).stream().anyMatch(target -> target.lastRefusalAt() > since);
+    return targets.notLeaving(service).stream()
+        .anyMatch(target -> target.lastRejectionAt() > since);
   }
 
   /** Returns how many prompts of all hosts the engines have not finished reading. */
--- a/gatereel-core/src/main/java/org/gatereel/core/peer/PeerMessage.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/peer/PeerMessage.java
@@ -45,7 +45,7 @@
       long ticket, GenerationSpec spec, int epoch, List<String> tokens, boolean finished)
       implements PeerMessage {}
 
-  /** Refuses to hand a generation over. */
+  /** Rejects a request to hand a generation over. */
   record TakeOverRefused(long ticket, TakeoverRefusal reason) implements PeerMessage {}
 
   /** Requests the peer to write a claim. */
--- a/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/target/TargetState.java
@@ -34,7 +34,7 @@
   private boolean failing;
   private long lastDataAt = Long.MIN_VALUE;
   private long lastFailureAt = Long.MIN_VALUE;
-  private long lastRefusalAt = Long.MIN_VALUE;
+  private long lastRejectionAt = Long.MIN_VALUE;
 
   TargetState(TargetDescription description, long seenAt) {
     this.description = description;
@@ -165,7 +165,7 @@
       recordLoad(description.slots() + localOpenRequests, now);
     }
     if (failure == TargetFailure.FULL || failure == TargetFailure.RESTING) {
-      lastRefusalAt = now;
+      lastRejectionAt = now;
     }
     if (!failure.isFault()) {
       return false;
@@ -196,8 +196,8 @@
    * Returns when the target last rejected a request because it has no room or requests a backoff,
    * in milliseconds.
    */
-  public long lastRefusalAt() {
-    return lastRefusalAt;
+  public long lastRejectionAt() {
+    return lastRejectionAt;
   }
 
   /** Returns when the target last failed, in milliseconds. */
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
@@ -53,8 +53,8 @@
       }
     } else if (action instanceof Action.EndStream end) {
       finish(end.caller(), exchange -> exchange.sendEnd(end.id()));
-    } else if (action instanceof Action.SendProblem refuse) {
-      finish(refuse.caller(), exchange -> exchange.sendProblem(refuse.problem()));
+    } else if (action instanceof Action.SendProblem sent) {
+      finish(sent.caller(), exchange -> exchange.sendProblem(sent.problem()));
     } else if (action instanceof Action.Disconnect disconnect) {
       finish(disconnect.caller(), exchange -> exchange.disconnect(ProblemType.SUPERSEDED));
     } else if (action instanceof Action.SendResponse answer) {
