--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -207,24 +207,24 @@
       owner.handleAttemptFinished(finished);
     } else if (event instanceof Event.AttemptFailed failed) {
       owner.handleAttemptFailed(failed);
-    } else if (event instanceof Event.CallResponseReceived answered) {
-      calls.handleResponse(answered);
+    } else if (event instanceof Event.CallResponseReceived response) {
+      calls.handleResponse(response);
     } else if (event instanceof Event.CallFailed failed) {
       calls.handleFailure(failed);
-    } else if (event instanceof Event.HealthCheckAnswered answered) {
-      handleHealthCheck(answered);
+    } else if (event instanceof Event.HealthCheckResponseReceived response) {
+      handleHealthCheck(response);
     } else {
       return false;
     }
     return true;
   }
 
-  private void handleHealthCheck(Event.HealthCheckAnswered answered) {
+  private void handleHealthCheck(Event.HealthCheckResponseReceived response) {
     targets
-        .find(answered.target())
-        .ifPresent(target -> targets.recordResponse(target, answered.load()));
-    if (answered.leaving()) {
-      targets.recordLeaving(answered.target());
+        .find(response.target())
+        .ifPresent(target -> targets.recordResponse(target, response.load()));
+    if (response.leaving()) {
+      targets.recordLeaving(response.target());
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/event/Event.java
@@ -84,5 +84,5 @@
   record DrainRequested() implements Event {}
 
   /** A target responded to a health check. */
-  record HealthCheckAnswered(TargetId target, int load, boolean leaving) implements Event {}
+  record HealthCheckResponseReceived(TargetId target, int load, boolean leaving) implements Event {}
 }
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/ConfigurationHolder.java
@@ -9,8 +9,9 @@
  * Holds the newest configuration that this host has received, and the time at which it was last
  * confirmed to be current.
  *
- * <p>The confirmation time is the time on the steady clock at which the answered query was sent, so
- * every change acknowledged before then is known. The version never decreases within a process.
+ * <p>The confirmation time is the time on the steady clock at which the latest successful query was
+ * sent, so every change acknowledged before then is known. The version never decreases within a
+ * process.
  */
 public final class ConfigurationHolder {
   /** Covers rounding, and the time between the check and sending the request to a target. */
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/Forwarder.java
@@ -220,8 +220,8 @@
   public void issue(TokenRequest subject, int count, Consumer<Optional<TokenGrant>> callback) {
     if (subject instanceof TokenRequest.LimitTokens requests) {
       limits.issue(requests, count, callback);
-    } else if (subject instanceof TokenRequest.RetryTokens repeats) {
-      callback.accept(Optional.of(new TokenGrant(issueRetries(repeats.service(), count), 0)));
+    } else if (subject instanceof TokenRequest.RetryTokens retryTokens) {
+      callback.accept(Optional.of(new TokenGrant(issueRetries(retryTokens.service(), count), 0)));
     }
   }
 
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/SharedDocument.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/SharedDocument.java
@@ -7,8 +7,8 @@
  * @param digest equal for equal contents
  * @param version the version of the whole store when the document was read; never decreases between
  *     readings
- * @param confirmedAt when the query was sent that the store answered with this document, in
- *     milliseconds of this host's steady clock
+ * @param confirmedAt when the query was sent whose response held this document, in milliseconds of
+ *     this host's steady clock
  */
 public record SharedDocument(
     DocumentKind kind, String content, String digest, long version, long confirmedAt) {
--- a/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/forward/TargetListUpdater.java
@@ -36,8 +36,8 @@
   /**
    * Applies a list.
    *
-   * @param queriedAt when the query was sent that the store answered with the list; a list older
-   *     than the last one is ignored
+   * @param queriedAt when the query was sent whose response held the list; a list older than the
+   *     last one is ignored
    */
   public void update(HostList list, long queriedAt) {
     if (queriedAt < lastQueryAt) {
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/callers/CallerExchanges.java
@@ -57,11 +57,11 @@
       finish(sent.caller(), exchange -> exchange.sendProblem(sent.problem()));
     } else if (action instanceof Action.Disconnect disconnect) {
       finish(disconnect.caller(), exchange -> exchange.disconnect(ProblemType.SUPERSEDED));
-    } else if (action instanceof Action.SendResponse answer) {
-      byte[] body = answer.body().getBytes(StandardCharsets.UTF_8);
+    } else if (action instanceof Action.SendResponse response) {
+      byte[] body = response.body().getBytes(StandardCharsets.UTF_8);
       finish(
-          answer.caller(),
-          exchange -> exchange.respond(answer.status(), MediaType.octetStream, body));
+          response.caller(),
+          exchange -> exchange.respond(response.status(), MediaType.octetStream, body));
     } else if (action instanceof Action.ConfirmEdit confirm) {
       byte[] body = ProblemDocument.json(confirm.edit());
       finish(confirm.caller(), exchange -> exchange.respond(OK, MediaType.json, body));
--- a/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
@@ -37,7 +37,7 @@
     server.start(application);
   }
 
-  /** Answers with JSON. */
+  /** Responds with JSON. */
   public static Context json(Context context, int status, Object value) {
     try {
       context.setResponseCode(status);
--- a/gatereel-standins/src/main/java/org/gatereel/standins/engine/EngineStandIn.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/engine/EngineStandIn.java
@@ -37,7 +37,7 @@
 
   private record End(int length) {}
 
-  private record Refusal(String reason) {}
+  private record Rejection(String reason) {}
 
   private record Cancel(String request, int attempt) {}
 
@@ -102,10 +102,10 @@
   private Object generate(Context context) throws Exception {
     Generate request = StandInServer.body(context, Generate.class);
     if (control.isLeaving()) {
-      return StandInServer.json(context, UNAVAILABLE, new Refusal("LEAVING"));
+      return StandInServer.json(context, UNAVAILABLE, new Rejection("LEAVING"));
     }
     if (batch.isFull()) {
-      return StandInServer.json(context, UNAVAILABLE, new Refusal("FULL"));
+      return StandInServer.json(context, UNAVAILABLE, new Rejection("FULL"));
     }
     return context.detach(
         detached -> {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/load/AskCommand.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/load/AskCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import okhttp3.OkHttpClient;
 
-/** Asks for one generation, prints its tokens and says whether the answer was whole. */
+/** Requests one generation, prints its tokens and reports whether the response was complete. */
 @Parameters(commandDescription = "ask for one generation and check it")
 public final class AskCommand {
   @Parameter(
@@ -54,7 +54,7 @@
               + " reconnects="
               + ending.reconnects());
       return ending.whole() ? 0 : 1;
-    } catch (BrokenAnswerException e) {
+    } catch (InvalidResponseException e) {
       System.out.println("broken " + e.getMessage());
       return 1;
     } finally {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/load/GenerationCaller.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/load/GenerationCaller.java
@@ -46,7 +46,7 @@
 
   /** Asks for one generation and reads it to its end, starting at one of the hosts. */
   public Ending ask(String service, String prompt, int tokens, int firstHost, Watcher watcher)
-      throws IOException, BrokenAnswerException {
+      throws IOException, InvalidResponseException {
     StreamCheck check = new StreamCheck(prompt);
     String lastId = "";
     int reconnects = 0;
--- a/gatereel-standins/src/main/java/org/gatereel/standins/load/StreamCheck.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/load/StreamCheck.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.generation.PrefixDigest;
 import org.gatereel.standins.ChainedTokens;
 
-/** Checks as tokens come in that an answer is whole: the chain shows every kind of damage. */
+/** Checks that each received token continues the chain of its generation. */
 public final class StreamCheck {
   private final Set<String> engines = new HashSet<>();
   private long chain;
@@ -15,10 +15,10 @@
     chain = ChainedTokens.start(prompt);
   }
 
-  /** Takes in the next token. */
-  public void token(String token) throws BrokenAnswerException {
+  /** Checks the next token. */
+  public void token(String token) throws InvalidResponseException {
     if (!ChainedTokens.continues(token, chain)) {
-      throw new BrokenAnswerException("token " + length + " does not continue: " + token);
+      throw new InvalidResponseException("token " + length + " does not continue: " + token);
     }
     chain = PrefixDigest.extend(chain, token);
     engines.add(ChainedTokens.engine(token));
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/Bench.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/Bench.java
@@ -147,8 +147,8 @@
     }
     Change change = new Change(UUID.randomUUID().toString(), basedOn, cells);
     byte[] body = StandInServer.MAPPER.writeValueAsBytes(change);
-    String answer = send(admin(host, "table/" + row).put(RequestBody.create(body, JSON)));
-    return StandInServer.MAPPER.readValue(answer, Edit.class).row().revision();
+    String response = send(admin(host, "table/" + row).put(RequestBody.create(body, JSON)));
+    return StandInServer.MAPPER.readValue(response, Edit.class).row().revision();
   }
 
   /** Returns the revision that is in force on a host. */
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/Faults.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/Faults.java
@@ -4,7 +4,7 @@
 
 /** The faults of the platform that are switched on by request. */
 public final class Faults {
-  private final AtomicInteger answersToLose = new AtomicInteger();
+  private final AtomicInteger responsesToLose = new AtomicInteger();
   private volatile boolean down;
   private volatile long slowMillis;
 
@@ -12,15 +12,15 @@
    * Asks for faults; what is not named is off afterwards.
    *
    * @param down whether every request is refused
-   * @param slowMillis how long each answer is held back
-   * @param loseAnswers how many transactions take effect but get no answer
+   * @param slowMillis how long each response is delayed
+   * @param loseAnswers how many transactions take effect but receive no response
    */
   public record Order(boolean down, long slowMillis, int loseAnswers) {}
 
   void set(Order order) {
     down = order.down();
     slowMillis = order.slowMillis();
-    answersToLose.set(order.loseAnswers());
+    responsesToLose.set(order.loseAnswers());
   }
 
   boolean isDown() {
@@ -31,8 +31,8 @@
     return slowMillis;
   }
 
-  /** Returns whether the answer of this transaction is to be lost. */
-  boolean takeLostAnswer() {
-    return answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
+  /** Returns whether to omit the response to this transaction. */
+  boolean takeLostResponse() {
+    return responsesToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
   }
 }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/PlatformStandIn.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/PlatformStandIn.java
@@ -41,7 +41,7 @@
   public record Limits(
       double writesPerSecond, double readsPerSecond, double weightsPerSecond, long listLagMillis) {}
 
-  private record Refusal(String reason) {}
+  private record Rejection(String reason) {}
 
   private record Done(boolean done) {}
 
@@ -114,10 +114,10 @@
   private Route.Handler limited(RateLimit limit, Route.Handler handler) {
     return context -> {
       if (faults.isDown()) {
-        return StandInServer.json(context, DOWN, new Refusal("OUTAGE"));
+        return StandInServer.json(context, DOWN, new Rejection("OUTAGE"));
       }
       if (!limit.take()) {
-        return StandInServer.json(context, TOO_MANY, new Refusal("THROTTLED"));
+        return StandInServer.json(context, TOO_MANY, new Rejection("THROTTLED"));
       }
       long slowMillis = faults.slowMillis();
       if (slowMillis == 0) {
@@ -144,7 +144,7 @@
   private Object transact(Context context) throws Exception {
     var transaction = StandInServer.body(context, MemoryTable.Transaction.class);
     Optional<MemoryTable.Conflict> conflict = table.transact(transaction);
-    if (faults.takeLostAnswer()) {
+    if (faults.takeLostResponse()) {
       // The write took effect; the caller waits in vain.
       return context.detach(detached -> detached);
     }
@@ -162,7 +162,7 @@
   private Object getObject(Context context) {
     byte[] object = objects.get(context.path("name").value());
     if (object == null) {
-      return StandInServer.json(context, NOT_FOUND, new Refusal("MISSING"));
+      return StandInServer.json(context, NOT_FOUND, new Rejection("MISSING"));
     }
     return context.send(object);
   }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/service/ServiceStandIn.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/service/ServiceStandIn.java
@@ -30,9 +30,9 @@
   /** One execution, in the order in which they took place. */
   public record Execution(String id, String body, long nanos) {}
 
-  private record Answer(String service, String id, long number) {}
+  private record Response(String service, String id, long number) {}
 
-  private record Refusal(String reason) {}
+  private record Rejection(String reason) {}
 
   public ServiceStandIn(int port, String name, long workMillis) {
     this.name = name;
@@ -53,7 +53,7 @@
 
   private Object call(Context context) throws Exception {
     if (control.isLeaving()) {
-      return StandInServer.json(context, UNAVAILABLE, new Refusal("LEAVING"));
+      return StandInServer.json(context, UNAVAILABLE, new Rejection("LEAVING"));
     }
     String id = context.header("Idempotency-Key").value("");
     String body = context.body().value("");
@@ -82,7 +82,7 @@
   private void run(Context context, String id, String body) {
     long number = record(id, body);
     context.setResponseHeader("Load", Integer.toString(open.getAndDecrement()));
-    StandInServer.json(context, OK, new Answer(name, id, number));
+    StandInServer.json(context, OK, new Response(name, id, number));
   }
 
   private synchronized long record(String id, String body) {
