--- a/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/call/CallRunner.java
@@ -170,12 +170,12 @@
       if (retry && tryStart(false)) {
         context.logEvent(EventCode.CALL_RETRIED, call.executionId(), "try " + attempts);
       } else {
-        giveUp(failure);
+        fail(failure);
       }
       onTargetFreed.run();
     }
 
-    private void giveUp(TargetFailure failure) {
+    private void fail(TargetFailure failure) {
       permit.close();
       Outcome outcome = mayHaveExecuted ? Outcome.UNKNOWN : Outcome.NOT_RUN;
       ProblemType type = mayHaveExecuted ? ProblemType.TARGET_FAILED : ProblemType.NO_TARGET;
--- a/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
+++ b/gatereel-daemon/src/main/java/org/gatereel/daemon/control/Inbox.java
@@ -58,17 +58,17 @@
   }
 
   @Override
-  public void said(HostId from, PeerMessage message) {
+  public void onMessage(HostId from, PeerMessage message) {
     post(new Event.PeerMessageReceived(from, message));
   }
 
   @Override
-  public void unreachable(HostId peer, boolean processGone) {
+  public void onUnreachable(HostId peer, boolean processGone) {
     post(new Event.PeerUnreachable(peer, processGone));
   }
 
   @Override
-  public void malformed(String from, MalformedMessageException failure) {
+  public void onMalformedMessage(String from, MalformedMessageException failure) {
     events.logFailure("a message of peer " + from + " cannot be read", failure);
   }
 }
--- a/gatereel-wire/src/main/java/org/gatereel/wire/EditCodec.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/EditCodec.java
@@ -10,7 +10,7 @@
 import org.gatereel.wire.generated.Cell;
 import org.gatereel.wire.generated.Edit;
 
-/** Turns edits of the table into protobuf and back. */
+/** Encodes edits of the table as protobuf and decodes them. */
 final class EditCodec {
   private EditCodec() {}
 
--- a/gatereel-wire/src/main/java/org/gatereel/wire/MalformedMessageException.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/MalformedMessageException.java
@@ -2,7 +2,7 @@
 
 import org.gatereel.core.GatereelException;
 
-/** A message of a peer that this version cannot read. */
+/** Thrown when a message of a peer cannot be decoded. */
 public final class MalformedMessageException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
--- a/gatereel-wire/src/main/java/org/gatereel/wire/MessageDecoder.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/MessageDecoder.java
@@ -21,15 +21,14 @@
 import org.gatereel.wire.generated.TakeOver;
 import org.gatereel.wire.generated.TakeOverGranted;
 
-/** Turns protobuf from peers into messages. */
+/** Decodes messages of peers from protobuf. */
 public final class MessageDecoder {
   private MessageDecoder() {}
 
   /**
    * Returns the message in an envelope.
    *
-   * @throws MalformedMessageException if this version has no such message, or a field names
-   *     something it does not know
+   * @throws MalformedMessageException if this version does not know the message or a value in it
    */
   public static PeerMessage decode(Envelope envelope) throws MalformedMessageException {
     try {
--- a/gatereel-wire/src/main/java/org/gatereel/wire/MessageEncoder.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/MessageEncoder.java
@@ -26,7 +26,7 @@
 import org.gatereel.wire.generated.TakeOverRefused;
 import org.gatereel.wire.generated.TargetLeaving;
 
-/** Turns messages to peers into protobuf. */
+/** Encodes messages to peers as protobuf. */
 public final class MessageEncoder {
   private MessageEncoder() {}
 
--- a/gatereel-wire/src/main/java/org/gatereel/wire/PeerLinks.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/PeerLinks.java
@@ -29,17 +29,17 @@
 import org.gatereel.wire.generated.Envelope;
 
 /**
- * Connections to other entry hosts: one each way between two hosts that talk, opened when the first
- * message is sent.
+ * Connections to other entry hosts. Each host opens its own connection to a peer when it sends the
+ * first message.
  *
  * <p>Messages to one peer arrive in the order in which they were sent, or the peer is reported as
- * unreachable. Nothing is sent again from here: whoever needs an answer asks again.
+ * unreachable. Messages are not retried.
  */
 public final class PeerLinks implements AutoCloseable {
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final int MOST_WAITING_BYTES = 8 * 1024 * 1024;
-  private static final int QUIET_MILLIS = 0;
-  private static final int STOP_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int MAX_PENDING_BYTES = 8 * 1024 * 1024;
+  private static final int SHUTDOWN_QUIET_PERIOD_MILLIS = 0;
+  private static final int SHUTDOWN_TIMEOUT_MILLIS = 500;
 
   private final HostId self;
   private final PeerListener listener;
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Starts to take connections of peers.
+   * Starts to accept connections of peers.
    *
    * @throws PeerPortException if the address cannot be bound
    */
@@ -87,7 +87,7 @@
     server = bound.channel();
   }
 
-  /** Sends a message; if that fails, the listener learns that the peer is unreachable. */
+  /** Sends a message; a failure is reported to the listener as an unreachable peer. */
   public void send(HostId peer, Address address, PeerMessage message) {
     Envelope envelope = MessageEncoder.encode(message);
     bytesSent.add(envelope.getSerializedSize());
@@ -119,7 +119,7 @@
         new Bootstrap()
             .group(group)
             .channel(NioSocketChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(
                 new ChannelInitializer<SocketChannel>() {
@@ -139,9 +139,9 @@
             opening
                 .channel()
                 .closeFuture()
-                .addListener(closed -> listener.unreachable(peer, false));
+                .addListener(closed -> listener.onUnreachable(peer, false));
           } else {
-            listener.unreachable(peer, isRefused(done.cause()));
+            listener.onUnreachable(peer, isRefused(done.cause()));
           }
         });
     return opening;
@@ -156,8 +156,8 @@
     if (!link.opening().isSuccess()) {
       return;
     }
-    if (waitingBytes(channel) > MOST_WAITING_BYTES) {
-      // A peer that takes nothing for so long is as good as gone; a new connection starts afresh.
+    if (pendingBytes(channel) > MAX_PENDING_BYTES) {
+      // Limits the memory used for a peer that does not read; the next message reconnects.
       closeQuietly(channel);
       return;
     }
@@ -166,19 +166,19 @@
         .addListener(
             done -> {
               if (!done.isSuccess()) {
-                listener.unreachable(peer, false);
+                listener.onUnreachable(peer, false);
               }
             });
   }
 
-  /** Closes a channel without waiting; whoever listens learns of it by the channel's own future. */
+  /** Closes a channel without waiting for the result. */
   private static void closeQuietly(Channel channel) {
     var unused = channel.close();
   }
 
-  private static long waitingBytes(Channel channel) {
+  private static long pendingBytes(Channel channel) {
     ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
-    // A closed channel has no buffer any more.
+    // A closed channel has no buffer.
     return buffer == null ? 0 : buffer.totalPendingWriteBytes();
   }
 
@@ -190,7 +190,7 @@
     }
   }
 
-  /** Returns the bytes of the messages sent so far, framing left out. */
+  /** Returns the number of bytes of the messages sent so far, without framing. */
   public long bytesSent() {
     return bytesSent.sum();
   }
@@ -206,7 +206,8 @@
     }
     links.values().forEach(link -> closeQuietly(link.opening().channel()));
     group
-        .shutdownGracefully(QUIET_MILLIS, STOP_MILLIS, TimeUnit.MILLISECONDS)
-        .awaitUninterruptibly(STOP_MILLIS);
+        .shutdownGracefully(
+            SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        .awaitUninterruptibly(SHUTDOWN_TIMEOUT_MILLIS);
   }
 }
--- a/gatereel-wire/src/main/java/org/gatereel/wire/PeerListener.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/PeerListener.java
@@ -3,17 +3,17 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.core.peer.PeerMessage;
 
-/** Who is told of what peers send; called on Netty's threads. */
+/** Receives the messages and failures of connections to peers. Called on Netty's threads. */
 public interface PeerListener {
-  void said(HostId from, PeerMessage message);
+  void onMessage(HostId from, PeerMessage message);
 
   /**
-   * A message could not be delivered, or a connection broke.
+   * Called when a message could not be delivered or a connection was closed.
    *
    * @param processGone whether the peer's host refused the connection
    */
-  void unreachable(HostId peer, boolean processGone);
+  void onUnreachable(HostId peer, boolean processGone);
 
-  /** A peer sent something that cannot be read; its connection is closed. */
-  void malformed(String from, MalformedMessageException failure);
+  /** Called when a peer sent a message that cannot be decoded; its connection is closed. */
+  void onMalformedMessage(String from, MalformedMessageException failure);
 }
--- a/gatereel-wire/src/main/java/org/gatereel/wire/PeerPortException.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/PeerPortException.java
@@ -3,7 +3,7 @@
 import org.gatereel.core.GatereelException;
 import org.gatereel.core.model.Address;
 
-/** The address for peers cannot be bound. */
+/** Thrown when the address for connections of peers cannot be bound. */
 public final class PeerPortException extends GatereelException {
   private static final long serialVersionUID = 1L;
 
--- a/gatereel-wire/src/main/java/org/gatereel/wire/PeerReader.java
+++ b/gatereel-wire/src/main/java/org/gatereel/wire/PeerReader.java
@@ -5,7 +5,7 @@
 import org.gatereel.core.model.HostId;
 import org.gatereel.wire.generated.Envelope;
 
-/** Reads one peer's connection: first who it is, then what it says. */
+/** Decodes the messages of one connection: a hello with the id of the peer, then its messages. */
 final class PeerReader extends SimpleChannelInboundHandler<Envelope> {
   private final PeerListener listener;
   private HostId peer;
@@ -18,13 +18,13 @@
   protected void channelRead0(ChannelHandlerContext context, Envelope envelope)
       throws MalformedMessageException {
     if (peer == null) {
-      greet(envelope);
+      readHello(envelope);
     } else {
-      listener.said(peer, MessageDecoder.decode(envelope));
+      listener.onMessage(peer, MessageDecoder.decode(envelope));
     }
   }
 
-  private void greet(Envelope envelope) throws MalformedMessageException {
+  private void readHello(Envelope envelope) throws MalformedMessageException {
     if (envelope.getMessageCase() != Envelope.MessageCase.HELLO) {
       throw new MalformedMessageException("a connection starts with its sender's name");
     }
@@ -34,7 +34,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (cause instanceof MalformedMessageException malformed) {
-      listener.malformed(String.valueOf(peer), malformed);
+      listener.onMalformedMessage(String.valueOf(peer), malformed);
     }
     var unused = context.close();
   }
