--- a/gatereel-standins/src/main/java/org/gatereel/standins/ChainedTokens.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/ChainedTokens.java
@@ -4,7 +4,7 @@
 import org.gatereel.core.generation.PrefixDigest;
 
 /**
- * Tokens that prove what they continue.
+ * Tokens that identify the prefix that they continue.
  *
  * <p>Each token names the engine and carries a digest of the prompt and of all tokens before it. A
  * token that was left out, repeated or taken from another generation breaks the chain.
--- a/gatereel-standins/src/main/java/org/gatereel/standins/Control.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/Control.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 
-/** The paths by which a stand-in is told from outside to die, freeze, slow down or leave. */
+/** HTTP paths that make a stand-in exit, freeze, slow down or drain. */
 public final class Control {
   private static final int OK = 200;
   private static final int BAD = 400;
@@ -27,7 +27,7 @@
     this.reset = reset;
   }
 
-  /** Returns whether the stand-in takes no new requests. */
+  /** Returns whether the stand-in is draining and rejects new requests. */
   public boolean isLeaving() {
     return leaving;
   }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/StandInMain.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/StandInMain.java
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Prints ports that were free a moment ago; all are held open until the last one is known. */
+  /** Prints free ports; all stay bound until the last one is known, so that they differ. */
   private static void printFreePorts(int count) throws IOException {
     List<ServerSocket> sockets = new ArrayList<>();
     for (int number = 0; number < count; number++) {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
@@ -14,7 +14,7 @@
 
 /** The HTTP server of a stand-in. */
 public final class StandInServer implements AutoCloseable {
-  /** JSON as the stand-ins read and write it. */
+  /** The JSON mapper of all stand-ins. */
   public static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
--- a/gatereel-standins/src/main/java/org/gatereel/standins/engine/CacheEvents.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/engine/CacheEvents.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The engine's feed of cache events: late, and with gaps. */
+/** The engine's feed of cache events, which are delayed and may be lost. */
 final class CacheEvents {
   private static final long LATE_NANOS = 500_000_000L;
   private static final double LOST = 0.05;
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Returns the events after a sequence number that are old enough to show. */
+  /** Returns the events after a sequence number that are old enough to be visible. */
   synchronized List<CacheEvent> after(long after) {
     long shownUntil = System.nanoTime() - LATE_NANOS;
     return feed.stream()
--- a/gatereel-standins/src/main/java/org/gatereel/standins/engine/EngineBatch.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/engine/EngineBatch.java
@@ -12,10 +12,10 @@
 import org.gatereel.standins.ChainedTokens;
 
 /**
- * A continuously batching engine: every step gives each stream in the batch one token.
+ * A continuously batching engine: every step generates one token for each stream in the batch.
  *
- * <p>One thread runs the steps; requests wait by priority until a place in the batch is free. A
- * stream first pays for the tokens of its prompt that the prefix cache lacks.
+ * <p>One thread runs the steps; requests wait by priority until a slot in the batch is free. A
+ * stream first computes the tokens of its prompt that the prefix cache lacks.
  */
 final class EngineBatch implements AutoCloseable {
   private static final long LOAD_SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -45,7 +45,7 @@
   /** How an engine works. */
   record Settings(String name, int slots, long stepMicros, long prefillMicrosPerToken) {}
 
-  /** What an engine has done, to measure extra resource use by. */
+  /** Counts of the work that an engine has done. */
   record Counters(
       long promptTokensComputed,
       long tokensGenerated,
@@ -54,14 +54,14 @@
       int inBatch,
       int waiting) {}
 
-  /** Where the tokens of a stream go. */
+  /** Receives the tokens of a stream. */
   interface Output {
-    /** Returns whether the reader is still there. */
+    /** Returns whether the reader is still connected. */
     boolean token(int offset, String token, int load);
 
     void end(int length);
 
-    /** Closes the connection without an end. */
+    /** Closes the connection without sending an end event. */
     void broken();
   }
 
@@ -155,7 +155,7 @@
     slowFactor = factor;
   }
 
-  /** Breaks the connection of every stream, as if the process had died and come back. */
+  /** Breaks the connection of every stream, as if the process had been restarted. */
   synchronized void reset() {
     batch.forEach(stream -> stream.output.broken());
     batch.clear();
--- a/gatereel-standins/src/main/java/org/gatereel/standins/engine/Orders.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/engine/Orders.java
@@ -1,6 +1,6 @@
 package org.gatereel.standins.engine;
 
-/** Takes fenced orders: one with a lower fence than the highest seen changes nothing. */
+/** Accepts fenced orders; an order whose fence is below the highest one seen is ignored. */
 final class Orders {
   private long highest;
   private Order latest = new Order("", 0, "", "");
@@ -8,7 +8,7 @@
   /** One order, for example to load a model. */
   record Order(String holder, long fence, String order, String value) {}
 
-  /** Returns whether the order was taken. */
+  /** Returns whether the order was accepted. */
   synchronized boolean take(Order order) {
     if (order.fence() < highest) {
       return false;
--- a/gatereel-standins/src/main/java/org/gatereel/standins/engine/PrefixCache.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/engine/PrefixCache.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import org.gatereel.core.generation.PrefixDigest;
 
-/** The engine's cache of prompt prefixes, in blocks; the block used longest ago goes first. */
+/** The engine's cache of prompt prefixes, in blocks; evicts the least recently used block. */
 final class PrefixCache {
   private static final int BLOCK_TOKENS = 16;
 
-  private final int mostBlocks;
+  private final int maxBlocks;
   private final CacheEvents events;
   private final Map<Long, Boolean> blocks = new LinkedHashMap<>(16, 0.75f, true);
 
-  PrefixCache(int mostBlocks, CacheEvents events) {
-    this.mostBlocks = mostBlocks;
+  PrefixCache(int maxBlocks, CacheEvents events) {
+    this.maxBlocks = maxBlocks;
     this.events = events;
   }
 
@@ -49,7 +49,7 @@
 
   private void evict() {
     Iterator<Long> oldest = blocks.keySet().iterator();
-    while (blocks.size() > mostBlocks) {
+    while (blocks.size() > maxBlocks) {
       events.evicted(oldest.next());
       oldest.remove();
     }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/load/GenerationCaller.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/load/GenerationCaller.java
@@ -11,7 +11,7 @@
 import okhttp3.Response;
 import org.gatereel.standins.StandInServer;
 
-/** A caller of generations as the brief has them: it reconnects, to any entry host, and checks. */
+/** Requests generations, reconnects to any entry host after a failure, and checks the tokens. */
 public final class GenerationCaller {
   private static final MediaType JSON = MediaType.get("application/json");
   private static final long PAUSE_MILLIS = 20;
@@ -22,7 +22,7 @@
   private final String key;
   private final long patienceMillis;
 
-  /** Who watches the tokens come in. */
+  /** Receives the tokens of a generation. */
   public interface Watcher {
     void token(int offset, String id, String token);
 
@@ -44,15 +44,15 @@
     this.patienceMillis = patienceMillis;
   }
 
-  /** Asks for one generation and reads it to its end, starting at one of the hosts. */
+  /** Requests one generation and reads it to its end, starting at one of the hosts. */
   public Ending ask(String service, String prompt, int tokens, int firstHost, Watcher watcher)
       throws IOException, InvalidResponseException {
     StreamCheck check = new StreamCheck(prompt);
     String lastId = "";
     int reconnects = 0;
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMillis);
-    for (int turn = firstHost; ; turn++) {
-      String host = hosts.get(turn % hosts.size());
+    for (int hostIndex = firstHost; ; hostIndex++) {
+      String host = hosts.get(hostIndex % hosts.size());
       String body = StandInServer.MAPPER.writeValueAsString(new Body(service, prompt, tokens));
       Request.Builder request =
           new Request.Builder()
--- a/gatereel-standins/src/main/java/org/gatereel/standins/load/SseReader.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/load/SseReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import okio.BufferedSource;
 
-/** Reads server-sent events one after the other. */
+/** Reads a stream of server-sent events. */
 final class SseReader {
   private final BufferedSource source;
 
@@ -11,7 +11,7 @@
     this.source = source;
   }
 
-  /** One event; parts that were not sent are empty. */
+  /** One event; fields that were not sent are empty. */
   record SseEvent(String id, String type, String data) {}
 
   /** Returns the next event, or null if the stream ended. */
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/Bench.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/Bench.java
@@ -35,7 +35,7 @@
 
   private record Edit(Row row) {}
 
-  /** What an engine has done so far. */
+  /** Counts of the work that an engine has done. */
   record EngineCounters(long promptTokensComputed, long tokensGenerated, long started) {}
 
   Bench(List<String> hosts, Map<String, String> engines, String service, String operatorKey) {
@@ -136,7 +136,7 @@
         .header("Authorization", "Bearer " + operatorKey);
   }
 
-  /** Sets cells of a row at a host; returns the revision that this made. */
+  /** Sets cells of a row at a host; returns the resulting revision. */
   long set(int host, String row, Map<String, String> cells) throws IOException {
     long basedOn;
     try {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/CostExperiment.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/CostExperiment.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Measures what the first host spends while nothing is asked, and then for each token. */
+/** Measures the resource use of the first host when idle, and then for each token. */
 final class CostExperiment {
   private static final long SETTLE_SECONDS = 15;
   private static final long IDLE_SECONDS = 20;
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/DirectEngine.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/DirectEngine.java
@@ -10,7 +10,7 @@
 import org.HdrHistogram.Histogram;
 import org.gatereel.standins.StandInServer;
 
-/** Asks an engine itself, without gatereel between: the floor of what can be measured. */
+/** Sends generations directly to an engine, as the baseline of the measurements. */
 final class DirectEngine {
   private static final MediaType JSON = MediaType.get("application/json");
 
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/EditsExperiment.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/EditsExperiment.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Makes edits at one host and looks when each is in force on all. */
+/** Makes edits at one host and measures the time until each is in force on all hosts. */
 final class EditsExperiment {
   private static final int EDITS = 30;
 
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/FloodExperiment.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/FloodExperiment.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** Measures small requests of nine accounts, without and with a flood of long ones of a tenth. */
+/**
+ * Measures small requests of nine accounts, with and without a flood of long requests of a tenth.
+ */
 final class FloodExperiment {
   private static final int FLOODER = 0;
   private static final int FLOOD_STREAMS = 96;
@@ -86,7 +88,7 @@
         String prompt = "flood " + stream + " " + number;
         bench.caller(FLOODER).ask("assistant", prompt, FLOOD_TOKENS, stream, watcher);
       } catch (Exception e) {
-        // The flooder is refused now and then; that is the point.
+        // Requests of the flooding account are expected to be rejected.
       }
     }
   }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/OpenLoop.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/OpenLoop.java
@@ -8,13 +8,15 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Starts work at random moments that do not wait for earlier work, so that waiting is counted. */
+/**
+ * Starts tasks at random times, independent of earlier tasks, so that queueing time is measured.
+ */
 final class OpenLoop {
   private final SplittableRandom random;
   private final double perSecond;
   private final long durationNanos;
 
-  /** One piece of work, due at a moment. */
+  /** A task and the time at which it is due. */
   interface Work {
     void run(int number, long dueNanos) throws Exception;
   }
@@ -25,7 +27,7 @@
     this.durationNanos = TimeUnit.MILLISECONDS.toNanos(durationMillis);
   }
 
-  /** Runs the work and returns how many pieces failed. */
+  /** Runs the tasks and returns how many failed. */
   int run(Work work) throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
     List<Future<Boolean>> all = new ArrayList<>();
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/OverheadExperiment.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/OverheadExperiment.java
@@ -8,7 +8,7 @@
 import okhttp3.RequestBody;
 import org.HdrHistogram.Histogram;
 
-/** Compares what goes through an entry host with what goes to the target itself. */
+/** Compares requests through an entry host with requests sent directly to the target. */
 final class OverheadExperiment {
   private static final MediaType JSON = MediaType.get("application/json");
   private static final int WARM_UP = 200;
@@ -64,7 +64,7 @@
     Histogram gaps = Histograms.create();
     DirectEngine direct = new DirectEngine(bench);
     for (String engine : bench.engineNames()) {
-      // The first streams of a stand-in's JVM are slow; they say nothing of either way.
+      // Discards the first streams, which are slow because the stand-in's JVM is cold.
       direct.ask(engine, "warm-up", List.of(), TOKENS, Histograms.create(), Histograms.create());
     }
     for (int run = 0; run < STREAMS; run++) {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/Result.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/Result.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** The lines of one experiment's table, for people and for the JSON file. */
+/** The results of one experiment, as a printed table and as JSON. */
 final class Result {
   private static final double MICROS_IN_MILLI = 1_000.0;
 
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/ResumeExperiment.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/ResumeExperiment.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Breaks engines under running generations and measures the gap at the caller. */
+/** Stops engines during generations and measures the gap at the caller. */
 final class ResumeExperiment {
   private static final int CALLERS = 8;
   private static final int ROUNDS = 4;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Asks engines that are busy, at moments that do not follow their steps, as resumes do. */
+  /** Sends requests to busy engines at times unrelated to their steps, as resumes do. */
   private void floor(int length) throws Exception {
     Histogram first = Histograms.create();
     DirectEngine direct = new DirectEngine(bench);
@@ -84,7 +84,7 @@
       List<Future<Void>> running = new ArrayList<>();
       for (int caller = 0; caller < CALLERS; caller++) {
         int at = length + random.nextInt(SPREAD);
-        // One in four breaks its engine; the others lose theirs along with it, or do not.
+        // One in four stops its engine, which may interrupt other generations too.
         boolean breaks = caller % 4 == 0;
         int account = caller;
         String prompt = "resume " + policy + death + length + " " + round + " " + caller;
--- a/gatereel-standins/src/main/java/org/gatereel/standins/measure/TimedWatcher.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/measure/TimedWatcher.java
@@ -46,11 +46,11 @@
 
   /** Called for each token. */
   void arrived(int offset, String engine) {
-    // For those who want to do something at an offset.
+    // Overridden to act at an offset.
   }
 
   @Override
   public void reconnected(String host, String why) {
-    // The time counts on; nothing else to note.
+    // The gap includes the time of the reconnection.
   }
 }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/Faults.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/Faults.java
@@ -2,16 +2,16 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults of the platform that are switched on by request. */
+/** The faults that the platform stand-in injects. */
 public final class Faults {
   private final AtomicInteger responsesToLose = new AtomicInteger();
   private volatile boolean down;
   private volatile long slowMillis;
 
   /**
-   * Asks for faults; what is not named is off afterwards.
+   * Sets all faults; a field that is missing disables its fault.
    *
-   * @param down whether every request is refused
+   * @param down whether every request is rejected
    * @param slowMillis how long each response is delayed
    * @param loseAnswers how many transactions take effect but receive no response
    */
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/MemoryTable.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/MemoryTable.java
@@ -25,16 +25,16 @@
   /** The conditions that failed. */
   record Conflict(Set<String> keys, Map<String, String> present) {}
 
-  /** Asks for single rows. */
+  /** A request for single rows. */
   record Read(List<String> keys) {}
 
   /** Rows by key. */
   record Rows(SortedMap<String, String> rows) {}
 
-  /** What was done so far. */
+  /** The numbers of operations so far. */
   record Counters(long transactions, long rowsWritten, long reads) {}
 
-  /** Makes all writes, or none and says why. */
+  /** Applies all writes, or none and returns the conditions that failed. */
   synchronized Optional<Conflict> transact(Transaction transaction) {
     Set<String> failed = new HashSet<>();
     Map<String, String> present = new HashMap<>();
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/PlatformStandIn.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/PlatformStandIn.java
@@ -82,7 +82,7 @@
     operatorRoutes(application);
   }
 
-  /** The paths that tests and demonstrations steer the stand-in by; faults do not touch them. */
+  /** Adds the paths that control the stand-in; faults do not affect them. */
   private void operatorRoutes(Jooby application) {
     application.put(
         "/registry/hosts",
@@ -145,7 +145,7 @@
     var transaction = StandInServer.body(context, MemoryTable.Transaction.class);
     Optional<MemoryTable.Conflict> conflict = table.transact(transaction);
     if (faults.takeLostResponse()) {
-      // The write took effect; the caller waits in vain.
+      // The write took effect, but its response is omitted.
       return context.detach(detached -> detached);
     }
     if (conflict.isPresent()) {
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/RateLimit.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/RateLimit.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Allows so many requests a second, and a second's worth at once. */
+/** Limits the requests per second, with a burst of one second's requests. */
 final class RateLimit {
   private final double perSecond;
   private double tokens;
--- a/gatereel-standins/src/main/java/org/gatereel/standins/platform/Registry.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/platform/Registry.java
@@ -48,7 +48,7 @@
             new HostList(version, List.copyOf(hosts.values()), List.copyOf(targets.values()))));
   }
 
-  /** Returns the list as it was a lag ago; the first entries show at once. */
+  /** Returns the list as of one lag ago; the first entries are visible at once. */
   synchronized HostList list() {
     long now = System.nanoTime();
     while (!versions.isEmpty()
--- a/gatereel-standins/src/main/java/org/gatereel/standins/relay/Relay.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/relay/Relay.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Passes TCP bytes on to one address, and can be cut as a link is: nothing arrives any more, and
- * nobody is told.
+ * Relays TCP bytes to one address. A cut relay delays all bytes and keeps the connections open, as
+ * a broken network link does.
  */
 public final class Relay implements AutoCloseable {
   private static final int BUFFER = 8_192;
@@ -36,7 +36,7 @@
     thread.start();
   }
 
-  /** Cuts the link, or heals it; bytes that were sent meanwhile arrive then. */
+  /** Cuts or restores the link; bytes sent during a cut arrive after it. */
   public void cut(boolean on) {
     cut = on;
   }
@@ -46,7 +46,7 @@
       try {
         join(server.accept());
       } catch (IOException e) {
-        // The target refused or the relay is closed; the next connection is taken as usual.
+        // The target refused the connection, or the relay is closed.
       }
     }
   }
--- a/gatereel-standins/src/main/java/org/gatereel/standins/service/ServiceStandIn.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/service/ServiceStandIn.java
@@ -11,7 +11,7 @@
 import org.gatereel.standins.Control;
 import org.gatereel.standins.StandInServer;
 
-/** Stands in for a plain service; it records each execution and does not check for repeats. */
+/** Stands in for a plain service; it records each execution and does not detect duplicates. */
 public final class ServiceStandIn implements AutoCloseable {
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
