--- a/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
+++ b/gatereel-core/src/main/java/org/gatereel/core/EntryHost.java
@@ -169,7 +169,7 @@
   private boolean canAccept(long caller, Outcome outcome) {
     if (draining) {
       String detail = "connect again to reach another host";
-      refuse(
+      reject(
           caller, new Problem(ProblemType.DRAINING, outcome, detail, DRAINING_RETRY_DELAY_MILLIS));
       return false;
     }
@@ -180,14 +180,14 @@
   private boolean hasTable(long caller, Outcome outcome) {
     if (table.revision() == 0) {
       String detail = "neither the platform nor a peer has answered yet";
-      refuse(
+      reject(
           caller,
           new Problem(ProblemType.NOT_READY, outcome, detail, NOT_READY_RETRY_DELAY_MILLIS));
     }
     return table.revision() > 0;
   }
 
-  private void refuse(long caller, Problem problem) {
+  private void reject(long caller, Problem problem) {
     context.emit(new Action.SendProblem(caller, problem));
   }
 
@@ -207,24 +207,24 @@
       owner.handleAttemptFinished(finished);
     } else if (event instanceof Event.AttemptFailed failed) {
       owner.handleAttemptFailed(failed);
-    } else if (event instanceof Event.CallResponseReceived answered) {
-      calls.handleResponse(answered);
+    } else if (event instanceof Event.CallResponseReceived response) {
+      calls.handleResponse(response);
     } else if (event instanceof Event.CallFailed failed) {
       calls.handleFailure(failed);
-    } else if (event instanceof Event.HealthCheckAnswered answered) {
-      handleHealthCheck(answered);
+    } else if (event instanceof Event.HealthCheckResponseReceived response) {
+      handleHealthCheck(response);
     } else {
       return false;
     }
     return true;
   }
 
-  private void handleHealthCheck(Event.HealthCheckAnswered answered) {
+  private void handleHealthCheck(Event.HealthCheckResponseReceived response) {
     targets
-        .find(answered.target())
-        .ifPresent(target -> targets.recordResponse(target, answered.load()));
-    if (answered.leaving()) {
-      targets.recordLeaving(answered.target());
+        .find(response.target())
+        .ifPresent(target -> targets.recordResponse(target, response.load()));
+    if (response.leaving()) {
+      targets.recordLeaving(response.target());
     }
   }
 
--- a/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
+++ b/gatereel-standins/src/main/java/org/gatereel/standins/StandInServer.java
@@ -14,7 +14,7 @@
 
 /** The HTTP server of a stand-in. */
 public final class StandInServer implements AutoCloseable {
-  /** JSON as the stand-ins read and write it. */
+  /** The JSON mapper of all stand-ins. */
   public static final ObjectMapper MAPPER =
       JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
@@ -37,7 +37,7 @@
     server.start(application);
   }
 
-  /** Answers with JSON. */
+  /** Responds with JSON. */
   public static Context json(Context context, int status, Object value) {
     try {
       context.setResponseCode(status);
